--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1519,8 +1519,12 @@
 		}
 		return fmt.Sprint(all)
 	}
-	if run() != run() {
-		t.Error("two runs differ")
+	first, second := run(), run()
+	if !strings.Contains(first, "Send") {
+		t.Errorf("no request was sent: %.200s", first)
+	}
+	if first != second {
+		t.Errorf("two runs differ:\n%.2000s\n%.2000s", first, second)
 	}
 }
 
