--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -37,7 +37,6 @@
 	class    *Class
 	deadline Time
 	answered bool
-	began    bool
 	atts     []trackedAttempt
 }
 
