--- a/api.go
+++ b/api.go
@@ -6,10 +6,10 @@
 // reports what happens (a request arrives, an attempt ends, a timer rings, the
 // host list changes) by calling one method per event, each with the current
 // time, and then carries out the [Action] values it collects with
-// [Balancer.Drain]. The balancer starts no goroutine, reads no clock and does
+// [Balancer.TakeActions]. The balancer starts no goroutine, reads no clock and does
 // no I/O; the same events and seed always lead to the same actions.
 //
-// The balancer keeps no slice that it is given, and what Drain appends belongs to
+// The balancer keeps no slice that it is given, and what TakeActions appends belongs to
 // the caller; in steady state neither side allocates. A balancer keeps a request
 // until it has its answer and all its attempts have ended, and a removed host until
 // its last attempt has. To start again after a restart, pass the host list saved
@@ -44,30 +44,30 @@
 
 // Effects of a class.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // hosts of one Group drop repeats for a Window
-	Unsafe               // must never run twice
+	Idempotent   Effect = iota // may run any number of times
+	Deduplicated               // hosts of one Group drop repeats for a Window
+	AtMostOnce                 // must never run twice
 )
 
-// Group says which hosts drop the repeats of a keyed request.
-type Group uint8
+// DedupScope says which hosts drop the repeats of a keyed request.
+type DedupScope uint8
 
 // Groups of a keyed class.
 const (
-	GroupAll  Group = iota // every host
-	GroupZone              // the hosts of one zone
-	GroupCell              // the hosts of one cell
+	DedupAll  DedupScope = iota // every host
+	DedupZone                   // the hosts of one zone
+	DedupCell                   // the hosts of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name     string        // optional; tells at Retune which classes stay
-	Aim      time.Duration // an answer within it earns the full worth; 0: the Deadline
-	Deadline time.Duration // how long a client waits in all
-	Worth    float64       // worth of an answer; 0 counts as 1
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: counted from the first attempt that may have run
+	Name           string        // optional; tells at UpdateSettings which classes stay
+	LatencyTarget  time.Duration // an answer within it earns the full worth; 0: the Deadline
+	Deadline       time.Duration // how long a client waits in all
+	PriorityWeight float64       // worth of an answer; 0 counts as 1
+	Effect         Effect
+	DedupScope     DedupScope    // for Deduplicated
+	DedupWindow    time.Duration // for Deduplicated: counted from the first attempt that may have run
 }
 
 // Tenant describes one customer. Quota is its requests a second over all
@@ -79,24 +79,24 @@
 // Settings is what a Balancer knows of its deployment. The zero value of an
 // optional field gives the default named beside it.
 type Settings struct {
-	Instances int // balancers in the bank, this one included; at least 1
-	Rank      int // this one's number, from 0
-	Classes   []Class
-	Tenants   []Tenant      // optional
-	Step      time.Duration // events are handled at most this often; 0: as they come
+	Instances     int // balancers in the bank, this one included; at least 1
+	Rank          int // this one's number, from 0
+	Classes       []Class
+	Tenants       []Tenant      // optional
+	EventInterval time.Duration // events are handled at most this often; 0: as they come
 
-	MaxAttempts    int           // attempts a request may have, one at a time; 0: 3
-	Cancel         bool          // Cancel actions are allowed
-	MaxRetryAfter  time.Duration // longest advice a client heeds; 0: advise nothing
-	OverQuotaWorth float64       // worth of a request beyond its tenant's quota, as a share; 0: none
+	MaxAttempts     int           // attempts a request may have, one at a time; 0: 3
+	CancelAllowed   bool          // Cancel actions are allowed
+	MaxRetryAfter   time.Duration // longest advice a client heeds; 0: advise nothing
+	OverQuotaFactor float64       // worth of a request beyond its tenant's quota, as a share; 0: none
 
-	Ask       bool          // the host list must be asked for (Watch), it is not pushed
-	AskWithin time.Duration // longest time without a watch or a question; 0: 10 s
+	WatchHosts  bool          // the host list must be asked for (Watch), it is not pushed
+	MaxWatchGap time.Duration // longest time without a watch or a question; 0: 10 s
 
-	ColdFrom       float64       // share of its capacity a host starts with; 0: 1, hosts start warm
+	ColdCapacity   float64       // share of its capacity a host starts with; 0: 1, hosts start warm
 	WarmAfter      time.Duration // a host is warm this long after its start; 0: at once
 	OverloadFactor float64       // a cold host falls over at this multiple of its present capacity; 0: 2
-	Fall           time.Duration // kept up for this long; 0: 1 s
+	OverloadWindow time.Duration // kept up for this long; 0: 1 s
 
 	DrainGrace time.Duration // sends to a host may begin this long after it counts as draining or gone; 0: 1 s
 }
@@ -132,14 +132,14 @@
 	ListFailed                  // a question failed or a watch broke; no entries
 
 	// No list either, but more is known of the loss than by ListFailed.
-	ListEnded   // a watch ended in order: it may have kept back a change
-	ListSilent  // a watch fell silent SilentAfter ago; the gateway asks anew by itself
-	ListMoved   // discovery has another address; the gateway asks there by itself
-	ListUnheard // a question found nobody at the address of discovery
+	ListEnded       // a watch ended in order: it may have kept back a change
+	ListSilent      // a watch fell silent SilentAfter ago; the gateway asks anew by itself
+	ListMoved       // discovery has another address; the gateway asks there by itself
+	ListUnreachable // a question found nobody at the address of discovery
 )
 
-// Lost says that the news is no list but the loss of discovery.
-func (k ListKind) Lost() bool { return k >= ListFailed }
+// IsLoss says that the news is no list but the loss of discovery.
+func (k ListKind) IsLoss() bool { return k >= ListFailed }
 
 // Peer is an instance of the bank as a view of it has it.
 type Peer struct {
@@ -149,13 +149,13 @@
 
 // Request is a client's request that now awaits one final answer.
 type Request struct {
-	ID     RequestID
-	Class  int           // index in Settings.Classes
-	Tenant int           // index in Settings.Tenants
-	Left   time.Duration // until the client gives up on this try; 0: it is due now
-	Waited time.Duration // since its last byte came; 0: it came now
-	Repeat bool          // the client marks it as a repeat
-	Upload bool          // it is sent as it comes; it has all its time from Whole on
+	ID          RequestID
+	Class       int           // index in Settings.Classes
+	Tenant      int           // index in Settings.Tenants
+	Remaining   time.Duration // until the client gives up on this try; 0: it is due now
+	Age         time.Duration // since its last byte came; 0: it came now
+	ClientRetry bool          // the client marks it as a repeat
+	Upload      bool          // it is sent as it comes; it has all its time from UploadComplete on
 }
 
 // Result says how an attempt ended.
@@ -180,12 +180,12 @@
 
 // Outcome is the end of one attempt. Each Send has exactly one.
 type Outcome struct {
-	Request RequestID
-	Attempt int // attempts of a request count from 0 in the order of their Send
-	Result  Result
-	Elapsed time.Duration // since the Send
-	Closed  bool          // the client has its answer, nothing more is owed
-	Spent   bool          // part of the request is gone: it cannot be sent again
+	Request       RequestID
+	Attempt       int // attempts of a request count from 0 in the order of their Send
+	Result        Result
+	Elapsed       time.Duration // since the Send
+	Answered      bool          // the client has its answer, nothing more is owed
+	NotReplayable bool          // part of the request is gone: it cannot be sent again
 }
 
 // ActionKind says what the gateway is asked to do.
@@ -225,13 +225,13 @@
 // Action is one thing for the gateway to do. Only the fields named at its kind
 // mean anything.
 type Action struct {
-	Kind    ActionKind
-	Request RequestID
-	Attempt int
-	Host    HostID
-	At      Time
-	By      Time
-	After   time.Duration
-	Token   uint64
-	Text    string
+	Kind       ActionKind
+	Request    RequestID
+	Attempt    int
+	Host       HostID
+	At         Time
+	WriteBy    Time
+	RetryAfter time.Duration
+	Token      uint64
+	Text       string
 }
--- a/asking.go
+++ b/asking.go
@@ -5,24 +5,24 @@
 
 const (
 	// NotifiedAfter counts from when discovery had a change and could be reached: it is notified then.
-	NotifiedAfter = Time(6e9)
-	SilentAfter   = NotifiedAfter / 2 // a watch without a line (one is due every 2 s), or a call, has failed
-	AskMost       = NotifiedAfter / 2 // wait for the next call at the most, whatever Instances and AskWithin
+	NotifiedAfter   = Time(6e9)
+	SilentAfter     = NotifiedAfter / 2 // a call, or a watch (a line is due every 2 s), failed
+	MaxWatchBackoff = NotifiedAfter / 2 // longest wait for the next call, for any MaxWatchGap
 
 	resumeMost  = Time(500e6) // all of a fleet whose watches ended ask anew within it: its clock is 2 s
 	resumeLeast = Time(500e6) // ... unless the watch was open for less: it may end each time
 
 	firstGap   = Time(6e6)   // between the first calls of two ranks: a bank of 300 is done in 1.8 s
-	firstMost  = 0.25        // ... but all of them come within this share of AskWithin
+	firstMost  = 0.25        // ... but all of them come within this share of MaxWatchGap
 	askGap     = Time(10e6)  // between two calls of the whole bank while discovery fails: 100 a second
 	askUnheard = Time(500e6) // ... and at least between two of one instance while nobody is at the address
-	askLeast   = 1.0 / 16    // time between two calls of one instance, in AskWithin: the first,
+	askLeast   = 1.0 / 16    // time between two calls of one instance, in MaxWatchGaps: the first,
 	askSteady  = 0.25        // ... and after that, growing by doublings, for a small bank
 )
 
 // firstCall is how long after its start an instance asks first; one alone does not wait.
 func firstCall(set *Settings) Time {
-	all := min(firstGap*Time(set.Instances), Time(firstMost*float64(set.AskWithin)))
+	all := min(firstGap*Time(set.Instances), Time(firstMost*float64(set.MaxWatchGap)))
 	return all * Time(set.Rank) / Time(set.Instances)
 }
 
@@ -34,16 +34,17 @@
 	return all * Time(set.Rank) / Time(set.Instances)
 }
 
-// AskAgain is when an instance asks next after its calls have failed so many times in a
+// NextWatchCall is when an instance asks next after its calls have failed so many times in a
 // row: in its rank's slot of a period that gives the whole bank askGap a call. A slot on
 // the clock needs no luck: no two ranks meet, and each asks within one period of the
-// return. The period is AskWithin at most, as a list may not be older unasked, and AskMost.
+// return. The period is at most MaxWatchGap, as a list may not be older unasked, and
+// MaxWatchBackoff.
 // jitter, from 0 to 1, is the place in the slot; listed says that there are hosts to send to.
-func AskAgain(set *Settings, now Time, fails int, listed bool, jitter float64) Time {
-	within, n := set.AskWithin, Time(set.Instances)
+func NextWatchCall(set *Settings, now Time, fails int, listed bool, jitter float64) Time {
+	within, n := set.MaxWatchGap, Time(set.Instances)
 	least := Time(min(askLeast*float64(int(1)<<min(fails, 3)), askSteady) * float64(within))
-	least = min(least, AskMost*n/(n+1)) // a wait may be longer than a period by a slot
-	period := min(max(askGap*n, least), within, AskMost)
+	least = min(least, MaxWatchBackoff*n/(n+1)) // a wait may be longer than a period by a slot
+	period := min(max(askGap*n, least), within, MaxWatchBackoff)
 	gap := period / 2
 	if listed { // two calls fit into the clock of notifications: just the last call's slot is passed over
 		gap = period / max(n, 2)
@@ -67,7 +68,7 @@
 // cost nobody a turn, and discovery may be back for a moment only: whatever it has then counts as notified
 // NotifiedAfter later. So only askGap between the calls of the whole bank is kept.
 func askUnheardAgain(set *Settings, now Time, jitter float64) Time {
-	period := min(max(askGap*Time(set.Instances), askUnheard), set.AskWithin, AskMost)
+	period := min(max(askGap*Time(set.Instances), askUnheard), set.MaxWatchGap, MaxWatchBackoff)
 	return slotAfter(set, now, period/2, period, jitter)
 }
 
@@ -80,7 +81,7 @@
 // lostList asks again, at once after a watch that ended and else in this rank's slot; the old
 // list stands.
 func (b *Balancer) lostList(kind ListKind) {
-	if b.set.Ask {
+	if b.set.WatchHosts {
 		b.unfollowed(kind)
 	}
 	if kind == ListSilent || kind == ListMoved {
@@ -95,14 +96,14 @@
 		fails = 0 // a watch broke; else a call failed, and the bank keeps to askGap
 	}
 	b.watching = false
-	if b.set.Ask {
+	if b.set.WatchHosts {
 		b.watchFails++
 		if resumes {
 			b.watchIn(resumeCall(&b.set))
 			return
 		}
-		next := AskAgain(&b.set, b.now, fails, len(b.hosts) > 0, b.float())
-		if kind == ListUnheard {
+		next := NextWatchCall(&b.set, b.now, fails, len(b.hosts) > 0, b.float())
+		if kind == ListUnreachable {
 			next = min(next, askUnheardAgain(&b.set, b.now, b.float()))
 		}
 		b.watchIn(next - b.now)
--- a/asking_test.go
+++ b/asking_test.go
@@ -12,7 +12,7 @@
 func TestBankSparesDiscovery(t *testing.T) {
 	const instances = 300
 	set := basic()
-	set.Ask, set.Instances, set.AskWithin = true, instances, 10*time.Second
+	set.WatchHosts, set.Instances, set.MaxWatchGap = true, instances, 10*time.Second
 	var calls []Time // since the start of all
 	for rank := range instances {
 		set.Rank = rank
@@ -63,24 +63,24 @@
 func TestTwoCallsFitIntoTheClock(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 60, 300, 350, 1024} {
 		for _, within := range []Time{time.Second, 10 * time.Second, 60 * time.Second} {
-			set := Settings{Instances: n, AskWithin: within}
+			set := Settings{Instances: n, MaxWatchGap: within}
 			calls, span := 0, 120*time.Second
 			for rank := range n {
 				set.Rank = rank
 				rng := &Balancer{rng: uint64(rank)}
 				now, fails := firstCall(&set), 1
 				for now < span {
-					next := AskAgain(&set, now, fails, true, rng.float())
-					if wait := next - now; wait <= 0 || wait > AskMost+AskMost/Time(n) {
+					next := NextWatchCall(&set, now, fails, true, rng.float())
+					if wait := next - now; wait <= 0 || wait > MaxWatchBackoff+MaxWatchBackoff/Time(n) {
 						t.Fatalf("%d instances, %v unasked: rank %d waits %v after %d fails", n, within, rank, wait, fails)
 					}
-					if broken := AskAgain(&set, now, 0, true, rng.float()) - now; broken > AskMost+AskMost/Time(n)+within/32 {
+					if broken := NextWatchCall(&set, now, 0, true, rng.float()) - now; broken > MaxWatchBackoff+MaxWatchBackoff/Time(n)+within/32 {
 						t.Fatalf("%d instances, %v unasked: rank %d waits %v after its watch broke", n, within, rank, broken)
 					}
 					now, fails, calls = next, fails+1, calls+1
 				}
 			}
-			most := max(100, float64(n)/min(within, AskMost).Seconds())
+			most := max(100, float64(n)/min(within, MaxWatchBackoff).Seconds())
 			if rate := float64(calls) / span.Seconds(); rate > most*1.05 {
 				t.Errorf("%d instances, %v unasked: %.0f calls a second", n, within, rate)
 			}
--- a/balancer.go
+++ b/balancer.go
@@ -33,7 +33,7 @@
 	backoffMax  = 5         // doublings of an ejection at most
 	patience    = 4         // deviations above the mean RTT after which an unheard host counts as silent
 	backAfter   = 3         // seconds until a host that was called back is tried at the latest
-	rateFalls   = 4         // span of a host's rate of answers, in Falls
+	rateFalls   = 4         // span of a host's rate of answers, in OverloadWindows
 	limitStart  = 4         // attempts a new host may hold from the whole bank
 	limitAims   = 0.375     // mean RTT that the in-flight limit of a host steers to, in aims
 	limitTimes  = 2         // ... or in times what is usual for the class, if that is less
@@ -98,7 +98,7 @@
 		if lines[i].worth != lines[j].worth {
 			return lines[i].worth > lines[j].worth
 		}
-		return lines[i].class.Aim < lines[j].class.Aim
+		return lines[i].class.LatencyTarget < lines[j].class.LatencyTarget
 	})
 	b.bands, b.worths = make([]list[request], len(lines)), b.worths[:0]
 	for k, l := range lines {
@@ -109,9 +109,9 @@
 
 // partWorth is what a request of a part of its class is worth.
 func partWorth(c *Class, part int, set *Settings) float64 {
-	worth := c.Worth
+	worth := c.PriorityWeight
 	if part&overQuota != 0 {
-		worth *= set.OverQuotaWorth
+		worth *= set.OverQuotaFactor
 	}
 	if part&repeated != 0 {
 		worth *= repeatWorth
@@ -128,15 +128,15 @@
 // asked for, the watch begins here.
 func (b *Balancer) Start(now Time) {
 	b.now = now
-	if b.set.Ask {
+	if b.set.WatchHosts {
 		b.watchIn(firstCall(&b.set))
 	}
 }
 
-// Hosts is news of the host list.
-func (b *Balancer) Hosts(now Time, kind ListKind, list []Host) {
+// UpdateHosts is news of the host list.
+func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
 	b.now = now
-	if kind.Lost() {
+	if kind.IsLoss() {
 		b.lostList(kind)
 		return
 	}
@@ -163,10 +163,10 @@
 	b.pump()
 }
 
-// Maintain takes a host out of use, or calls it back. It is keyed by ID alone: what the
+// SetMaintenance takes a host out of use, or calls it back. It is keyed by ID alone: what the
 // list says of the host meanwhile changes nothing. A host that is called back may be
 // another process on another machine; what was learnt of it is void, and it is cold.
-func (b *Balancer) Maintain(now Time, id HostID, out bool) {
+func (b *Balancer) SetMaintenance(now Time, id HostID, out bool) {
 	b.now = now
 	was := b.banned[id]
 	h := b.byID[id]
@@ -195,9 +195,9 @@
 	b.pump()
 }
 
-// CalledBack tells of a call back that this instance has not seen itself, as another served
+// MaintenanceEnded tells of a call back that this instance has not seen itself, as another served
 // then: the host is cold as of it, listed yet or not.
-func (b *Balancer) CalledBack(now Time, id HostID, since Time) {
+func (b *Balancer) MaintenanceEnded(now Time, id HostID, since Time) {
 	b.now = now
 	b.back[id] = since
 	if h := b.byID[id]; h != nil {
@@ -249,8 +249,8 @@
 	}
 	r := b.newRequest()
 	r.Request, r.class, r.attempts = q, b.classes[q.Class], b.set.MaxAttempts
-	r.arrived = now - max(q.Waited, 0)
-	r.deadline = now + min(max(q.Left, 0), r.class.Deadline)
+	r.arrived = now - max(q.Age, 0)
+	r.deadline = now + min(max(q.Remaining, 0), r.class.Deadline)
 	r.part = b.part(r)
 	r.band = r.class.bands[r.part]
 	b.reqs[q.ID] = r
@@ -268,15 +268,15 @@
 // still connecting then ends only later, too late to answer on its outcome. One that
 // came too late to be sent is answered.
 func (b *Balancer) due(r *request) {
-	b.wake(max(b.now, r.deadline-answerSteps*b.set.Step), tokenAnswer<<tokenShift|uint64(r.ID))
-	if b.now+answerSteps*b.set.Step >= r.deadline {
+	b.wake(max(b.now, r.deadline-answerSteps*b.set.EventInterval), tokenAnswer<<tokenShift|uint64(r.ID))
+	if b.now+answerSteps*b.set.EventInterval >= r.deadline {
 		b.answer(r)
 	}
 }
 
-// Whole says that the last byte of a request that was sent as it came is with the host.
+// UploadComplete says that the last byte of a request that was sent as it came is with the host.
 // Its time begins here, and so does what its host is judged by.
-func (b *Balancer) Whole(now Time, id RequestID, left Time) {
+func (b *Balancer) UploadComplete(now Time, id RequestID, left Time) {
 	b.now = now
 	r := b.reqs[id]
 	if r == nil || r.done || !r.Upload {
@@ -305,14 +305,14 @@
 	if r.Tenant >= 0 && r.Tenant < len(b.quota) && !b.quota[r.Tenant].take(b.now) {
 		part |= overQuota
 	}
-	if r.Repeat {
+	if r.ClientRetry {
 		part |= repeated
 	}
 	return part
 }
 
-// Started says that a stream has begun: the request belongs to that attempt.
-func (b *Balancer) Started(now Time, id RequestID, n int) {
+// ResponseStarted says that a stream has begun: the request belongs to that attempt.
+func (b *Balancer) ResponseStarted(now Time, id RequestID, n int) {
 	b.now = now
 	r := b.reqs[id]
 	if r == nil || r.done || n < 0 || n >= len(r.atts) {
@@ -339,15 +339,15 @@
 	r.out--
 	a.host.open--
 	b.land(a)
-	r.spent = r.spent || o.Spent
+	r.spent = r.spent || o.NotReplayable
 	b.observe(a, max(o.Elapsed, 0).Seconds())
-	b.settle(r, a, o.Closed)
+	b.settle(r, a, o.Answered)
 	b.forget(a.host)
 	b.pump()
 }
 
-// Gone says that nobody waits for the request any more.
-func (b *Balancer) Gone(now Time, id RequestID) {
+// ClientGone says that nobody waits for the request any more.
+func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
 	if r := b.reqs[id]; r != nil && !r.done {
 		b.end(r)
@@ -367,7 +367,7 @@
 	case tokenWatch:
 		if now >= b.watchAt && !b.watching {
 			b.act(Action{Kind: Watch})
-			b.watchIn(b.set.AskWithin)
+			b.watchIn(b.set.MaxWatchGap)
 		}
 	case tokenAnswer:
 		if r := b.reqs[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.bound {
@@ -400,7 +400,7 @@
 	}
 	b.redraw()
 	from := b.drawn
-	if r.class.Effect == Keyed && r.first() != nil {
+	if r.class.Effect == Deduplicated && r.first() != nil {
 		from = b.ring // its group may lie outside
 	}
 	listed, out := 0, 0
@@ -506,11 +506,11 @@
 	switch c := r.class; {
 	case !b.repeatable(&c.Class, first):
 		return false
-	case first == nil || c.Effect == Safe:
+	case first == nil || c.Effect == Idempotent:
 		return true
-	case c.Group == GroupZone:
+	case c.DedupScope == DedupZone:
 		return h.Zone == first.host.Zone
-	case c.Group == GroupCell:
+	case c.DedupScope == DedupCell:
 		return h.Cell == first.host.Cell
 	}
 	return true
@@ -520,10 +520,10 @@
 // given its first attempt that may have run: an unsafe one never, a keyed one only
 // while repeats are sure to be dropped.
 func (b *Balancer) repeatable(c *Class, first *attempt) bool {
-	if first == nil || c.Effect == Safe {
+	if first == nil || c.Effect == Idempotent {
 		return true
 	}
-	return c.Effect == Keyed && b.now <= b.repeatBy(c, first)
+	return c.Effect == Deduplicated && b.now <= b.repeatBy(c, first)
 }
 
 // ejected says whether a host that failed is out of the draw: until its back-off
@@ -560,10 +560,10 @@
 // overdue says whether the oldest attempt that a host has yet to come to has taken
 // longer than the target of the limit already.
 func (b *Balancer) overdue(oldest *attempt) bool {
-	return oldest != nil && float64(b.now-oldest.sent) > overdueAims*float64(oldest.req.class.Aim)
+	return oldest != nil && float64(b.now-oldest.sent) > overdueAims*float64(oldest.req.class.LatencyTarget)
 }
 
-func (b *Balancer) rateSpan() float64 { return rateFalls * b.set.Fall.Seconds() }
+func (b *Balancer) rateSpan() float64 { return rateFalls * b.set.OverloadWindow.Seconds() }
 
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
@@ -582,7 +582,7 @@
 	if h.cold {
 		b.paceCold(h)
 	}
-	b.act(Action{Kind: Send, Request: r.ID, Host: h.ID, By: by})
+	b.act(Action{Kind: Send, Request: r.ID, Host: h.ID, WriteBy: by})
 	b.sends.add(b.now, b.rateSpan())
 	b.tokens = max(b.tokens-1, 0)
 	b.sweepSoon()
@@ -595,14 +595,15 @@
 		return // it tells nothing of the process that is there now
 	}
 	// In aims of the class, or as much over what is usual for it, whichever is more.
-	aims := rtt / a.req.class.Aim.Seconds()
+	aims := rtt / a.req.class.LatencyTarget.Seconds()
 	if l := &a.req.class.lat; l.seen {
 		aims = max(aims, limitAims/limitTimes*rtt/l.mean)
 	}
 	// What takes long with nothing else of ours there is not crowding; but where boundShare
 	// instances or more share a host, each is alone by itself and the host still crowded.
 	if l := &a.req.class.alone; l.seen && b.sharers() < boundShare {
-		aims /= min(max(1, aloneTimes*l.mean/(limitAims*a.req.class.Aim.Seconds())), limitMost/limitAims)
+		aims /= min(max(1, aloneTimes*l.mean/(limitAims*a.req.class.LatencyTarget.Seconds())),
+			limitMost/limitAims)
 	}
 	if a.trial {
 		h.trialOut = false
@@ -616,9 +617,9 @@
 		typical := b.typical(a, rtt)
 		b.sample(h, typical)
 		if h.cold {
-			h.able.addAt(max(typical, 1e-6)*b.coldShare(h), b.now, b.set.Fall.Seconds())
+			h.able.addAt(max(typical, 1e-6)*b.coldShare(h), b.now, b.set.OverloadWindow.Seconds())
 		}
-		b.adjust(h, aims, a.req.class.Aim, a.sent)
+		b.adjust(h, aims, a.req.class.LatencyTarget, a.sent)
 		b.press(a, rtt)
 		if !h.cold && b.used > 0 {
 			b.served.add(b.now, b.rateSpan())
@@ -630,13 +631,13 @@
 	case Full:
 		// What is full takes no more: its refusals come at once, and a host that
 		// gives nothing else would draw all that waits. Acts on each such refusal.
-		b.adjust(h, max(aims, 1), a.req.class.Aim, a.sent)
+		b.adjust(h, max(aims, 1), a.req.class.LatencyTarget, a.sent)
 		// The limit cannot hold it back, with nothing out there. It rests until some of
 		// what it holds can have ended (one that drains unknown to the list gives no
 		// more), but not so long that what waits for it alone cannot be sent again.
 		rest := min(b.seed(h), waitShare/2*b.aim.Seconds())
 		h.restUntil = max(h.restUntil, b.now+Time(1e9*rest))
-		b.press(a, max(rtt, a.req.class.Aim.Seconds()))
+		b.press(a, max(rtt, a.req.class.LatencyTarget.Seconds()))
 		fallthrough
 	case Failed:
 		b.sample(h, max(rtt, b.penalty))
@@ -655,7 +656,7 @@
 		if a.sent < h.passed {
 			return // the host lost this one and answers others: it is not crowded
 		}
-		b.adjust(h, aims, a.req.class.Aim, a.sent)
+		b.adjust(h, aims, a.req.class.LatencyTarget, a.sent)
 		b.press(a, rtt)
 	case ConnectFailed, Reset:
 		b.sample(h, rtt)
@@ -694,7 +695,7 @@
 // once a round, where boundShare instances or more have part of an attempt at a host. A cold
 // host has its pacing as the guard; its answers let the bound grow.
 func (b *Balancer) press(a *attempt, rtt float64) {
-	target := pressAims * a.req.class.Aim.Seconds()
+	target := pressAims * a.req.class.LatencyTarget.Seconds()
 	if l := &a.req.class.lat; l.seen {
 		target = min(target, pressTimes*l.mean)
 	}
@@ -762,7 +763,7 @@
 // keep repeats from feeding an overload.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.bound || r.spent || r.rejected() || len(r.atts) >= r.attempts ||
-		b.now+2*answerSteps*b.set.Step >= r.deadline {
+		b.now+2*answerSteps*b.set.EventInterval >= r.deadline {
 		return false
 	}
 	return b.repeatable(&r.class.Class, r.first())
@@ -772,9 +773,10 @@
 // only where trying again is known to be harmless.
 func (b *Balancer) answer(r *request) {
 	r.overdue = true
-	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll
+	harmless := r.class.Effect == Idempotent ||
+		r.class.Effect == Deduplicated && r.class.DedupScope == DedupAll
 	if r.first() == nil || harmless && !r.rejected() {
-		b.act(Action{Kind: Refuse, Request: r.ID, After: min(b.aim/4, b.set.MaxRetryAfter)})
+		b.act(Action{Kind: Refuse, Request: r.ID, RetryAfter: min(b.aim/4, b.set.MaxRetryAfter)})
 	} else {
 		b.act(Action{Kind: Fail, Request: r.ID})
 	}
@@ -785,7 +787,7 @@
 // share of its aim: refused early, a client may yet be served in time elsewhere or
 // later, and what is sent has the rest of its aim left.
 func (b *Balancer) enqueue(r *request, front bool) {
-	r.expires = r.arrived + Time(waitShare*float64(r.class.Aim))
+	r.expires = r.arrived + Time(waitShare*float64(r.class.LatencyTarget))
 	b.push(r, front)
 	b.sweepSoon()
 }
@@ -828,7 +830,7 @@
 	if l := &r.class.lat; l.seen {
 		return Time(1e9 * (l.mean + patience*l.dev))
 	}
-	return r.class.Aim / 2
+	return r.class.LatencyTarget / 2
 }
 
 // listen looks for silent hosts: those that have answered nothing since their
@@ -864,10 +866,11 @@
 		a, r := n.item, n.item.req
 		n = n.next
 		switch age := b.now - a.sent; {
-		case r.done || r.bound || !b.set.Cancel:
-		case age >= r.class.Aim:
+		case r.done || r.bound || !b.set.CancelAllowed:
+		case age >= r.class.LatencyTarget:
 			b.answer(r)
-		case r.class.Effect == Safe && !r.stuck && b.overdue(a) && age >= b.patience(r) && b.mayRetry(r):
+		case r.class.Effect == Idempotent && !r.stuck && b.overdue(a) &&
+			age >= b.patience(r) && b.mayRetry(r):
 			r.stuck = true
 			b.cancelOthers(r, -1)
 		}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -18,13 +18,13 @@
 // basic is a small site with one class of each effect.
 func basic() Settings {
 	return Settings{
-		Instances: 1, Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
+		Instances: 1, EventInterval: ms, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: time.Second,
 		Classes: []Class{
-			{Aim: 400 * ms, Deadline: time.Second, Worth: 1},
-			{Aim: 400 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 600 * ms},
-			{Aim: 400 * ms, Deadline: time.Second, Worth: 5, Effect: Unsafe},
+			{LatencyTarget: 400 * ms, Deadline: time.Second, PriorityWeight: 1},
+			{LatencyTarget: 400 * ms, Deadline: time.Second, PriorityWeight: 2, Effect: Deduplicated, DedupScope: DedupCell, DedupWindow: 600 * ms},
+			{LatencyTarget: 400 * ms, Deadline: time.Second, PriorityWeight: 5, Effect: AtMostOnce},
 		},
-		ColdFrom: 0.3, WarmAfter: 9 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
+		ColdCapacity: 0.3, WarmAfter: 9 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 	}
 }
 
@@ -63,7 +63,7 @@
 
 func (g *gateway) drain() {
 	g.acts = g.acts[:0]
-	for _, a := range g.b.Drain(nil) {
+	for _, a := range g.b.TakeActions(nil) {
 		switch a.Kind {
 		case Log:
 			g.logs = append(g.logs, a.Text)
@@ -78,19 +78,19 @@
 }
 
 func (g *gateway) list(kind ListKind, hosts ...Host) {
-	g.b.Hosts(g.now, kind, hosts)
+	g.b.UpdateHosts(g.now, kind, hosts)
 	g.drain()
 }
 
 func (g *gateway) request(class int, left time.Duration) RequestID {
 	g.next++
-	g.b.Request(g.now, Request{ID: g.next, Class: class, Left: left})
+	g.b.Request(g.now, Request{ID: g.next, Class: class, Remaining: left})
 	g.drain()
 	return g.next
 }
 
 func (g *gateway) outcome(id RequestID, n int, r Result, took time.Duration) {
-	g.b.Outcome(g.now, Outcome{Request: id, Attempt: n, Result: r, Elapsed: took, Closed: r == OK})
+	g.b.Outcome(g.now, Outcome{Request: id, Attempt: n, Result: r, Elapsed: took, Answered: r == OK})
 	g.drain()
 }
 
@@ -358,7 +358,7 @@
 		h := g.b.byID[g.sole(Send).Host]
 		if gone {
 			g.now += 30 * ms
-			g.b.Gone(g.now, id)
+			g.b.ClientGone(g.now, id)
 			g.drain()
 		} else {
 			g.advance(600 * ms)
@@ -411,7 +411,7 @@
 // crowded the hosts left to several times their usual RTT before a limit moved.
 func TestLimitIsJudgedByWhatIsUsual(t *testing.T) {
 	set := basic()
-	set.Classes[0] = Class{Aim: 5 * time.Second, Deadline: 20 * time.Second}
+	set.Classes[0] = Class{LatencyTarget: 5 * time.Second, Deadline: 20 * time.Second}
 	g := start(t, set, hosts(1)...)
 	h := g.b.hosts[0]
 	g.serve(100, 0, func(HostID) time.Duration { return 40 * ms })
@@ -513,7 +513,7 @@
 		g := start(t, basic(), hosts(2)...)
 		g.request(class, 500*ms)
 		g.sole(Send)
-		done := g.advance(500*ms - g.b.set.Step)
+		done := g.advance(500*ms - g.b.set.EventInterval)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
 			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
 		}
@@ -551,13 +551,13 @@
 }
 
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	for group, same := range map[Group]func(a, b Host) bool{
-		GroupAll:  func(a, b Host) bool { return true },
-		GroupZone: func(a, b Host) bool { return a.Zone == b.Zone },
-		GroupCell: func(a, b Host) bool { return a.Cell == b.Cell },
+	for group, same := range map[DedupScope]func(a, b Host) bool{
+		DedupAll:  func(a, b Host) bool { return true },
+		DedupZone: func(a, b Host) bool { return a.Zone == b.Zone },
+		DedupCell: func(a, b Host) bool { return a.Cell == b.Cell },
 	} {
 		set := basic()
-		set.Classes[1].Group = group
+		set.Classes[1].DedupScope = group
 		list := []Host{{ID: 1, Zone: 0, Cell: 0}, {ID: 2, Zone: 0, Cell: 1}, {ID: 3, Zone: 1, Cell: 2},
 			{ID: 4, Zone: 0, Cell: 0}, {ID: 5, Zone: 0, Cell: 1}, {ID: 6, Zone: 1, Cell: 2}}
 		other := 0
@@ -589,13 +589,13 @@
 	for _, class := range []int{0, 1, 2} {
 		g := start(t, basic(), hosts(2)...)
 		id := g.request(class, time.Second)
-		if first := g.sole(Send); first.By != 0 {
-			t.Errorf("class %d: the first attempt may go out until %v", class, first.By)
+		if first := g.sole(Send); first.WriteBy != 0 {
+			t.Errorf("class %d: the first attempt may go out until %v", class, first.WriteBy)
 		}
 		g.advance(10 * ms)
 		g.outcome(id, 0, Full, 10*ms) // it has not run: the window has yet to begin
-		if again := g.sole(Send); again.By != 0 {
-			t.Errorf("class %d: an attempt after none that ran may go out until %v", class, again.By)
+		if again := g.sole(Send); again.WriteBy != 0 {
+			t.Errorf("class %d: an attempt after none that ran may go out until %v", class, again.WriteBy)
 		}
 		g = start(t, basic(), hosts(2)...)
 		id = g.request(class, time.Second)
@@ -603,13 +603,13 @@
 		g.advance(10 * ms)
 		g.outcome(id, 0, Reset, 10*ms)
 		c := basic().Classes[class]
-		if c.Effect == Unsafe {
+		if c.Effect == AtMostOnce {
 			g.sole(Fail)
 			continue
 		}
 		again := g.sole(Send)
-		if c.Effect == Keyed && (again.By <= sent || again.By > sent+c.Window) || c.Effect != Keyed && again.By != 0 {
-			t.Errorf("class %d: sent at %v, repeated until %v", class, sent, again.By)
+		if c.Effect == Deduplicated && (again.WriteBy <= sent || again.WriteBy > sent+c.DedupWindow) || c.Effect != Deduplicated && again.WriteBy != 0 {
+			t.Errorf("class %d: sent at %v, repeated until %v", class, sent, again.WriteBy)
 		}
 	}
 }
@@ -928,7 +928,7 @@
 func TestLateRequestsAreRefusedInEveryLine(t *testing.T) {
 	set := basic()
 	set.Classes[0].Deadline = 2 * time.Second
-	set.Classes[1].Deadline, set.Classes[1].Aim = 2*time.Second, 2*time.Second // worth more
+	set.Classes[1].Deadline, set.Classes[1].LatencyTarget = 2*time.Second, 2*time.Second // worth more
 	g := start(t, set)
 	low := g.request(0, 2*time.Second)
 	high := g.request(1, 2*time.Second)
@@ -975,7 +975,7 @@
 func TestLimitJudgesAClassByItsOwnAim(t *testing.T) {
 	set := basic()
 	set.Instances = 100
-	set.Classes[0] = Class{Aim: 1500 * ms, Deadline: 5 * time.Second}
+	set.Classes[0] = Class{LatencyTarget: 1500 * ms, Deadline: 5 * time.Second}
 	g := start(t, set, hosts(2)...)
 	for range 50 {
 		id := g.request(0, 5*time.Second)
@@ -1123,7 +1123,7 @@
 				acts = append(acts, g.acts...)
 			}
 		}
-		g.b.Gone(g.now, id)
+		g.b.ClientGone(g.now, id)
 		g.drain()
 	}
 	if turnedAway == 0 || turnedAway > 10 {
@@ -1155,11 +1155,11 @@
 func TestOverQuotaWaitsBehind(t *testing.T) {
 	set := basic()
 	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
-	set.OverQuotaWorth = 0.05
+	set.OverQuotaFactor = 0.05
 	g := start(t, set)
 	ask := func(tenant int) RequestID {
 		g.next++
-		g.b.Request(g.now, Request{ID: g.next, Tenant: tenant, Left: time.Second})
+		g.b.Request(g.now, Request{ID: g.next, Tenant: tenant, Remaining: time.Second})
 		return g.next
 	}
 	ask(0)
@@ -1184,7 +1184,7 @@
 		name   string
 		repeat Request
 	}{
-		{"marked", Request{Left: time.Second, Repeat: true}},
+		{"marked", Request{Remaining: time.Second, ClientRetry: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -1231,7 +1231,7 @@
 }
 
 // ksa-charging big-2 and incidents i306d78, i53255a: each instance sent a cold host one
-// attempt a Fall at least, and hundreds of them pushed it over.
+// attempt an OverloadWindow at least, and hundreds of them pushed it over.
 func TestColdBudgetHoldsForTheWholeBank(t *testing.T) {
 	for _, instances := range []int{1, 30, 300, 1200} {
 		for _, learnt := range []bool{false, true} {
@@ -1247,7 +1247,7 @@
 					g.b.warm.add(capacity / g.b.sharers())
 				}
 				g.list(ListChanges, Host{ID: cold, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
-				for range 40 { // a Fall, more asked than the cold host can do
+				for range 40 { // an OverloadWindow, more asked than the cold host can do
 					id := g.request(0, time.Second)
 					if len(g.acts) == 1 && g.acts[0].Kind == Send {
 						if g.acts[0].Host == cold {
@@ -1255,7 +1255,7 @@
 						}
 						g.outcome(id, 0, Full, ms)
 					}
-					g.advance(set.Fall / 40)
+					g.advance(set.OverloadWindow / 40)
 				}
 				if g.b.byID[cold].drawn {
 					drawn++
@@ -1264,7 +1264,7 @@
 			if drawn == 0 {
 				t.Errorf("%d instances: none draws from the cold host", instances)
 			}
-			if budget := capacity * set.ColdFrom * set.OverloadFactor; float64(sends) > budget {
+			if budget := capacity * set.ColdCapacity * set.OverloadFactor; float64(sends) > budget {
 				t.Errorf("%d instances, learnt %v: %d sends in a Fall, budget %.0f", instances, learnt, sends, budget)
 			}
 		}
@@ -1276,7 +1276,7 @@
 	list := hosts(1)
 	list[0].Started = time.Hour - time.Second
 	g := start(t, set, list...)
-	g.advance(set.Fall * 3 / 2)
+	g.advance(set.OverloadWindow * 3 / 2)
 	id := g.request(0, time.Second)
 	g.sole(Send)
 	g.outcome(id, 0, Full, ms)
@@ -1294,14 +1294,14 @@
 		g.now += idle
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
-		if gap := h.coldGap / g.b.coldRate(h); !(gap > 0 && gap <= 1.5*g.b.set.Fall.Seconds()) {
+		if gap := h.coldGap / g.b.coldRate(h); !(gap > 0 && gap <= 1.5*g.b.set.OverloadWindow.Seconds()) {
 			t.Errorf("next send to the cold host %v s from now after %v, want at most one and a half Falls", gap, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
 	}
 }
 
-// Altered sites: a lone host that came back cold got one request a Fall, as no
+// Altered sites: a lone host that came back cold got one request an OverloadWindow, as no
 // other host was there to learn from.
 func TestLoneColdHostUsesWhatWasLearnt(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
@@ -1347,7 +1347,7 @@
 
 func TestWatch(t *testing.T) {
 	set := basic()
-	set.Ask, set.Instances, set.Rank, set.AskWithin = true, 4, 2, 8*time.Second
+	set.WatchHosts, set.Instances, set.Rank, set.MaxWatchGap = true, 4, 2, 8*time.Second
 	g := start(t, set, hosts(1)...)
 	watches := func(d time.Duration) int { return len(g.advance(d)) }
 	if n := watches(11 * ms); n != 0 {
@@ -1374,9 +1374,9 @@
 		g.list(ListFailed)
 	}
 	if gaps[4] <= gaps[0] || gaps[4] > 8000 {
-		t.Errorf("gaps %v ms between questions, want them to grow and stay within AskWithin", gaps)
+		t.Errorf("gaps %v ms between questions, want them to grow and stay within MaxWatchGap", gaps)
 	}
-	set.Ask = false
+	set.WatchHosts = false
 	if g := start(t, set, hosts(1)...); len(g.advance(time.Minute)) != 0 {
 		t.Error("watches where the list is pushed")
 	}
@@ -1385,11 +1385,11 @@
 func TestStreamBelongsToItsAttempt(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
 	id := g.request(0, 500*ms)
-	g.b.Started(g.now, id, 0)
+	g.b.ResponseStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
 		t.Errorf("done %v past the deadline of a stream that has begun", done)
 	}
-	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
+	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Answered: true})
 	g.drain()
 	if len(g.acts) != 0 || len(g.b.reqs) != 0 {
 		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.reqs))
@@ -1402,11 +1402,11 @@
 	g.outcome(id+99, 0, OK, ms)
 	g.outcome(id, 7, OK, ms)
 	g.outcome(id, -1, OK, ms)
-	g.b.Gone(g.now, id+99)
-	g.b.Started(g.now, id+99, 0)
-	g.b.Started(g.now, id, 9)
+	g.b.ClientGone(g.now, id+99)
+	g.b.ResponseStarted(g.now, id+99, 0)
+	g.b.ResponseStarted(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
-	g.b.Request(g.now, Request{ID: id, Left: time.Second}) // repeated
+	g.b.Request(g.now, Request{ID: id, Remaining: time.Second}) // repeated
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
 	g.b.Request(g.now, Request{ID: 501, Class: -1})
 	g.drain()
@@ -1415,7 +1415,7 @@
 	}
 	g.outcome(id, 0, OK, -ms)
 	g.outcome(id, 0, OK, ms)
-	g.b.Gone(g.now, id)
+	g.b.ClientGone(g.now, id)
 	g.drain()
 	if len(g.acts) != 0 || len(g.b.reqs) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
 		t.Errorf("actions %v, state kept", g.acts)
@@ -1425,7 +1425,7 @@
 func TestGoneCancelsAndForgets(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	id := g.request(0, time.Second)
-	g.b.Gone(g.now, id)
+	g.b.ClientGone(g.now, id)
 	g.drain()
 	g.sole(Cancel)
 	g.outcome(id, 0, Canceled, ms)
@@ -1441,21 +1441,21 @@
 		"rank: 1":            func(s *Settings) { s.Rank = 1 },
 		"rank: -1":           func(s *Settings) { s.Rank = -1 },
 		"classes":            func(s *Settings) { s.Classes = nil },
-		"fall: -1ns":         func(s *Settings) { s.Fall = -1 },
-		"step":               func(s *Settings) { s.Step = 2000 * time.Hour },
-		"ask within":         func(s *Settings) { s.AskWithin = math.MaxInt64 },
+		"fall: -1ns":         func(s *Settings) { s.OverloadWindow = -1 },
+		"step":               func(s *Settings) { s.EventInterval = 2000 * time.Hour },
+		"ask within":         func(s *Settings) { s.MaxWatchGap = math.MaxInt64 },
 		"warm after":         func(s *Settings) { s.WarmAfter = -1 },
 		"max retry after":    func(s *Settings) { s.MaxRetryAfter = -1 },
 		"max attempts":       func(s *Settings) { s.MaxAttempts = -1 },
 		"class 0: deadline":  func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"class 0: aim":       func(s *Settings) { s.Classes[0].Aim = -1 },
-		"class 0: window":    func(s *Settings) { s.Classes[0].Window = -1 },
+		"class 0: aim":       func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
+		"class 0: window":    func(s *Settings) { s.Classes[0].DedupWindow = -1 },
 		"class 1: unknown e": func(s *Settings) { s.Classes[1].Effect = 9 },
-		"class 1: unknown g": func(s *Settings) { s.Classes[1].Group = 9 },
-		"class 2: worth":     func(s *Settings) { s.Classes[2].Worth = math.NaN() },
-		"cold from":          func(s *Settings) { s.ColdFrom = math.Inf(1) },
+		"class 1: unknown g": func(s *Settings) { s.Classes[1].DedupScope = 9 },
+		"class 2: worth":     func(s *Settings) { s.Classes[2].PriorityWeight = math.NaN() },
+		"cold from":          func(s *Settings) { s.ColdCapacity = math.Inf(1) },
 		"overload factor":    func(s *Settings) { s.OverloadFactor = 1e300 },
-		"over-quota worth":   func(s *Settings) { s.OverQuotaWorth = math.NaN() },
+		"over-quota worth":   func(s *Settings) { s.OverQuotaFactor = math.NaN() },
 		"tenant 0: quota":    func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	}
 	for want, spoil := range bad {
@@ -1473,8 +1473,8 @@
 		t.Fatal(err)
 	}
 	s := b.set
-	if s.MaxAttempts != 3 || s.AskWithin != 10*time.Second || s.ColdFrom != 1 || s.Fall != time.Second ||
-		s.Classes[0].Aim != time.Second || s.Classes[0].Worth != 1 {
+	if s.MaxAttempts != 3 || s.MaxWatchGap != 10*time.Second || s.ColdCapacity != 1 || s.OverloadWindow != time.Second ||
+		s.Classes[0].LatencyTarget != time.Second || s.Classes[0].PriorityWeight != 1 {
 		t.Errorf("defaults %+v", s)
 	}
 }
@@ -1536,7 +1536,7 @@
 	}
 	now := time.Hour
 	b.Start(now)
-	b.Hosts(now, ListSaved, hosts(12))
+	b.UpdateHosts(now, ListSaved, hosts(12))
 	return b, now
 }
 
@@ -1547,11 +1547,11 @@
 	round := func() {
 		id++
 		now += 5 * ms
-		b.Request(now, Request{ID: id, Left: time.Second})
-		acts = b.Drain(acts[:0])
-		b.Outcome(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Closed: true})
+		b.Request(now, Request{ID: id, Remaining: time.Second})
+		acts = b.TakeActions(acts[:0])
+		b.Outcome(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Answered: true})
 		b.Timer(now+4*ms, tokenSweep<<tokenShift)
-		acts = b.Drain(acts[:0])
+		acts = b.TakeActions(acts[:0])
 	}
 	for range 1000 {
 		round()
@@ -1567,9 +1567,9 @@
 	bm.ReportAllocs()
 	for i := range bm.N {
 		now += 5 * ms
-		b.Request(now, Request{ID: RequestID(i), Left: time.Second})
-		b.Outcome(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Closed: true})
-		acts = b.Drain(acts[:0])
+		b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
+		b.Outcome(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Answered: true})
+		acts = b.TakeActions(acts[:0])
 	}
 }
 
@@ -1662,7 +1662,7 @@
 func TestHostThatIsOutGetsNothing(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
 	maintain := func(id HostID, out bool) {
-		g.b.Maintain(g.now, id, out)
+		g.b.SetMaintenance(g.now, id, out)
 		g.drain()
 	}
 	serve := func() map[HostID]int { return g.serve(100, 0, func(HostID) time.Duration { return 10 * ms }) }
@@ -1687,14 +1687,14 @@
 // What waits while the only host is out is sent when it is called back.
 func TestCallBackServesWhatWaits(t *testing.T) {
 	set := basic()
-	set.ColdFrom = 1 // so that nothing is paced
+	set.ColdCapacity = 1 // so that nothing is paced
 	g := start(t, set, hosts(1)...)
-	g.b.Maintain(g.now, 1, true)
+	g.b.SetMaintenance(g.now, 1, true)
 	g.request(0, time.Second)
 	if len(g.acts) != 0 {
 		t.Fatalf("actions %v, want the request to wait", g.acts)
 	}
-	g.b.Maintain(g.now, 1, false)
+	g.b.SetMaintenance(g.now, 1, false)
 	g.drain()
 	g.sole(Send)
 }
@@ -1707,9 +1707,9 @@
 	stale := g.sentTo(3, 10*ms)
 	h := g.b.byID[3]
 	g.b.eject(h, "connections fail")
-	g.b.Maintain(g.now, 3, true)
+	g.b.SetMaintenance(g.now, 3, true)
 	g.advance(100 * ms)
-	g.b.Maintain(g.now, 3, false)
+	g.b.SetMaintenance(g.now, 3, false)
 	g.drain()
 	g.outcome(stale, 0, Failed, time.Second)
 	if h.fails != 0 || h.sampled || !h.cold || h.coldAt != g.now {
@@ -1734,10 +1734,10 @@
 // back must be in use again in 5 s all the same.
 func TestHostCalledBackIsUsedSoon(t *testing.T) {
 	set := basic()
-	set.Instances, set.Fall = 8, 2*time.Second
+	set.Instances, set.OverloadWindow = 8, 2*time.Second
 	g := start(t, set, hosts(2)...)
-	g.b.Maintain(g.now, 1, true)
-	g.b.Maintain(g.now, 1, false)
+	g.b.SetMaintenance(g.now, 1, true)
+	g.b.SetMaintenance(g.now, 1, false)
 	g.drain()
 	if wait := g.b.byID[1].coldBy - g.now; wait <= 0 || wait > 4*time.Second {
 		t.Errorf("the host is tried after %v", wait)
@@ -1756,10 +1756,10 @@
 	next := basic()
 	next.MaxAttempts = 1
 	next.Classes = []Class{
-		{Name: "book", Aim: 400 * ms, Deadline: time.Second, Effect: Safe},
-		{Name: "haul", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Unsafe},
+		{Name: "book", LatencyTarget: 400 * ms, Deadline: time.Second, Effect: Idempotent},
+		{Name: "haul", LatencyTarget: 800 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce},
 	}
-	if err := g.b.Retune(g.now, next); err != nil {
+	if err := g.b.UpdateSettings(g.now, next); err != nil {
 		t.Fatal(err)
 	}
 	g.drain()
@@ -1790,18 +1790,18 @@
 // What is learnt of a class stays with its name, and what waits goes on waiting.
 func TestRetuneKeepsWhatIsLearntAndWhatWaits(t *testing.T) {
 	set := basic()
-	set.ColdFrom = 1 // so that nothing is paced
+	set.ColdCapacity = 1 // so that nothing is paced
 	for i, name := range []string{"look", "report", "book"} {
 		set.Classes[i].Name = name
 	}
 	g := start(t, set, hosts(1)...)
 	g.serve(50, 2, func(HostID) time.Duration { return 10 * ms })
 	learnt := g.b.classes[2].lat
-	g.b.Maintain(g.now, 1, true)
+	g.b.SetMaintenance(g.now, 1, true)
 	gone, stays := g.request(0, time.Second), g.request(2, time.Second)
 	next := set
 	next.Classes = []Class{set.Classes[2], set.Classes[1]}
-	if err := g.b.Retune(g.now, next); err != nil {
+	if err := g.b.UpdateSettings(g.now, next); err != nil {
 		t.Fatal(err)
 	}
 	if g.b.classes[0].lat != learnt {
@@ -1811,7 +1811,7 @@
 	if len(g.acts) != 0 || g.b.queued != 2 {
 		t.Fatalf("actions %v, %d waiting; want both to wait", g.acts, g.b.queued)
 	}
-	g.b.Maintain(g.now, 1, false)
+	g.b.SetMaintenance(g.now, 1, false)
 	g.drain()
 	var sent []RequestID
 	for _, a := range g.acts {
@@ -1822,7 +1822,7 @@
 	}
 	bad := next
 	bad.Classes = nil
-	if err := g.b.Retune(g.now, bad); err == nil || len(g.b.classes) != 2 {
+	if err := g.b.UpdateSettings(g.now, bad); err == nil || len(g.b.classes) != 2 {
 		t.Errorf("settings without classes: %v, %d classes in force", err, len(g.b.classes))
 	}
 }
@@ -1834,7 +1834,7 @@
 	g.serve(50, 2, func(HostID) time.Duration { return 10 * ms })
 	g.next++
 	id := g.next
-	g.b.Request(g.now, Request{ID: id, Class: 2, Left: time.Second, Upload: true})
+	g.b.Request(g.now, Request{ID: id, Class: 2, Remaining: time.Second, Upload: true})
 	g.drain()
 	g.sole(Send)
 	for _, a := range g.advance(10 * time.Second) { // ten deadlines
@@ -1843,7 +1843,7 @@
 	if h := g.b.byID[1]; h.fails != 0 || h.open != 1 || h.pending != 0 || h.flight.head != nil {
 		t.Errorf("fails %d, pending %d, judged by %v", h.fails, h.pending, h.flight.head)
 	}
-	g.b.Whole(g.now, id, time.Second)
+	g.b.UploadComplete(g.now, id, time.Second)
 	g.drain()
 	if g.b.byID[1].flight.head == nil {
 		t.Error("the host is not judged by a request that is whole")
@@ -1865,13 +1865,13 @@
 // What is spent cannot go out again, though it never ran.
 func TestSpentRequestIsRefused(t *testing.T) {
 	g := start(t, basic(), hosts(3)...)
-	g.b.Request(g.now, Request{ID: 1, Left: time.Second, Upload: true})
+	g.b.Request(g.now, Request{ID: 1, Remaining: time.Second, Upload: true})
 	g.drain()
 	g.sole(Send)
 	g.b.Outcome(g.now, Outcome{Request: 1, Result: ConnectFailed})
 	g.drain()
 	g.sole(Send) // nothing was spent
-	g.b.Outcome(g.now, Outcome{Request: 1, Attempt: 1, Result: ConnectFailed, Spent: true})
+	g.b.Outcome(g.now, Outcome{Request: 1, Attempt: 1, Result: ConnectFailed, NotReplayable: true})
 	g.drain()
 	g.sole(Refuse)
 }
@@ -1883,7 +1883,7 @@
 	g.serve(50, 0, func(HostID) time.Duration { return 10 * ms })
 	id := g.request(0, time.Second)
 	g.advance(10 * ms)
-	g.b.Started(g.now, id, 0)
+	g.b.ResponseStarted(g.now, id, 0)
 	g.drain()
 	if done := g.advance(10 * time.Second); len(done) != 0 || g.b.byID[1].fails != 0 {
 		t.Errorf("actions %v, fails %d", done, g.b.byID[1].fails)
@@ -1920,7 +1920,7 @@
 // Cold hosts are paced by what the warm ones give, soon after the start of an instance.
 func TestColdHostIsPacedFairlyByAYoungInstance(t *testing.T) {
 	set := basic()
-	set.Fall = 4 * time.Second
+	set.OverloadWindow = 4 * time.Second
 	g := start(t, set, hosts(2)...)
 	g.serve(300, 0, func(HostID) time.Duration { return 10 * ms }) // 3 s, with a span of 16 s
 	if got := g.b.warm.mean; got < 40 {
@@ -1933,9 +1933,9 @@
 func TestColdStartIsCarriedOver(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	since := g.now - time.Second
-	g.b.CalledBack(g.now, 1, since)
-	g.b.CalledBack(g.now, 2, since)
-	g.b.CalledBack(g.now, 3, g.now-time.Hour)
+	g.b.MaintenanceEnded(g.now, 1, since)
+	g.b.MaintenanceEnded(g.now, 2, since)
+	g.b.MaintenanceEnded(g.now, 3, g.now-time.Hour)
 	g.list(ListFull, hosts(3)...)
 	g.list(ListFull, hosts(3)...)
 	for id, want := range map[HostID]bool{1: true, 2: true, 3: false} {
@@ -1949,7 +1949,7 @@
 // attempt takes with nothing else of ours at its host is not crowding, so it cuts no limit;
 // what it takes beyond that does, and so does more than a share of the aim in any case.
 func TestLimitIsNotCutByWhatAnAttemptTakesAlone(t *testing.T) {
-	aim := basic().Classes[0].Aim
+	aim := basic().Classes[0].LatencyTarget
 	instances := 1
 	limit := func(alone, crowded float64) float64 { // shares of the aim
 		g := start(t, basic(), hosts(1)...)
--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -22,7 +22,7 @@
 func (s *sink) Members(kind lynxspool.ListKind, l gateway.MemberList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !kind.Lost() {
+	if !kind.IsLoss() {
 		s.version = max(s.version, l.Version)
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -70,22 +70,22 @@
 	}
 	switch e.Code {
 	case wire.PeersKnown:
-		b.Hosts(now, e.List, e.Hosts)
+		b.UpdateHosts(now, e.List, e.Hosts)
 	case wire.Req:
 		b.Request(now, e.Request)
 	case wire.Flowing:
-		b.Started(now, e.Request.ID, e.Attempt)
+		b.ResponseStarted(now, e.Request.ID, e.Attempt)
 	case wire.AttemptEnd:
 		b.Outcome(now, e.Outcome)
 	case wire.Withdrawn:
-		b.Gone(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case wire.Ring:
 		b.Timer(now, e.Token)
 	case wire.Halt:
 		delete(h.balancers, e.Instance)
 		return
 	}
-	h.acts = b.Drain(h.acts[:0])
+	h.acts = b.TakeActions(h.acts[:0])
 	for i := range h.acts {
 		h.out.Action(e.Instance, &h.acts[i])
 	}
--- a/cold.go
+++ b/cold.go
@@ -13,7 +13,7 @@
 // chill marks a host cold as of its start. Its first send waits its turn too, as
 // a host that leaves the list and returns may have been sent to just before.
 func (b *Balancer) chill(h *host, since Time) {
-	if b.set.ColdFrom < 1 && b.now-since < b.set.WarmAfter {
+	if b.set.ColdCapacity < 1 && b.now-since < b.set.WarmAfter {
 		h.cold, h.coldAt, h.able = true, max(h.coldAt, since), mean{}
 		h.coldSent, h.coldAllowed = 0, 0
 		// The first of each instance falls anywhere within its mean gap: so the bank's sends
@@ -63,7 +63,7 @@
 //     own answers tell, whatever its cold share is, and crowding shows in them at once;
 //     with none yet, it is taken for one that takes the seed once warm. The bound is the
 //     whole host's, so each of those that draw from it has a part.
-//   - With next to nothing to go by, all that draw from it send one a Fall together.
+//   - With next to nothing to go by, all that draw from it send one an OverloadWindow together.
 func (b *Balancer) coldRate(h *host) float64 {
 	share := b.coldShare(h)
 	able := share / (seedShare * b.aim.Seconds())
@@ -72,10 +72,10 @@
 	}
 	sharers := max(b.sharers(), b.bank()*float64(len(b.drawn))/max(float64(len(b.hosts)), 1))
 	return max(b.set.OverloadFactor*max(coldMargin*b.warm.mean*share, able/sharers),
-		1/(sharers*b.set.Fall.Seconds()))
+		1/(sharers*b.set.OverloadWindow.Seconds()))
 }
 
 // coldShare is the share of its capacity that a cold host has by now at least.
 func (b *Balancer) coldShare(h *host) float64 {
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*float64(b.now-h.coldAt)/float64(b.set.WarmAfter)
+	return b.set.ColdCapacity + (1-b.set.ColdCapacity)*float64(b.now-h.coldAt)/float64(b.set.WarmAfter)
 }
--- a/cold_test.go
+++ b/cold_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// The mean gap between two sends of one instance is many Falls where a bank is large: it
+// The mean gap between two sends of one instance is many OverloadWindows where a bank is large: it
 // was waited out, though the bank's first answers had told what the hosts can do by then.
 // All that the bank sends a host stays within the budget of hosts that answer in 100 ms,
 // each one request at a time: 2.5 x 10 a second.
--- a/example_test.go
+++ b/example_test.go
@@ -12,9 +12,9 @@
 // the request on Send and reports the answer with Outcome when it arrives.
 func Example() {
 	settings := lynxspool.Settings{
-		Instances: 1,
-		Cancel:    true,
-		Classes:   []lynxspool.Class{{Aim: 300 * time.Millisecond, Deadline: time.Second}},
+		Instances:     1,
+		CancelAllowed: true,
+		Classes:       []lynxspool.Class{{LatencyTarget: 300 * time.Millisecond, Deadline: time.Second}},
 	}
 	b, err := lynxspool.New(settings, 42)
 	if err != nil {
@@ -25,7 +25,7 @@
 	timers := map[uint64]lynxspool.Time{} // a real gateway keeps a timer queue
 	var actions []lynxspool.Action        // ours; reused for every event
 	carryOut := func() {
-		actions = b.Drain(actions[:0])
+		actions = b.TakeActions(actions[:0])
 		for _, a := range actions {
 			switch a.Kind {
 			case lynxspool.Send:
@@ -47,13 +47,13 @@
 	now := time.Minute
 	b.Start(now)
 	// After a restart the list saved on disk comes first; it may be stale.
-	b.Hosts(now, lynxspool.ListSaved, []lynxspool.Host{{ID: 7}})
-	b.Request(now, lynxspool.Request{ID: 1, Left: time.Second})
+	b.UpdateHosts(now, lynxspool.ListSaved, []lynxspool.Host{{ID: 7}})
+	b.Request(now, lynxspool.Request{ID: 1, Remaining: time.Second})
 	carryOut()
 
 	// The host refuses connections; nothing ran, so another host gets it.
 	now += 5 * time.Millisecond
-	b.Hosts(now, lynxspool.ListChanges, []lynxspool.Host{{ID: 8}})
+	b.UpdateHosts(now, lynxspool.ListChanges, []lynxspool.Host{{ID: 8}})
 	b.Outcome(now, lynxspool.Outcome{Request: 1, Attempt: 0,
 		Result: lynxspool.ConnectFailed, Elapsed: 5 * time.Millisecond})
 	carryOut()
@@ -61,7 +61,7 @@
 	// The answer went to the client.
 	now += 40 * time.Millisecond
 	b.Outcome(now, lynxspool.Outcome{Request: 1, Attempt: 1,
-		Result: lynxspool.OK, Elapsed: 40 * time.Millisecond, Closed: true})
+		Result: lynxspool.OK, Elapsed: 40 * time.Millisecond, Answered: true})
 	carryOut()
 
 	// Timers ring even when no longer wanted; the balancer ignores those.
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -61,20 +61,20 @@
 func newHistory(t *testing.T, c []byte) *history {
 	h := &history{T: t, now: 1 << 40, reqs: map[RequestID]*tracked{}}
 	h.set = Settings{
-		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], Step: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
-		Cancel: c[3]&1 == 0, MaxRetryAfter: time.Second,
-		Ask: c[3]&4 != 0, AskWithin: 4 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 5 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
-		OverQuotaWorth: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
+		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], EventInterval: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
+		CancelAllowed: c[3]&1 == 0, MaxRetryAfter: time.Second,
+		WatchHosts: c[3]&4 != 0, MaxWatchGap: 4 * time.Second,
+		ColdCapacity: 0.2, WarmAfter: 5 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
+		OverQuotaFactor: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
 	}
 	for i := range 5 {
-		cl := Class{Aim: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, Worth: float64(1 + i),
-			Window: Time(c[4]) * 2 * ms}
+		cl := Class{LatencyTarget: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, PriorityWeight: float64(1 + i),
+			DedupWindow: Time(c[4]) * 2 * ms}
 		if i > 0 {
-			cl.Effect, cl.Group = Keyed, Group(i-1)
+			cl.Effect, cl.DedupScope = Deduplicated, DedupScope(i-1)
 		}
 		if i == 4 {
-			cl.Effect, cl.Group = Unsafe, GroupAll
+			cl.Effect, cl.DedupScope = AtMostOnce, DedupAll
 		}
 		h.set.Classes = append(h.set.Classes, cl)
 	}
@@ -87,7 +87,7 @@
 		h.hosts[i] = Host{ID: HostID(i + 1), Zone: i / 3, Cell: i / 2, Kind: i % 2}
 	}
 	b.Start(h.now)
-	b.Hosts(h.now, ListSaved, h.hosts[:3+c[6]%4])
+	b.UpdateHosts(h.now, ListSaved, h.hosts[:3+c[6]%4])
 	for i := 3 + int(c[6]%4); i < len(h.hosts); i++ {
 		h.hosts[i].State = Removed
 	}
@@ -137,7 +137,7 @@
 	left := cl.Deadline * Time(x/5) / 50
 	h.reqs[h.next] = &tracked{class: cl, deadline: h.now + left}
 	h.live = append(h.live, h.next)
-	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Left: left, Repeat: x&2 != 0})
+	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, ClientRetry: x&2 != 0})
 	h.settle()
 }
 
@@ -163,14 +163,14 @@
 	a.ended, a.result = true, result
 	if result == OK {
 		r.answered = true
-		// Answers a second, faded over four Falls: no more than one host's part of it
+		// Answers a second, faded over four OverloadWindows: no more than one host's part of it
 		// can have been learnt of a warm host.
-		span := 4 * h.set.Fall.Seconds()
+		span := 4 * h.set.OverloadWindow.Seconds()
 		h.served = h.served*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
 		h.servedAt, h.rate = h.now, max(h.rate, h.served)
 	}
 	h.b.Outcome(h.now, Outcome{Request: id, Attempt: n, Result: result,
-		Elapsed: h.now - a.sent, Closed: r.answered})
+		Elapsed: h.now - a.sent, Answered: r.answered})
 	h.settle()
 }
 
@@ -179,7 +179,7 @@
 	e := &h.hosts[x%6]
 	switch how / 10 % 5 {
 	case 0:
-		h.b.Hosts(h.now, ListFailed, nil)
+		h.b.UpdateHosts(h.now, ListFailed, nil)
 		h.settle()
 		return
 	case 1:
@@ -193,7 +193,7 @@
 		h.cold[x%6], h.able[x%6] = nil, 0
 	}
 	if x&64 == 0 {
-		h.b.Hosts(h.now, ListChanges, []Host{*e})
+		h.b.UpdateHosts(h.now, ListChanges, []Host{*e})
 	} else {
 		var list []Host
 		for _, e := range h.hosts {
@@ -201,7 +201,7 @@
 				list = append(list, e)
 			}
 		}
-		h.b.Hosts(h.now, ListFull, list)
+		h.b.UpdateHosts(h.now, ListFull, list)
 	}
 	h.settle()
 }
@@ -212,14 +212,14 @@
 	}
 	id := h.live[x%len(h.live)]
 	h.reqs[id].answered = true
-	h.b.Gone(h.now, id)
+	h.b.ClientGone(h.now, id)
 	h.settle()
 }
 
 // advance moves the clock by steps and rings what is due.
 func (h *history) advance(d Time) {
 	for end := h.now + d; h.now < end; {
-		h.now += h.set.Step
+		h.now += h.set.EventInterval
 		var due []Action
 		keep := h.wakes[:0]
 		for _, w := range h.wakes {
@@ -259,14 +259,14 @@
 
 // settle carries out the actions and checks them against the rules.
 func (h *history) settle() {
-	for _, a := range h.b.Drain(nil) {
+	for _, a := range h.b.TakeActions(nil) {
 		switch a.Kind {
 		case Wake:
 			h.wakes = append(h.wakes, a)
 		case Send:
 			h.send(a)
 		case Cancel:
-			if r := h.reqs[a.Request]; !h.set.Cancel || a.Attempt >= len(r.atts) || r.atts[a.Attempt].ended {
+			if r := h.reqs[a.Request]; !h.set.CancelAllowed || a.Attempt >= len(r.atts) || r.atts[a.Attempt].ended {
 				h.Fatalf("cancel %+v not allowed", a)
 			}
 		case Close:
@@ -299,12 +299,12 @@
 			continue
 		}
 		switch c := r.class; {
-		case c.Effect == Unsafe:
+		case c.Effect == AtMostOnce:
 			h.Fatalf("unsafe request %d sent again", a.Request)
-		case c.Effect == Keyed && h.now-p.sent > c.Window:
+		case c.Effect == Deduplicated && h.now-p.sent > c.DedupWindow:
 			h.Fatalf("keyed request %d sent again after its window", a.Request)
-		case c.Effect == Keyed && c.Group == GroupZone && p.host.Zone != host.Zone,
-			c.Effect == Keyed && c.Group == GroupCell && p.host.Cell != host.Cell:
+		case c.Effect == Deduplicated && c.DedupScope == DedupZone && p.host.Zone != host.Zone,
+			c.Effect == Deduplicated && c.DedupScope == DedupCell && p.host.Cell != host.Cell:
 			h.Fatalf("keyed request %d left its group", a.Request)
 		}
 		break
@@ -313,7 +313,7 @@
 	h.checkCold(int(a.Host-1), host)
 }
 
-// checkCold counts the sends of the last Fall against the budget at the most
+// checkCold counts the sends of the last OverloadWindow against the budget at the most
 // that this instance can have learnt, from warm hosts or from this one's own answers.
 func (h *history) checkCold(i int, host Host) {
 	age := h.now - host.Started
@@ -323,19 +323,19 @@
 	h.cold[i] = append(h.cold[i], h.now)
 	n := 0
 	for _, at := range h.cold[i] {
-		if h.now-at < h.set.Fall {
+		if h.now-at < h.set.OverloadWindow {
 			n++
 		}
 	}
-	share := h.set.ColdFrom + (1-h.set.ColdFrom)*age.Seconds()/h.set.WarmAfter.Seconds()
+	share := h.set.ColdCapacity + (1-h.set.ColdCapacity)*age.Seconds()/h.set.WarmAfter.Seconds()
 	able := share / (seedShare * h.b.aim.Seconds())
 	if own := &h.b.byID[host.ID].able; own.seen {
 		able = 1 / own.mean
 	}
 	h.able[i] = max(h.able[i], able)
 	rate := max(h.rate*share, h.able[i])
-	if most := 2 + rate*h.set.OverloadFactor*h.set.Fall.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.Fall, host.ID, most)
+	if most := 2 + rate*h.set.OverloadFactor*h.set.OverloadWindow.Seconds(); float64(n) > most {
+		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
 	}
 }
 
@@ -349,8 +349,8 @@
 		return
 	}
 	for _, p := range r.atts {
-		if c := r.class; (!p.ended || p.result.mayHaveRun()) && c.Effect != Safe &&
-			(c.Effect != Keyed || c.Group != GroupAll) {
+		if c := r.class; (!p.ended || p.result.mayHaveRun()) && c.Effect != Idempotent &&
+			(c.Effect != Deduplicated || c.DedupScope != DedupAll) {
 			h.Fatalf("request %d refused though it may have run", a.Request)
 		}
 	}
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -128,7 +128,7 @@
 		return
 	}
 	if w.now-g.rateAt >= 5*time.Second || g.rate == 0 {
-		g.rate, g.rateAt = g.bal.Rate(g.clock()), w.now
+		g.rate, g.rateAt = g.bal.RequestRate(g.clock()), w.now
 	}
 	var peers []lynxspool.Peer
 	for _, o := range w.gws {
@@ -138,7 +138,7 @@
 			peers = append(peers, lynxspool.Peer{Rank: o.rank % g.configured, Rate: o.rate})
 		}
 	}
-	g.event(func() { g.bal.Peers(g.clock(), peers) })
+	g.event(func() { g.bal.UpdatePeers(g.clock(), peers) })
 	w.after(time.Second, func() { g.look(gen) })
 }
 
@@ -226,7 +226,7 @@
 	g.configured = configured
 	set, err := wire.ParseSettings(g.w.s.SettingsJSON(g.rank, configured))
 	if err == nil && g.up {
-		g.event(func() { g.bal.Retune(g.clock(), set) })
+		g.event(func() { g.bal.UpdateSettings(g.clock(), set) })
 	}
 }
 
@@ -253,7 +253,7 @@
 	if x.rest > 0 { // as the gateway's client does
 		most := g.w.s.Catalog.AskWithin.std()
 		if g.version > 0 {
-			most = min(most, lynxspool.AskMost)
+			most = min(most, lynxspool.MaxWatchBackoff)
 		}
 		g.resting = g.w.now + min(time.Duration(float64(x.rest)*(1+g.w.wait.Float64()/4)), most)
 	}
@@ -263,7 +263,7 @@
 	}
 	g.tried = 0
 	if !g.w.s.Catalog.Push {
-		g.event(func() { g.bal.Hosts(g.clock(), lynxspool.ListFailed, nil) })
+		g.event(func() { g.bal.UpdateHosts(g.clock(), lynxspool.ListFailed, nil) })
 		return
 	}
 	// The gateway's own backoff where lists are pushed: full jitter over twice the step.
@@ -300,7 +300,7 @@
 		}
 		g.usable[i], g.told[i] = e.State == lynxspool.Ready, e.Started
 	}
-	g.bal.Hosts(g.clock(), kind, list)
+	g.bal.UpdateHosts(g.clock(), kind, list)
 	if !g.ready && len(list) > 0 {
 		g.ready = true
 		w.rec.GatewayReady(w.now - g.startedAt)
@@ -314,13 +314,13 @@
 	g.lastID++
 	r := &request{a: a, id: g.lastID, arrived: g.w.now, deadline: g.w.now + c.Deadline.std()}
 	g.reqs[r.id] = r
-	g.bal.Request(g.clock(), lynxspool.Request{ID: r.id, Class: a.Class, Tenant: -1, Repeat: a.Tries > 0, Left: c.Deadline.std()})
+	g.bal.Request(g.clock(), lynxspool.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Tries > 0, Remaining: c.Deadline.std()})
 }
 
 // perform carries out what the Balancer has decided, as the real gateway's loop does.
 func (g *gateway) perform() {
 	for g.up && !g.stopped {
-		g.acts = g.bal.Drain(g.acts[:0])
+		g.acts = g.bal.TakeActions(g.acts[:0])
 		if len(g.acts) == 0 {
 			return
 		}
@@ -397,7 +397,7 @@
 	if res == lynxspool.OK {
 		g.answer(r.id, Served)
 	}
-	g.bal.Outcome(g.clock(), lynxspool.Outcome{Request: r.id, Attempt: a.n, Result: res, Elapsed: g.w.now - a.sent, Closed: r.done})
+	g.bal.Outcome(g.clock(), lynxspool.Outcome{Request: r.id, Attempt: a.n, Result: res, Elapsed: g.w.now - a.sent, Answered: r.done})
 	g.release(r)
 }
 
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -74,14 +74,14 @@
 // attempt checks a further attempt of a request against the ones before it.
 func (a *Audit) attempt(x *exchange, now time.Time) {
 	class := &x.rules.Settings.Classes[x.class]
-	if class.Effect == lynxspool.Safe {
+	if class.Effect == lynxspool.Idempotent {
 		return
 	}
 	for _, t := range x.attempts {
 		if t.ended && t.result.ProvesNotRun() {
 			continue
 		}
-		if class.Effect == lynxspool.Unsafe || now.Sub(t.from) > class.Window {
+		if class.Effect == lynxspool.AtMostOnce || now.Sub(t.from) > class.DedupWindow {
 			count(&a.secondRuns, "sent again though it may have run", "id", x.requestID(), "attempts", len(x.attempts))
 			return
 		}
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -50,7 +50,7 @@
 	if c.ConnIdle != time.Minute || c.DialTimeout != 250*time.Millisecond {
 		t.Errorf("caps %v, %v", c.ConnIdle, c.DialTimeout)
 	}
-	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != lynxspool.Unsafe {
+	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != lynxspool.AtMostOnce {
 		t.Errorf("settings %+v", c.Settings)
 	}
 	if len(c.Known.Servers) != 1 || c.Known.Version != 41 {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -131,8 +131,8 @@
 func NewDiscovery(cfg *Config) *Discovery {
 	d := &Discovery{
 		addrs: splitAddrs(cfg.Discovery), moved: make(chan struct{}, 1), heard: time.Now(),
-		ask: cfg.Settings.Ask, asked: make(chan struct{}, 1), version: cfg.Known.Version,
-		silence: lynxspool.SilentAfter, turn: turnUsual, answer: callSilence, listed: len(cfg.Known.Servers) > 0, within: cfg.Settings.AskWithin,
+		ask: cfg.Settings.WatchHosts, asked: make(chan struct{}, 1), version: cfg.Known.Version,
+		silence: lynxspool.SilentAfter, turn: turnUsual, answer: callSilence, listed: len(cfg.Known.Servers) > 0, within: cfg.Settings.MaxWatchGap,
 	}
 	d.inForce = func() {}
 	d.client = http.Client{Transport: &http.Transport{DialContext: d.dial, DisableKeepAlives: true}}
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -62,7 +62,7 @@
 	case errors.Is(err, errEnded):
 		return lynxspool.ListEnded
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return lynxspool.ListUnheard
+		return lynxspool.ListUnreachable
 	}
 	return lynxspool.ListFailed
 }
@@ -76,7 +76,7 @@
 		most = ageEvery
 	}
 	if d.listed {
-		most = min(most, lynxspool.AskMost)
+		most = min(most, lynxspool.MaxWatchBackoff)
 	}
 	asked = min(asked, most)
 	return min(asked+time.Duration(jitter/4*float64(asked)), most)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -74,7 +74,7 @@
 	}))
 	defer srv.Close()
 	cfg := &Config{Discovery: strings.TrimPrefix(srv.URL, "http://"), Known: MemberList{Version: 5, Servers: []Member{{ID: "s-1"}}}}
-	cfg.Settings.Ask, cfg.Settings.AskWithin = true, time.Second
+	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = true, time.Second
 	d := NewDiscovery(cfg)
 	told := make(lists, 8)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -110,7 +110,7 @@
 	}{{addr(well.Server), lynxspool.ListFull}, {addr(busy), lynxspool.ListFailed}} {
 		calls.Store(0)
 		cfg := &Config{Discovery: addr(down) + "," + addr(busy) + "," + c.third}
-		cfg.Settings.Ask = true
+		cfg.Settings.WatchHosts = true
 		d := NewDiscovery(cfg)
 		told := make(lists, 8)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -139,7 +139,7 @@
 	defer ln.Close() // it never accepts: the backlog takes the call
 	well := newWatchServer(t)
 	cfg := &Config{Discovery: ln.Addr().String() + "," + strings.TrimPrefix(well.URL, "http://")}
-	cfg.Settings.Ask = true
+	cfg.Settings.WatchHosts = true
 	d := NewDiscovery(cfg)
 	d.answer, d.silence = 50*time.Millisecond, time.Hour
 	told := make(lists, 8)
@@ -166,7 +166,7 @@
 		return true
 	})
 	cfg := testConfig()
-	cfg.Settings.Ask, cfg.Discovery = true, host.addr()
+	cfg.Settings.WatchHosts, cfg.Discovery = true, host.addr()
 	d := NewDiscovery(cfg)
 	d.silence = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
@@ -243,7 +243,7 @@
 		<-r.Context().Done()
 	}))
 	cfg := testConfig()
-	cfg.Discovery, cfg.Settings.Ask = strings.TrimPrefix(server.URL, "http://"), true
+	cfg.Discovery, cfg.Settings.WatchHosts = strings.TrimPrefix(server.URL, "http://"), true
 	cfg.Known = MemberList{Version: 41, Full: true, Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}}
 	d := NewDiscovery(cfg)
 	told := make(lists, 8)
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -142,7 +142,7 @@
 	cfg := testConfig(hosts...)
 	r := newRegistry(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
-	cfg.Settings.Ask, cfg.Settings.AskWithin = ask, time.Second
+	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = ask, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
 	d.silence = 300 * time.Millisecond
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -38,11 +38,11 @@
 		Rules: Rules{
 			Classes: map[string]int{"look": 0, "book": 1, "report": 2},
 			Settings: lynxspool.Settings{
-				Instances: 1, MaxAttempts: 4, Cancel: true, MaxRetryAfter: second, Step: 5 * time.Millisecond,
+				Instances: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: second, EventInterval: 5 * time.Millisecond,
 				Classes: []lynxspool.Class{
-					{Aim: 10 * second, Deadline: 60 * second},
-					{Aim: 10 * second, Deadline: 60 * second, Effect: lynxspool.Unsafe},
-					{Aim: 10 * second, Deadline: 60 * second, Effect: lynxspool.Keyed, Window: 30 * second},
+					{LatencyTarget: 10 * second, Deadline: 60 * second},
+					{LatencyTarget: 10 * second, Deadline: 60 * second, Effect: lynxspool.AtMostOnce},
+					{LatencyTarget: 10 * second, Deadline: 60 * second, Effect: lynxspool.Deduplicated, DedupWindow: 30 * second},
 				},
 			},
 		},
@@ -474,7 +474,7 @@
 
 func silentWatch(t *testing.T, lines []string) {
 	cfg := testConfig()
-	cfg.Settings.Ask = true
+	cfg.Settings.WatchHosts = true
 	disco := newWatchServer(t)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	d := NewDiscovery(cfg)
@@ -502,7 +502,7 @@
 // Where the list must be asked for, the module decides when, and hears of failures.
 func TestWatchOnlyWhenAsked(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settings.Ask = true
+	cfg.Settings.WatchHosts = true
 	disco := newWatchServer(t)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	g := startGateway(t, cfg)
@@ -585,8 +585,8 @@
 	g := startGateway(t, testConfig(server))
 	next := g.cfg.Rules
 	next.Settings.Classes = []lynxspool.Class{
-		{Aim: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.Unsafe},
-		{Aim: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.Unsafe},
+		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.AtMostOnce},
+		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.AtMostOnce},
 	}
 	next.Classes = map[string]int{"look": 0, "haul": 1}
 	if resp, _ := g.ask("haul", "/api/1", "b"); resp.StatusCode != 400 {
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -26,7 +26,7 @@
 	} {
 		host := newHost(t, says(good))
 		cfg := testConfig(host)
-		cfg.Settings.Classes[0].Aim = cfg.Settings.Classes[0].Deadline // it waits for a share of that
+		cfg.Settings.Classes[0].LatencyTarget = cfg.Settings.Classes[0].Deadline // it waits for a share of that
 		cfg.Known.Servers[0].State = "draining"
 		g := startGateway(t, cfg)
 		var crowd []net.Conn
@@ -137,7 +137,7 @@
 	host := newHost(t, says(good))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = cfg.Settings.Classes[i].Deadline // they wait for a share of that
+		cfg.Settings.Classes[i].LatencyTarget = cfg.Settings.Classes[i].Deadline // they wait for a share of that
 	}
 	cfg.Known.Servers[0].State = "draining"
 	g := startGateway(t, cfg)
--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -657,7 +657,7 @@
 	over := make(chan struct{})
 	cfg := testConfig()
 	window := 300 * time.Millisecond
-	cfg.Settings.Classes[2].Window = window
+	cfg.Settings.Classes[2].DedupWindow = window
 	first := func(c net.Conn, r *http.Request, n int) bool {
 		time.AfterFunc(window, func() { close(over) })
 		return breakOff(c, r, n)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -156,7 +156,7 @@
 			waited = max(0, now-l.clock.at(x.began()))
 		}
 		l.bal.Request(now, lynxspool.Request{
-			ID: x.id, Class: x.class, Tenant: x.tenant, Repeat: x.repeat, Left: left, Waited: waited, Upload: x.upload != nil,
+			ID: x.id, Class: x.class, Tenant: x.tenant, ClientRetry: x.repeat, Remaining: left, Age: waited, Upload: x.upload != nil,
 		})
 	})
 }
@@ -164,7 +164,7 @@
 // Retune puts other rules into force. They have been checked.
 func (l *Loop) Retune(rules *Rules) {
 	l.post(func(now lynxspool.Time) {
-		if err := l.bal.Retune(now, rules.Settings); err != nil {
+		if err := l.bal.UpdateSettings(now, rules.Settings); err != nil {
 			slog.Error("settings not changed", "err", err)
 			return
 		}
@@ -175,7 +175,7 @@
 // Abandon says that a request was finished without the Balancer: nobody waits.
 func (l *Loop) Abandon(x *exchange) {
 	l.post(func(now lynxspool.Time) {
-		l.bal.Gone(now, x.id)
+		l.bal.ClientGone(now, x.id)
 		l.release(x)
 	})
 }
@@ -198,10 +198,10 @@
 func (l *Loop) Peers(peers []lynxspool.Peer) (p Place) {
 	placed := make(chan Place, 1)
 	l.post(func(now lynxspool.Time) {
-		l.bal.Peers(now, peers)
+		l.bal.UpdatePeers(now, peers)
 		var p Place
-		p.Live, p.SharedBy, p.Draws = l.bal.Place()
-		p.Rate = l.bal.Rate(now)
+		p.Live, p.SharedBy, p.Draws = l.bal.FleetStatus()
+		p.Rate = l.bal.RequestRate(now)
 		placed <- p
 	})
 	select {
@@ -248,18 +248,18 @@
 		if h := l.hosts[hostID(id)]; h != nil && h.id == id {
 			l.pool.ban(h, out)
 		}
-		l.bal.Maintain(now, hostID(id), out)
+		l.bal.SetMaintenance(now, hostID(id), out)
 		l.tellReady()
 	})
 }
 
 // calledBack tells of a call back that another process was given.
 func (l *Loop) calledBack(id string, at time.Time) {
-	l.post(func(now lynxspool.Time) { l.bal.CalledBack(now, hostID(id), l.clock.at(at)) })
+	l.post(func(now lynxspool.Time) { l.bal.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
 }
 
 func (l *Loop) members(now lynxspool.Time, kind lynxspool.ListKind, list MemberList) {
-	if !kind.Lost() {
+	if !kind.IsLoss() {
 		listed := map[lynxspool.HostID]bool{}
 		entries := make([]lynxspool.Host, 0, len(list.Servers))
 		var gone []lynxspool.HostID
@@ -302,12 +302,12 @@
 				}
 			}
 		}
-		l.bal.Hosts(now, kind, entries)
+		l.bal.UpdateHosts(now, kind, entries)
 		for _, id := range gone {
 			delete(l.hosts, id) // what is still out there holds on to it
 		}
 	} else {
-		l.bal.Hosts(now, kind, nil)
+		l.bal.UpdateHosts(now, kind, nil)
 		return
 	}
 	l.tellReady()
@@ -344,7 +344,7 @@
 
 // perform carries out what the Balancer has decided.
 func (l *Loop) perform() {
-	l.acts = l.bal.Drain(l.acts[:0])
+	l.acts = l.bal.TakeActions(l.acts[:0])
 	for i := range l.acts {
 		a := &l.acts[i]
 		switch a.Kind {
@@ -355,7 +355,7 @@
 				x.attempts[a.Attempt].end(context.Canceled)
 			}
 		case lynxspool.Refuse:
-			l.answer(a.Request, answer{kind: refused, retryAfter: a.After})
+			l.answer(a.Request, answer{kind: refused, retryAfter: a.RetryAfter})
 		case lynxspool.Fail:
 			l.answer(a.Request, answer{kind: failed})
 		case lynxspool.Wake:
@@ -395,8 +395,8 @@
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	t := &try{cancel: cancel, from: time.Now()}
-	if a.By > 0 {
-		t.by = l.clock.time(a.By)
+	if a.WriteBy > 0 {
+		t.by = l.clock.time(a.WriteBy)
 	}
 	n := len(x.attempts)
 	l.Audit.attempt(x, t.from)
@@ -410,10 +410,10 @@
 	}
 	t.whole = func() {
 		timer = time.AfterFunc(time.Until(x.deadline), timeOut)
-		l.post(func(now lynxspool.Time) { l.bal.Whole(now, x.id, max(0, l.clock.at(x.deadline)-now)) })
+		l.post(func(now lynxspool.Time) { l.bal.UploadComplete(now, x.id, max(0, l.clock.at(x.deadline)-now)) })
 	}
 	t.begun = func() {
-		l.post(func(now lynxspool.Time) { l.bal.Started(now, x.id, n) })
+		l.post(func(now lynxspool.Time) { l.bal.ResponseStarted(now, x.id, n) })
 	}
 	go func() {
 		result, body := l.pool.attempt(ctx, h, x, t)
@@ -440,7 +440,7 @@
 		took = max(0, now-l.clock.at(t.from))
 	}
 	l.bal.Outcome(now, lynxspool.Outcome{
-		Request: x.id, Attempt: n, Result: result, Elapsed: took, Closed: x.over.Load(), Spent: x.spent(),
+		Request: x.id, Attempt: n, Result: result, Elapsed: took, Answered: x.over.Load(), NotReplayable: x.spent(),
 	})
 	l.release(x)
 }
--- a/internal/gateway/notification_clock_test.go
+++ b/internal/gateway/notification_clock_test.go
@@ -338,8 +338,8 @@
 	cfg := testConfig()
 	cfg.Seed, cfg.Discovery = uint64(rank), discovery
 	cfg.DialTimeout = 2 * time.Second
-	cfg.Settings.Ask, cfg.Settings.Instances, cfg.Settings.Rank = ask, instances, rank
-	cfg.Settings.Classes = []lynxspool.Class{{Aim: 2 * time.Second, Deadline: 4 * time.Second}}
+	cfg.Settings.WatchHosts, cfg.Settings.Instances, cfg.Settings.Rank = ask, instances, rank
+	cfg.Settings.Classes = []lynxspool.Class{{LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second}}
 	cfg.Classes = map[string]int{"look": 0}
 	for _, h := range hosts {
 		cfg.Known.Servers = append(cfg.Known.Servers, Member{ID: h.id, Addr: h.addr, State: "ready"})
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -41,7 +41,7 @@
 
 // Members takes what discovery tells, and passes it on.
 func (r *Roster) Members(kind lynxspool.ListKind, list MemberList) {
-	if !kind.Lost() {
+	if !kind.IsLoss() {
 		r.mu.Lock()
 		if !r.own {
 			r.hosts = map[string]Member{} // a peer's list is a hint that discovery ends
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -381,7 +381,7 @@
 			return fmt.Errorf("X-Tenant-Id: unknown tenant %q", x.header.Get("X-Tenant-Id"))
 		}
 	}
-	if rules.Settings.Classes[x.class].Effect == lynxspool.Keyed && x.header.Get("Idempotency-Key") == "" {
+	if rules.Settings.Classes[x.class].Effect == lynxspool.Deduplicated && x.header.Get("Idempotency-Key") == "" {
 		// Without it no host would drop the repeat that the module may send.
 		return errors.New("Idempotency-Key: missing, the class needs one")
 	}
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -30,8 +30,8 @@
 		h.work = 400 * time.Millisecond // 2.5 a second one after the other, so a cold one may get 5
 	}
 	cfg := bubbleConfig(false, 1, 0, "discovery:80", hosts)
-	cfg.Settings.ColdFrom, cfg.Settings.WarmAfter = 0.1, warmAfter
-	cfg.Settings.OverloadFactor, cfg.Settings.Fall = 2, time.Second
+	cfg.Settings.ColdCapacity, cfg.Settings.WarmAfter = 0.1, warmAfter
+	cfg.Settings.OverloadFactor, cfg.Settings.OverloadWindow = 2, time.Second
 	ctx, cancel := context.WithCancel(t.Context())
 	g := startBubble(t, ctx, n, cfg)
 	defer settle(cancel)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -57,12 +57,12 @@
 }
 
 var effects = map[string]lynxspool.Effect{
-	"idempotent": lynxspool.Safe, "deduplicated": lynxspool.Keyed, "at_most_once": lynxspool.Unsafe,
+	"idempotent": lynxspool.Idempotent, "deduplicated": lynxspool.Deduplicated, "at_most_once": lynxspool.AtMostOnce,
 }
 
-var groups = map[string]lynxspool.Group{
-	"": lynxspool.GroupAll, "all": lynxspool.GroupAll,
-	"zone": lynxspool.GroupZone, "cell": lynxspool.GroupCell,
+var groups = map[string]lynxspool.DedupScope{
+	"": lynxspool.DedupAll, "all": lynxspool.DedupAll,
+	"zone": lynxspool.DedupZone, "cell": lynxspool.DedupCell,
 }
 
 // asks says for each way of discovery whether the list must be asked for; where none is
@@ -81,11 +81,11 @@
 		return out, fmt.Errorf("settings: discovery: unknown way %q", in.Discovery)
 	}
 	out = lynxspool.Settings{
-		Instances: in.Balancers, Rank: in.Rank, Step: in.Step.span(),
-		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWorth: in.OverShare,
-		Ask: ask, AskWithin: in.Obligations.AskWithin.span(),
-		ColdFrom: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.span(),
-		OverloadFactor: in.Obligations.OverloadFactor, Fall: in.Obligations.Fall.span(),
+		Instances: in.Balancers, Rank: in.Rank, EventInterval: in.Step.span(),
+		MaxAttempts: in.Caps.MaxAttempts, CancelAllowed: in.Caps.Cancel, OverQuotaFactor: in.OverShare,
+		WatchHosts: ask, MaxWatchGap: in.Obligations.AskWithin.span(),
+		ColdCapacity: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.span(),
+		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.span(),
 		DrainGrace: in.Obligations.DrainGrace.span(),
 	}
 	if in.Caps.RetryAfter {
@@ -101,8 +101,8 @@
 			return out, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
 		out.Classes = append(out.Classes, lynxspool.Class{
-			Name: c.Name, Aim: c.Promise.span(), Deadline: c.HardLimit.span(), Worth: c.Importance,
-			Effect: effect, Group: group, Window: c.Window.span(),
+			Name: c.Name, LatencyTarget: c.Promise.span(), Deadline: c.HardLimit.span(), PriorityWeight: c.Importance,
+			Effect: effect, DedupScope: group, DedupWindow: c.Window.span(),
 		})
 	}
 	for _, t := range in.Tenants {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -167,9 +167,9 @@
 		e.Request.Class = int(f.u8())
 		e.Request.Tenant = int(f.u16())
 		f.u32() // expected work
-		e.Request.Left = f.time()
+		e.Request.Remaining = f.time()
 		f.u64() // routing key
-		e.Request.Repeat = f.u8()&flagRepeat != 0
+		e.Request.ClientRetry = f.u8()&flagRepeat != 0
 	case Flowing:
 		e.Request.ID = lynxspool.RequestID(f.u32())
 		e.Attempt = int(f.u16())
@@ -181,7 +181,7 @@
 		f.host()
 		code := f.u16()
 		e.Outcome.Elapsed = f.time()
-		e.Outcome.Closed = f.u8() != 0
+		e.Outcome.Answered = f.u8() != 0
 		f.bytes(4 * uint64(f.u8()))
 		var ok bool
 		if e.Outcome.Result, ok = results[code]; !ok && !f.short {
@@ -355,7 +355,7 @@
 	case lynxspool.Refuse:
 		w.record(busy, instance, 12)
 		w.u32(uint32(a.Request))
-		w.u32(uint32(a.After / unit))
+		w.u32(uint32(a.RetryAfter / unit))
 	case lynxspool.Fail:
 		w.record(fail, instance, 8)
 		w.u32(uint32(a.Request))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -60,10 +60,10 @@
 	}{
 		{"request", "02 03000000 c4913a5d 01 0200 e02e0000 80a90300 640ad2557c3bf091 03",
 			Event{Code: Req, Instance: 3, Request: lynxspool.Request{
-				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Left: 240 * time.Millisecond, Repeat: true}}},
+				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Remaining: 240 * time.Millisecond, ClientRetry: true}}},
 		{"attempt end", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
 			Event{Code: AttemptEnd, Instance: 3, Outcome: lynxspool.Outcome{Request: 0x5d3a91c4, Attempt: 1,
-				Result: lynxspool.Full, Elapsed: 18500 * time.Microsecond, Closed: true}}},
+				Result: lynxspool.Full, Elapsed: 18500 * time.Microsecond, Answered: true}}},
 		{"ring", "06 03000000 4d00000000000000", Event{Code: Ring, Instance: 3, Token: 77}},
 		{"withdrawn", "05 05000000 192b6f0e",
 			Event{Code: Withdrawn, Instance: 5, Request: lynxspool.Request{ID: 0x0e6f2b19}}},
@@ -160,7 +160,7 @@
 	}{
 		{lynxspool.Action{Kind: lynxspool.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 da95810000000000"},
-		{lynxspool.Action{Kind: lynxspool.Refuse, Request: 0x5d3a91c4, After: 250 * time.Millisecond},
+		{lynxspool.Action{Kind: lynxspool.Refuse, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
 			"41 0c000000 03000000 c4913a5d 90d00300"},
 		{lynxspool.Action{Kind: lynxspool.Fail, Request: 0x0e6f2b19}, "42 08000000 03000000 192b6f0e"},
 		{lynxspool.Action{Kind: lynxspool.Cancel, Request: 0x5d3a91c4, Attempt: 2},
@@ -215,15 +215,15 @@
 		t.Fatal(err)
 	}
 	want := lynxspool.Settings{
-		Instances: 4, Rank: 2, Step: 2 * time.Millisecond, Ask: true, AskWithin: 10 * time.Second,
-		OverQuotaWorth: 0.05, Cancel: true,
+		Instances: 4, Rank: 2, EventInterval: 2 * time.Millisecond, WatchHosts: true, MaxWatchGap: 10 * time.Second,
+		OverQuotaFactor: 0.05, CancelAllowed: true,
 		MaxAttempts: 3, MaxRetryAfter: 600 * time.Millisecond,
-		ColdFrom: 0.31, Fall: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
+		ColdCapacity: 0.31, OverloadWindow: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
 		Tenants: []lynxspool.Tenant{{Quota: 104}},
 		Classes: []lynxspool.Class{
-			{Aim: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2,
-				Effect: lynxspool.Keyed, Group: lynxspool.GroupCell, Window: 5 * time.Second},
-			{Deadline: time.Microsecond, Effect: lynxspool.Unsafe},
+			{LatencyTarget: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2,
+				Effect: lynxspool.Deduplicated, DedupScope: lynxspool.DedupCell, DedupWindow: 5 * time.Second},
+			{Deadline: time.Microsecond, Effect: lynxspool.AtMostOnce},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/notified.go
+++ b/notified.go
@@ -8,8 +8,8 @@
 // nothing either: it sends nothing until it is told, up to heldWithin of the loss.
 
 const (
-	EndedAfter = Time(2e9) // what a watch that ended in order kept back counts as notified
-	MovedAfter = Time(4e9) // ... and what is known at the address that discovery moved to
+	NotifiedAfterEnd  = Time(2e9) // what a watch that ended in order kept back counts as notified
+	NotifiedAfterMove = Time(4e9) // ... and what is known at the address that discovery moved to
 
 	holdMargin = Time(200e6) // sends stop this long before they must: a process may be held up for 150 ms
 	// So long after a loss sends go on, told or not: a discovery that answers nobody must not
@@ -22,12 +22,12 @@
 	var notified Time
 	switch kind {
 	case ListEnded:
-		notified = EndedAfter
+		notified = NotifiedAfterEnd
 	case ListSilent:
 		notified = NotifiedAfter - SilentAfter
 	case ListMoved:
-		notified = MovedAfter
-	case ListUnheard:
+		notified = NotifiedAfterMove
+	case ListUnreachable:
 		b.holdFrom = 0 // discovery is down: nothing is notified before it is back
 		return
 	default:
@@ -39,8 +39,8 @@
 }
 
 // heldWithin is the time after a loss within which a discovery with the capacity that the
-// settings give has answered a whole fleet: each may ask once in AskWithin.
-func heldWithin(set *Settings) Time { return min(set.AskWithin, heldMost) }
+// settings give has answered a whole fleet: each may ask once in MaxWatchGap.
+func heldWithin(set *Settings) Time { return min(set.MaxWatchGap, heldMost) }
 
 // held says whether sends wait for a list.
 func (b *Balancer) held() bool {
--- a/notified_test.go
+++ b/notified_test.go
@@ -21,7 +21,7 @@
 		"silent":                            {loss: []ListKind{ListSilent}, from: 3800 * ms, to: 10 * second},
 		"moved":                             {loss: []ListKind{ListMoved}, from: 4800 * ms, to: 10 * second},
 		"reset":                             {loss: []ListKind{ListFailed}},
-		"ended, then nobody there":          {loss: []ListKind{ListEnded, ListUnheard}},
+		"ended, then nobody there":          {loss: []ListKind{ListEnded, ListUnreachable}},
 		"ended, then a call that failed":    {loss: []ListKind{ListEnded, ListFailed}, from: 2800 * ms, to: 10 * second},
 		"moved, and the watch ended":        {loss: []ListKind{ListMoved, ListEnded}, from: 2800 * ms, to: 10 * second},
 		"ended, asked seldom":               {loss: []ListKind{ListEnded}, askWithin: 60 * second, from: 2800 * ms, to: 12 * second},
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := basic()
-			set.Ask, set.AskWithin = !c.pushed, c.askWithin
+			set.WatchHosts, set.MaxWatchGap = !c.pushed, c.askWithin
 			g := start(t, set, hosts(2)...)
 			g.list(ListFull, hosts(2)...)
 			g.advance(5 * second)
@@ -51,7 +51,7 @@
 					t.Fatalf("%v after the loss: sent %t, want held %t", at, sent, held)
 				}
 				if sent {
-					by, want := g.acts[0].By, Time(0)
+					by, want := g.acts[0].WriteBy, Time(0)
 					if c.from > 0 && at < c.from || c.list > at && c.from == 0 {
 						want = lost + 2800*ms
 						if c.from > 0 {
@@ -76,7 +76,7 @@
 		var last Time
 		for _, rank := range []int{0, n / 2, n - 1} {
 			set := basic()
-			set.Ask, set.Instances, set.Rank, set.AskWithin = true, n, rank, 10*time.Second
+			set.WatchHosts, set.Instances, set.Rank, set.MaxWatchGap = true, n, rank, 10*time.Second
 			g := start(t, set, hosts(2)...)
 			g.list(ListFull, hosts(2)...)
 			g.advance(5 * time.Second)
--- a/settings.go
+++ b/settings.go
@@ -32,8 +32,8 @@
 		name string
 		d    time.Duration
 	}{
-		{"step", set.Step}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.AskWithin},
-		{"warm after", set.WarmAfter}, {"fall", set.Fall}, {"drain grace", set.DrainGrace},
+		{"step", set.EventInterval}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.MaxWatchGap},
+		{"warm after", set.WarmAfter}, {"fall", set.OverloadWindow}, {"drain grace", set.DrainGrace},
 	} {
 		if f.d < 0 || f.d > maxTime {
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.d, maxTime)
@@ -43,8 +43,8 @@
 		name string
 		x    float64
 	}{
-		{"cold from", set.ColdFrom}, {"overload factor", set.OverloadFactor},
-		{"over-quota worth", set.OverQuotaWorth},
+		{"cold from", set.ColdCapacity}, {"overload factor", set.OverloadFactor},
+		{"over-quota worth", set.OverQuotaFactor},
 	} {
 		if !isFigure(f.x) {
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxFigure)
@@ -54,23 +54,23 @@
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		switch {
-		case c.Aim < 0 || c.Aim > maxTime:
-			return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.Aim, maxTime)
+		case c.LatencyTarget < 0 || c.LatencyTarget > maxTime:
+			return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.LatencyTarget, maxTime)
 		case c.Deadline <= 0 || c.Deadline > maxTime:
 			return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
-		case c.Window < 0 || c.Window > maxTime:
-			return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.Window, maxTime)
-		case c.Effect > Unsafe:
+		case c.DedupWindow < 0 || c.DedupWindow > maxTime:
+			return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
+		case c.Effect > AtMostOnce:
 			return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Effect)
-		case c.Group > GroupCell:
-			return fmt.Errorf("settings: class %d: unknown group %d", i, c.Group)
-		case !isFigure(c.Worth):
-			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.Worth, maxFigure)
+		case c.DedupScope > DedupCell:
+			return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
+		case !isFigure(c.PriorityWeight):
+			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxFigure)
 		}
-		if c.Aim == 0 || c.Aim > c.Deadline {
-			c.Aim = c.Deadline
+		if c.LatencyTarget == 0 || c.LatencyTarget > c.Deadline {
+			c.LatencyTarget = c.Deadline
 		}
-		orDefault(&c.Worth, 1)
+		orDefault(&c.PriorityWeight, 1)
 	}
 	for i, t := range set.Tenants {
 		if !isFigure(t.Quota) {
@@ -78,12 +78,12 @@
 		}
 	}
 	orDefault(&set.MaxAttempts, 3)
-	orDefault(&set.AskWithin, defaultAskWithin)
-	orDefault(&set.ColdFrom, 1)
+	orDefault(&set.MaxWatchGap, defaultAskWithin)
+	orDefault(&set.ColdCapacity, 1)
 	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.Fall, 1e9)
+	orDefault(&set.OverloadWindow, 1e9)
 	orDefault(&set.DrainGrace, defaultDrainGrace)
-	set.ColdFrom = min(set.ColdFrom, 1)
+	set.ColdCapacity = min(set.ColdCapacity, 1)
 	return nil
 }
 
@@ -96,10 +96,10 @@
 	}
 }
 
-// Retune is a change of the settings. Open requests keep the rules they came under, their
+// UpdateSettings is a change of the settings. Open requests keep the rules they came under, their
 // attempts included; what was learnt of a class stays with its name. Settings that cannot
 // be served change nothing.
-func (b *Balancer) Retune(now Time, set Settings) error {
+func (b *Balancer) UpdateSettings(now Time, set Settings) error {
 	b.now = now
 	if err := check(&set); err != nil {
 		return err
@@ -126,10 +126,10 @@
 func (b *Balancer) adopt(set Settings) {
 	old, quota := b.classes, b.quota
 	b.set, b.classes, b.quota = set, nil, nil
-	b.aim, b.penalty = set.Classes[0].Aim, 0
+	b.aim, b.penalty = set.Classes[0].LatencyTarget, 0
 	for _, c := range set.Classes {
-		b.aim = min(b.aim, c.Aim)
-		b.penalty = max(b.penalty, penaltyAims*c.Aim.Seconds())
+		b.aim = min(b.aim, c.LatencyTarget)
+		b.penalty = max(b.penalty, penaltyAims*c.LatencyTarget.Seconds())
 		k := &class{Class: c}
 		for _, o := range old {
 			if o.Name == c.Name && c.Name != "" {
--- a/state.go
+++ b/state.go
@@ -314,10 +314,10 @@
 // repeatBy is until when a keyed request may go out again after its first attempt that may
 // have run: a repeat that reaches its host later would run. 0: there is no such limit.
 func (b *Balancer) repeatBy(c *Class, first *attempt) Time {
-	if first == nil || c.Effect != Keyed {
+	if first == nil || c.Effect != Deduplicated {
 		return 0
 	}
-	return first.sent + c.Window - answerSteps*b.set.Step
+	return first.sent + c.DedupWindow - answerSteps*b.set.EventInterval
 }
 
 // rejected says whether a host found the request itself at fault: others would too.
@@ -341,7 +341,7 @@
 // cancelOthers calls off what is in flight for the request but attempt keep.
 func (b *Balancer) cancelOthers(r *request, keep int) {
 	for i, a := range r.atts {
-		if i != keep && !a.ended && b.set.Cancel {
+		if i != keep && !a.ended && b.set.CancelAllowed {
 			b.act(Action{Kind: Cancel, Request: r.ID, Attempt: i})
 		}
 	}
@@ -358,7 +358,7 @@
 // sweepSoon makes sure that waiting requests and hosts are looked at again.
 func (b *Balancer) sweepSoon() {
 	if b.sweepAt == 0 && (b.queued > 0 || b.outNow > 0) {
-		b.sweepAt = b.now + max(b.set.Step, Time(float64(b.aim)*sweepShare))
+		b.sweepAt = b.now + max(b.set.EventInterval, Time(float64(b.aim)*sweepShare))
 		b.wake(b.sweepAt, tokenSweep<<tokenShift)
 	}
 }
@@ -514,8 +514,8 @@
 
 func (b *Balancer) float() float64 { return float64(b.nextRand()>>11) / (1 << 53) }
 
-// Rate is the requests a second that came to this instance of late.
-func (b *Balancer) Rate(now Time) float64 {
+// RequestRate is the requests a second that came to this instance of late.
+func (b *Balancer) RequestRate(now Time) float64 {
 	if b.long.rate == 0 {
 		return 0
 	}
@@ -523,15 +523,15 @@
 	return min(rate, b.long.now(now, ratesSpan)*ratesSpan) // as if over a second at least
 }
 
-// Place tells how many instances are in the view, by how many the caps of hosts are shared,
+// FleetStatus tells how many instances are in the view, by how many the caps of hosts are shared,
 // and from how many hosts this one draws.
-func (b *Balancer) Place() (live int, sharedBy float64, draws int) {
+func (b *Balancer) FleetStatus() (live int, sharedBy float64, draws int) {
 	return len(b.peers), b.bank(), len(b.drawn)
 }
 
-// Drain appends the actions decided since the last call to dst. The balancer
+// TakeActions appends the actions decided since the last call to dst. The balancer
 // keeps no reference to what it returns.
-func (b *Balancer) Drain(dst []Action) []Action {
+func (b *Balancer) TakeActions(dst []Action) []Action {
 	dst = append(dst, b.acts...)
 	b.acts = b.acts[:0]
 	return dst
--- a/view.go
+++ b/view.go
@@ -23,10 +23,10 @@
 	rateLeast   = 0.01 // a rate told lower than this counts as this
 )
 
-// Peers is news of the bank: the instances that are there, suspect ones and this one among
+// UpdatePeers is news of the bank: the instances that are there, suspect ones and this one among
 // them. Who draws from where moves slowly after it; caps and ramps of hosts are shared by
 // the larger of their number and a recent one, so that the two sides of a cut keep to them.
-func (b *Balancer) Peers(now Time, peers []Peer) {
+func (b *Balancer) UpdatePeers(now Time, peers []Peer) {
 	b.now = now
 	first := b.peers == nil
 	b.peers = append(b.peers[:0], peers...)
--- a/view_test.go
+++ b/view_test.go
@@ -21,7 +21,7 @@
 		set := basic()
 		set.Instances, set.Rank = instances, rank
 		g := start(t, set)
-		g.b.Peers(g.now, peers)
+		g.b.UpdatePeers(g.now, peers)
 		g.list(ListFull, hosts(n)...)
 		g.look(peers, 10)
 		bank = append(bank, g)
@@ -32,7 +32,7 @@
 // look gives an instance its view once a second, with a request after it.
 func (g *gateway) look(peers []Peer, times int) {
 	for range times {
-		g.b.Peers(g.now, peers)
+		g.b.UpdatePeers(g.now, peers)
 		id := g.request(0, time.Second)
 		for _, a := range g.acts {
 			if a.Kind == Send {
@@ -145,16 +145,16 @@
 					peers = append(peers, Peer{Rank: rank, Rate: 3})
 				}
 				if view {
-					b.Peers(now, peers)
+					b.UpdatePeers(now, peers)
 				}
-				b.Hosts(now, ListFull, hosts(n))
-				acts := b.Drain(nil)
+				b.UpdateHosts(now, ListFull, hosts(n))
+				acts := b.TakeActions(nil)
 				bm.ReportAllocs()
 				for i := 0; bm.Loop(); i++ {
 					now += 300 * ms // 3.3 requests a second
-					b.Request(now, Request{ID: RequestID(i), Left: time.Second})
-					b.Outcome(now+40*ms, Outcome{Request: RequestID(i), Elapsed: 40 * ms, Closed: true})
-					acts = b.Drain(acts[:0])
+					b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
+					b.Outcome(now+40*ms, Outcome{Request: RequestID(i), Elapsed: 40 * ms, Answered: true})
+					acts = b.TakeActions(acts[:0])
 				}
 			})
 		}
