--- a/cmd/catalog/main.go
+++ b/cmd/catalog/main.go
@@ -101,7 +101,7 @@
 	srv := &http.Server{Handler: node.Handler(), ReadHeaderTimeout: readTime, ReadTimeout: readTime,
 		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, ConnContext: catalog.ConnContext}
 	done := make(chan error, 1)
-	go func() { done <- srv.Serve(listener.Persist(ln, "callers")) }()
+	go func() { done <- srv.Serve(listener.NewRetrying(ln, "callers")) }()
 	slog.Info("catalog serving", "id", opt.ID, "http", opt.HTTP, "raft", opt.Raft, "peers", max(1, len(opt.Peers)))
 
 	sig := make(chan os.Signal, 1)
--- a/cmd/dunemoor/bank.go
+++ b/cmd/dunemoor/bank.go
@@ -57,9 +57,9 @@
 		}
 	}
 	place := b.loop.Peers(peers)
-	b.members.Tell(rank, place.Rate)
+	b.members.AnnounceLoad(rank, place.Rate)
 	old := b.state.Load()
-	now := &standing{Rank: rank, Place: place, Changed: time.Now(), Why: b.members.Why()}
+	now := &standing{Rank: rank, Place: place, Changed: time.Now(), Why: b.members.LastChange()}
 	if old != nil && old.Live == place.Live && old.Draws == place.Draws && old.Rank == rank {
 		now.Changed, now.Why = old.Changed, old.Why
 	} else {
@@ -81,7 +81,7 @@
 // goes on.
 func (b *bank) askPeers(ctx context.Context) {
 	for wait := 200 * time.Millisecond; b.roster.Empty(); wait = min(wait*5/4, time.Second) {
-		b.members.AskList()
+		b.members.RequestLists()
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -13,9 +13,9 @@
 // Classes of a call for a list. A caller without a list can serve nobody; one that resumes
 // costs little; one that wants the whole list anew has one to go on with.
 const (
-	Empty Class = iota
+	NoList Class = iota
 	Resume
-	Whole
+	FullList
 	classes
 )
 
@@ -28,11 +28,11 @@
 	Most  time.Duration // longest time that a caller is told to stay away
 }
 
-// Verdict is what becomes of a call.
-type Verdict struct {
-	ID    uint64
-	Admit bool
-	After time.Duration // turned away: come back after this
+// Decision is what becomes of a call.
+type Decision struct {
+	ID         uint64
+	Admitted   bool
+	RetryAfter time.Duration // turned away: come back after this
 }
 
 // Gate keeps the calls of one service. The zero value is not usable; see New. It is not
@@ -58,11 +58,11 @@
 // Arrive is a call that comes now, on any clock that does not go back. It returns the
 // verdicts that are due: on this call unless it waits, and on one that it displaced. When
 // the queue is full, the youngest of the last class makes room for one of an earlier class.
-func (g *Gate) Arrive(now time.Duration, id uint64, class Class) (due []Verdict) {
+func (g *Gate) Arrive(now time.Duration, id uint64, class Class) (due []Decision) {
 	due = g.Expire(now)
 	if g.work < g.opt.Work && g.queued == 0 {
 		g.work++
-		return append(due, Verdict{ID: id, Admit: true})
+		return append(due, Decision{ID: id, Admitted: true})
 	}
 	if g.queued >= g.opt.Queue {
 		last := classes - 1
@@ -83,7 +83,7 @@
 
 // Done is the end of a call's work, which took so long; those that it makes room for are
 // let in.
-func (g *Gate) Done(now, took time.Duration) (due []Verdict) {
+func (g *Gate) Done(now, took time.Duration) (due []Decision) {
 	due = g.Expire(now)
 	g.work--
 	if g.took == 0 {
@@ -92,7 +92,7 @@
 	g.took += (took.Seconds() - g.took) / 16
 	for class := range g.lines {
 		for len(g.lines[class]) > 0 && g.work < g.opt.Work {
-			due = append(due, Verdict{ID: g.lines[class][0].id, Admit: true})
+			due = append(due, Decision{ID: g.lines[class][0].id, Admitted: true})
 			g.lines[class] = g.lines[class][1:]
 			g.queued--
 			g.work++
@@ -101,8 +101,8 @@
 	return due
 }
 
-// Leave is the end of a call that waits, by its caller; false says that it does not wait.
-func (g *Gate) Leave(id uint64) bool {
+// Cancel is the end of a call that waits, by its caller; false says that it does not wait.
+func (g *Gate) Cancel(id uint64) bool {
 	for class, line := range g.lines {
 		for i, c := range line {
 			if c.id == id {
@@ -116,7 +116,7 @@
 }
 
 // Expire turns away the calls that have waited too long by now.
-func (g *Gate) Expire(now time.Duration) (due []Verdict) {
+func (g *Gate) Expire(now time.Duration) (due []Decision) {
 	g.now = max(g.now, now)
 	for class := range g.lines {
 		for len(g.lines[class]) > 0 && g.now-g.lines[class][0].since >= g.opt.Wait {
@@ -130,13 +130,13 @@
 
 // shed turns a call away. Each is told a time of its own, one call's work after the last
 // one told and after what waits now, so that they do not come back together.
-func (g *Gate) shed(id uint64) Verdict {
+func (g *Gate) shed(id uint64) Decision {
 	gap := max(g.opt.Least, time.Duration(g.took/float64(g.opt.Work)*1e9))
 	g.booked = max(g.booked, g.now+time.Duration(g.queued)*gap) + gap
 	if g.booked-g.now > g.opt.Most {
 		g.booked = g.now + gap // the times to tell are used up: begin anew
 	}
-	return Verdict{ID: id, After: g.booked - g.now}
+	return Decision{ID: id, RetryAfter: g.booked - g.now}
 }
 
 // Waiting is how many calls wait, and Working how many are in work.
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -17,17 +17,17 @@
 		g := New(opt)
 		now := time.Duration(0)
 		waits, working, had := map[uint64]time.Duration{}, 0, map[uint64]bool{}
-		take := func(due []Verdict) {
+		take := func(due []Decision) {
 			for _, v := range due {
 				if had[v.ID] {
 					t.Fatalf("call %d has two verdicts", v.ID)
 				}
 				had[v.ID] = true
 				delete(waits, v.ID)
-				if v.Admit {
+				if v.Admitted {
 					working++
-				} else if v.After <= 0 || v.After > opt.Most {
-					t.Fatalf("call %d is to come back after %v", v.ID, v.After)
+				} else if v.RetryAfter <= 0 || v.RetryAfter > opt.Most {
+					t.Fatalf("call %d is to come back after %v", v.ID, v.RetryAfter)
 				}
 			}
 		}
@@ -64,12 +64,12 @@
 // of the last class; and 100 that are turned away are told times 1 ms apart at least.
 func TestGateOrderAndSpread(t *testing.T) {
 	g := New(Options{Work: 1, Queue: 3, Wait: time.Minute, Least: time.Millisecond, Most: time.Minute})
-	g.Arrive(0, 1, Whole)
-	for id, class := range map[uint64]Class{2: Whole, 3: Resume, 4: Whole} {
+	g.Arrive(0, 1, FullList)
+	for id, class := range map[uint64]Class{2: FullList, 3: Resume, 4: FullList} {
 		g.Arrive(0, id, class)
 	}
-	due := g.Arrive(0, 5, Empty)
-	if len(due) != 1 || due[0].Admit || due[0].ID == 3 {
+	due := g.Arrive(0, 5, NoList)
+	if len(due) != 1 || due[0].Admitted || due[0].ID == 3 {
 		t.Fatalf("the queue was full: %v", due)
 	}
 	var order []uint64
@@ -82,11 +82,11 @@
 		t.Errorf("let in as %v, want 5, 3 and the last", order)
 	}
 	g = New(Options{Work: 1, Queue: 1, Wait: time.Minute, Least: time.Millisecond, Most: time.Minute})
-	g.Arrive(0, 1, Empty)
-	g.Arrive(0, 2, Empty)
+	g.Arrive(0, 1, NoList)
+	g.Arrive(0, 2, NoList)
 	var after []time.Duration
 	for id := uint64(3); id < 103; id++ {
-		after = append(after, g.Arrive(0, id, Empty)[0].After)
+		after = append(after, g.Arrive(0, id, NoList)[0].RetryAfter)
 	}
 	slices.Sort(after)
 	for i := 1; i < len(after); i++ {
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -23,18 +23,18 @@
 	mu    sync.Mutex
 	g     *admit.Gate
 	next  uint64
-	waits map[uint64]chan admit.Verdict
+	waits map[uint64]chan admit.Decision
 	shed  int64 // calls turned away since the start
 }
 
 func newGate(opt admit.Options) *gate {
-	return &gate{opt: opt, start: time.Now(), g: admit.New(opt), waits: map[uint64]chan admit.Verdict{}}
+	return &gate{opt: opt, start: time.Now(), g: admit.New(opt), waits: map[uint64]chan admit.Decision{}}
 }
 
 // tell hands out verdicts; g.mu is held.
-func (g *gate) tell(due []admit.Verdict) {
+func (g *gate) tell(due []admit.Decision) {
 	for _, v := range due {
-		if !v.Admit {
+		if !v.Admitted {
 			g.shed++
 		}
 		g.waits[v.ID] <- v // it holds one, and each call has one
@@ -45,7 +45,7 @@
 // enter waits for a call to be let in. It returns false with the time to come back after,
 // or with 0 if the caller has gone. A call that was let in ends with leave.
 func (g *gate) enter(ctx context.Context, class admit.Class) (after time.Duration, ok bool) {
-	verdict := make(chan admit.Verdict, 1)
+	verdict := make(chan admit.Decision, 1)
 	g.mu.Lock()
 	g.next++
 	id := g.next
@@ -57,7 +57,7 @@
 	for {
 		select {
 		case v := <-verdict:
-			return v.After, v.Admit
+			return v.RetryAfter, v.Admitted
 		case <-timer.C:
 			g.mu.Lock()
 			g.tell(g.g.Expire(time.Since(g.start)))
@@ -66,12 +66,12 @@
 		case <-ctx.Done():
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			if g.g.Leave(id) {
+			if g.g.Cancel(id) {
 				delete(g.waits, id)
 				return 0, false
 			}
 			v := <-verdict // it was told in the same moment
-			return v.After, v.Admit
+			return v.RetryAfter, v.Admitted
 		}
 	}
 }
@@ -95,9 +95,9 @@
 	case after > 0 && n.store.Resumes(after):
 		return admit.Resume
 	case after > 0 || r.Header.Get(headHave) != "":
-		return admit.Whole
+		return admit.FullList
 	}
-	return admit.Empty
+	return admit.NoList
 }
 
 // refuse answers 503 with a time to come back after; 0 draws one, so that callers that
--- a/internal/catalog/gate_test.go
+++ b/internal/catalog/gate_test.go
@@ -41,7 +41,7 @@
 // is answered.
 func TestCatalogShedsCalls(t *testing.T) {
 	n := listing(3, admit.Options{Work: 1, Queue: 1, Wait: time.Minute, Least: 10 * time.Millisecond, Most: time.Minute})
-	if _, ok := n.gate.enter(t.Context(), admit.Empty); !ok { // holds the one place
+	if _, ok := n.gate.enter(t.Context(), admit.NoList); !ok { // holds the one place
 		t.Fatal("an idle catalog did not let a call in")
 	}
 	began := time.Now()
@@ -90,8 +90,8 @@
 		b.Run(c.name, func(b *testing.B) {
 			n := listing(2000, c.opt)
 			if c.name == "shed" {
-				n.gate.enter(b.Context(), admit.Empty)
-				go n.gate.enter(b.Context(), admit.Empty)
+				n.gate.enter(b.Context(), admit.NoList)
+				go n.gate.enter(b.Context(), admit.NoList)
 				for _, waits, _ := n.gate.figures(); waits == 0; _, waits, _ = n.gate.figures() {
 				}
 			}
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -98,7 +98,7 @@
 	for _, o := range c.IDs {
 		peers = append(peers, o+"="+c.raft[o]+"/"+c.HTTP[o])
 		if o != id {
-			via = append(via, c.raft[o]+"="+c.Mesh.From(id, o).Addr)
+			via = append(via, c.raft[o]+"="+c.Mesh.Link(id, o).Addr)
 		}
 	}
 	args := append([]string{"-id", id, "-data", c.dir + "/" + id, "-raft", c.raft[id], "-http", c.HTTP[id],
--- a/internal/faultnet/link.go
+++ b/internal/faultnet/link.go
@@ -90,8 +90,8 @@
 // OnAccept lets f be called at each connection accepted from now on; it must not block.
 func (l *Link) OnAccept(f func()) { l.heard.Store(&f) }
 
-// Bytes returns how many bytes the link has forwarded from its target.
-func (l *Link) Bytes() int64 { return l.bytes.Load() }
+// BytesFromTarget returns how many bytes the link has forwarded from its target.
+func (l *Link) BytesFromTarget() int64 { return l.bytes.Load() }
 
 // Retarget lets new connections go to another address; open ones stay.
 func (l *Link) Retarget(addr string) {
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -62,15 +62,15 @@
 	return start(dir, name, bin, args, nil, nil, env)
 }
 
-// StartTied is Start for a process that the kernel kills when the calling thread ends. The
+// StartWithPdeathsig is Start for a process that the kernel kills when the calling thread ends. The
 // caller has locked its goroutine to a thread that lives as long as the process should: so
 // nothing outlives a caller that panics or is killed itself.
-func StartTied(dir, name, bin string, args []string, env ...string) (*Proc, error) {
-	return StartTiedWith(nil, dir, name, bin, args, env...)
+func StartWithPdeathsig(dir, name, bin string, args []string, env ...string) (*Proc, error) {
+	return StartWithPdeathsigAndFiles(nil, dir, name, bin, args, env...)
 }
 
-// StartTiedWith is StartTied for a process that inherits files, as descriptors 3 and on.
-func StartTiedWith(files []*os.File, dir, name, bin string, args []string, env ...string) (*Proc, error) {
+// StartWithPdeathsigAndFiles is StartWithPdeathsig for a process that inherits files, as descriptors 3 and on.
+func StartWithPdeathsigAndFiles(files []*os.File, dir, name, bin string, args []string, env ...string) (*Proc, error) {
 	return start(dir, name, bin, args, files, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}, env)
 }
 
@@ -167,8 +167,8 @@
 	return m, nil
 }
 
-// From returns the link that a uses to reach b.
-func (m *Mesh) From(a, b string) *Link { return m.links[[2]string{a, b}] }
+// Link returns the link that a uses to reach b.
+func (m *Mesh) Link(a, b string) *Link { return m.links[[2]string{a, b}] }
 
 // Partition black-holes every link between a node of side and one outside it, both
 // ways; the links within each side pass.
--- a/internal/faultnet/syscalls.go
+++ b/internal/faultnet/syscalls.go
@@ -28,8 +28,8 @@
 // Fail makes the next calls of Accept fail with these errors, one each.
 func (l *Listener) Fail(errs ...syscall.Errno) { l.errs.add(errs) }
 
-// Left is how many errors are still to come.
-func (l *Listener) Left() int { return l.errs.left() }
+// Remaining is how many errors are still to come.
+func (l *Listener) Remaining() int { return l.errs.left() }
 
 // Accept fails with the error that is next in line; with none left it accepts.
 func (l *Listener) Accept() (net.Conn, error) {
--- a/internal/fleetlab/listservice.go
+++ b/internal/fleetlab/listservice.go
@@ -105,7 +105,7 @@
 		c.fail(x, same)
 		return
 	}
-	class := admit.Empty
+	class := admit.NoList
 	if x.version > 0 {
 		class = admit.Resume
 	}
@@ -116,14 +116,14 @@
 }
 
 // tell carries out what the gate has decided: a call is worked on, or turned away.
-func (c *listService) tell(due []admit.Verdict) {
+func (c *listService) tell(due []admit.Decision) {
 	w := c.w
 	for _, v := range due {
 		x := c.calls[v.ID]
 		delete(c.calls, v.ID)
-		if !v.Admit {
+		if !v.Admitted {
 			w.rec.Call(c.index, w.now, 0, true)
-			x.rest = v.After
+			x.rest = v.RetryAfter
 			c.fail(x, w.s.Net.Same.std())
 			continue
 		}
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -229,7 +229,7 @@
 	p.record(func(r *Recorder, now Time) {
 		r.Pending(now, pending)
 		for i, c := range p.catalogs {
-			bytes := c.link.Bytes()
+			bytes := c.link.BytesFromTarget()
 			r.bytes[i] += bytes - c.bytes
 			c.bytes = bytes
 		}
@@ -377,7 +377,7 @@
 	done := make(chan struct{})
 	s.calls <- func() {
 		at = time.Now()
-		p, err = faultnet.StartTiedWith(files, dir, name, bin, args, env...)
+		p, err = faultnet.StartWithPdeathsigAndFiles(files, dir, name, bin, args, env...)
 		close(done)
 	}
 	<-done
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -13,18 +13,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "receivers")
 		all := rapid.Bool().Draw(t, "each reaches all")
-		var rows [][]Part
+		var rows [][]Edge
 		var rates []float64
 		for range rapid.IntRange(1, 12).Draw(t, "senders") {
-			var row []Part
+			var row []Edge
 			for to := range n {
 				if all || rapid.Bool().Draw(t, "reaches") {
-					row = append(row, Part{To: to})
+					row = append(row, Edge{To: to})
 				}
 			}
 			rows, rates = append(rows, row), append(rates, rapid.SampledFrom([]float64{0, 0.01, 1, 3, 40, 1e6}).Draw(t, "rate"))
 		}
-		Even(rows, rates, n, 0.5, 30)
+		Balance(rows, rates, n, 0.5, 30)
 		load, sum := make([]float64, n), 0.0
 		for i, row := range rows {
 			got := 0.0
@@ -50,8 +50,8 @@
 
 // A busy sender that shares its receivers with quiet ones: they make room.
 func TestEvenMakesRoom(t *testing.T) {
-	rows := [][]Part{{{To: 0}, {To: 1}, {To: 2}}, {{To: 1}, {To: 2}, {To: 3}}, {{To: 2}, {To: 3}, {To: 0}}}
-	Even(rows, []float64{6, 3, 3}, 4, 0.5, 30)
+	rows := [][]Edge{{{To: 0}, {To: 1}, {To: 2}}, {{To: 1}, {To: 2}, {To: 3}}, {{To: 2}, {To: 3}, {To: 0}}}
+	Balance(rows, []float64{6, 3, 3}, 4, 0.5, 30)
 	load := make([]float64, 4)
 	for _, row := range rows {
 		for _, p := range row {
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -66,7 +66,7 @@
 				t.Fatalf("service ended after %v: %v", errno, err)
 			default:
 			}
-			if left := ln.Left(); left > 0 {
+			if left := ln.Remaining(); left > 0 {
 				t.Fatalf("%v: %d failures have not come to pass", errno, left)
 			}
 		}
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -71,7 +71,7 @@
 
 // Serve answers calls that come to ln.
 func (o *Operator) Serve(ln net.Listener) error {
-	return o.http.Serve(framedListener{listener.Persist(ln, "operators")})
+	return o.http.Serve(framedListener{listener.NewRetrying(ln, "operators")})
 }
 
 // track closes the oldest connection when there are too many: a call takes so little
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -88,7 +88,7 @@
 // Serve takes requests from ln until Shutdown has closed it.
 func (s *Server) Serve(ln net.Listener) error {
 	backlog := newBacklog(ln)
-	ln = listener.Persist(backlog, "clients")
+	ln = listener.NewRetrying(backlog, "clients")
 	ln = &clientListener{framedListener: framedListener{ln}, backlog: backlog, server: s, done: make(chan struct{})}
 	s.ln.Store(&ln)
 	if s.stopping.Load() {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -15,12 +15,12 @@
 	logEvery   = time.Second
 )
 
-// Persistent is a net.Listener whose Accept returns an error only once it has been closed.
+// Retrying is a net.Listener whose Accept returns an error only once it has been closed.
 // Linux reports pending network errors of a new connection through accept, and a want of
 // descriptors, buffers or memory passes: neither says that the listening socket is broken. A
 // failure is logged, once a second at most, and accept is tried again after a pause that
 // grows from 1 to 200 ms.
-type Persistent struct {
+type Retrying struct {
 	net.Listener
 	name string // for the log
 
@@ -32,13 +32,13 @@
 	failed int // accepts since the last line
 }
 
-// Persist returns a Persistent over ln; name says in the log whose connections it takes.
-func Persist(ln net.Listener, name string) *Persistent {
-	return &Persistent{Listener: ln, name: name, done: make(chan struct{})}
+// NewRetrying returns a Retrying over ln; name says in the log whose connections it takes.
+func NewRetrying(ln net.Listener, name string) *Retrying {
+	return &Retrying{Listener: ln, name: name, done: make(chan struct{})}
 }
 
 // Accept returns the next connection, or net.ErrClosed after Close.
-func (l *Persistent) Accept() (net.Conn, error) {
+func (l *Retrying) Accept() (net.Conn, error) {
 	for pause := time.Duration(0); ; pause = min(max(firstPause, 2*pause), mostPause) {
 		conn, err := l.Listener.Accept()
 		if err == nil {
@@ -57,7 +57,7 @@
 }
 
 // log notes a failure unless the last line was just now.
-func (l *Persistent) log(err error) {
+func (l *Retrying) log(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failed++
@@ -68,7 +68,7 @@
 }
 
 // Close ends Accept, also while it pauses.
-func (l *Persistent) Close() error {
+func (l *Retrying) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
--- a/internal/membership/lists.go
+++ b/internal/membership/lists.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// AskList asks a few peers for their list; one that has one gives it soon after.
-func (n *Node) AskList() {
+// RequestLists asks a few peers for their list; one that has one gives it soon after.
+func (n *Node) RequestLists() {
 	members := n.ml.Members()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	asked := 0
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -144,7 +144,7 @@
 				absent = append(absent, addr)
 			}
 		}
-		if n.Live() <= 1 {
+		if n.LiveCount() <= 1 {
 			wait = min(wait, joinAlone)
 		}
 		if len(absent) == 0 {
@@ -206,11 +206,11 @@
 	return out
 }
 
-// Unreadable counts the packets and streams that memberlist could not decode.
-func (n *Node) Unreadable() int64 { return n.bad.Load() }
+// UnreadableCount counts the packets and streams that memberlist could not decode.
+func (n *Node) UnreadableCount() int64 { return n.bad.Load() }
 
-// Why is the last change of the view: a peer and its new state.
-func (n *Node) Why() string {
+// LastChange is the last change of the view: a peer and its new state.
+func (n *Node) LastChange() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.why
@@ -223,9 +223,9 @@
 	tellEvery = 10 * time.Second
 )
 
-// Tell lets the others know this gateway's rank and traffic: at once where that moved by
+// AnnounceLoad lets the others know this gateway's rank and traffic: at once where that moved by
 // much, else every tellEvery at most. It does not wait for them.
-func (n *Node) Tell(rank int, rate float64) {
+func (n *Node) AnnounceLoad(rank int, rate float64) {
 	now, old := time.Now(), n.load.Load()
 	if old != nil && old.rank == rank && now.Sub(old.at) < tellEvery &&
 		math.Abs(rate-old.rate) <= tellMoved*max(old.rate, 0.1) {
@@ -235,8 +235,8 @@
 	go n.ml.UpdateNode(tellEvery / 2)
 }
 
-// Live counts the peers alive or suspect, this one included.
-func (n *Node) Live() int {
+// LiveCount counts the peers alive or suspect, this one included.
+func (n *Node) LiveCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	live := 0
--- a/view.go
+++ b/view.go
@@ -63,27 +63,27 @@
 	there := max(float64(len(b.peers)), float64(b.set.Instances)/viewDoubt)
 	want := viewSharers * float64(len(b.hosts)) / there
 	b.shared += min(max(want-b.shared, -1), 1)
-	rows, rates, own := make([][]flow.Part, len(b.peers)), make([]float64, len(b.peers)), -1
+	rows, rates, own := make([][]flow.Edge, len(b.peers)), make([]float64, len(b.peers)), -1
 	for i, p := range b.peers {
 		rates[i] = max(p.Rate, rateLeast)
 		if p.Rank == b.set.Rank && own < 0 {
 			own = i
 			for _, h := range b.drawn {
 				if b.inUse(h) {
-					rows[i] = append(rows[i], flow.Part{To: h.index})
+					rows[i] = append(rows[i], flow.Edge{To: h.index})
 				}
 			}
 			continue
 		}
 		reach := b.reachOf(rates[i], b.shared)
 		for k := 0; k < len(b.ring)+jumps && len(rows[i]) < reach; k++ {
-			part := flow.Part{To: b.at(p.Rank, k).index}
+			part := flow.Edge{To: b.at(p.Rank, k).index}
 			if h := b.ring[part.To]; h.takes() && b.inUse(h) && !slices.Contains(rows[i], part) {
 				rows[i] = append(rows[i], part)
 			}
 		}
 	}
-	flow.Even(rows, rates, len(b.ring), viewMost, viewRounds)
+	flow.Balance(rows, rates, len(b.ring), viewMost, viewRounds)
 	if own < 0 {
 		return
 	}
