--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -8,34 +8,36 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// incarnationWord, and a number after it, tells a peer which incarnation of it is known.
-const incarnationWord = "incarnation:"
+// incarnationPrefix begins a message that carries, in decimal, the highest incarnation of the
+// receiver that the sender knows.
+const incarnationPrefix = "incarnation:"
 
-// mostRaise is how far an incarnation is raised at the word of a peer: ten years, in ms, which
-// is beyond any step of a clock; garbage must not use up the numbers.
-const mostRaise = 10 * 365 * 24 * uint64(time.Hour/time.Millisecond)
+// maxIncarnationRaise bounds, in ms, by how much a message of a peer may raise the own incarnation.
+// Ten years exceed any step of a wall clock, and a corrupt message cannot exhaust the number space.
+const maxIncarnationRaise = 10 * 365 * 24 * uint64(time.Hour/time.Millisecond)
 
-// tellIncarnation tells a peer that it says a lower incarnation than is known of it: its wall
-// clock was stepped back before it was started anew.
-func (n *Node) tellIncarnation(to *memberlist.Node, known uint64) {
+// reportIncarnation notifies a peer that it announces a lower incarnation than the known one,
+// as happens when its wall clock was stepped back before it restarted.
+func (n *Node) reportIncarnation(to *memberlist.Node, known uint64) {
 	if n.ml == nil {
 		return // not joined yet
 	}
-	word := strconv.AppendUint([]byte(incarnationWord), known, 10)
-	if err := n.ml.SendReliable(to, word); err != nil {
-		slog.Info("membership: peer not told its incarnation", "peer", to.Name, "err", err)
+	message := strconv.AppendUint([]byte(incarnationPrefix), known, 10)
+	if err := n.ml.SendReliable(to, message); err != nil {
+		slog.Info("membership: known incarnation not sent to peer", "peer", to.Name, "err", err)
 	}
 }
 
-// raise takes a higher incarnation than a peer knows of this process, and lets all know.
-func (n *Node) raise(text string) {
+// raiseIncarnation sets an incarnation above the one that a peer knows of this process, given in
+// decimal, and announces it to all peers.
+func (n *Node) raiseIncarnation(text string) {
 	known, err := strconv.ParseUint(text, 10, 64)
-	own := n.inc.Load()
-	if err != nil || known < own || known-own > mostRaise {
-		return // garbage, or it is raised already
+	current := n.incarnation.Load()
+	if err != nil || known < current || known-current > maxIncarnationRaise {
+		return // the message is invalid, or the incarnation is already higher
 	}
-	if n.inc.CompareAndSwap(own, known+1) {
-		slog.Info("membership: incarnation raised, peers knew a higher one", "from", own, "to", known+1)
-		go n.ml.UpdateNode(tellEvery / 2)
+	if n.incarnation.CompareAndSwap(current, known+1) {
+		slog.Info("membership: incarnation raised, peers knew a higher one", "from", current, "to", known+1)
+		go n.ml.UpdateNode(announceInterval / 2)
 	}
 }
--- a/internal/membership/incarnation_test.go
+++ b/internal/membership/incarnation_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-const patience = 60 * time.Second // for a condition: long, as machines are noisy
+const conditionTimeout = 60 * time.Second // long, because test machines may be overloaded
 
-// freeBind is a loopback address whose port was free just now, for UDP and TCP.
-func freeBind(t *testing.T) string {
+// freeAddr returns a loopback address whose TCP port was free when it was probed; the node uses
+// the port for UDP and TCP.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.86:0") // nothing else uses that address
 	if err != nil {
@@ -28,11 +29,12 @@
 	return n
 }
 
-// awaitPeer waits until a node has a peer as is wanted.
-func awaitPeer(t *testing.T, n *Node, name, what string, ok func(Peer) bool) {
+// waitForPeer waits until the view of n has the named peer and ok accepts it; what describes the
+// condition in the failure.
+func waitForPeer(t *testing.T, n *Node, name, what string, ok func(Peer) bool) {
 	t.Helper()
 	var last Peer
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, p := range n.View() {
 			if last = p; p.Name == name && ok(p) {
 				return
@@ -42,18 +44,19 @@
 	t.Fatalf("%s is not %s: %+v", name, what, last)
 }
 
-// A process that is started anew after the wall clock was stepped back says a lower
-// incarnation than its peers know. It hears of that, takes a higher one, and is alive.
-func TestRestartAfterAStepBackIsBelieved(t *testing.T) {
-	const before, after = 2_000_000_000_000, 1_999_996_400_000 // an hour less
-	here, there := freeBind(t), freeBind(t)
+// A process that restarts after its wall clock was stepped back announces a lower incarnation
+// than its peers know, and they reject it. They send it the known incarnation; it must then
+// announce a higher one and become alive in their views.
+func TestRestartAfterClockStepBackIsAccepted(t *testing.T) {
+	const before, after = 2_000_000_000_000, 1_999_996_400_000 // in Unix ms, one hour apart
+	here, there := freeAddr(t), freeAddr(t)
 	a := startNode(t, "a", here, before)
 	defer a.Leave(time.Second)
 	b := startNode(t, "b", there, before, here)
-	awaitPeer(t, a, "b", "alive", func(p Peer) bool { return p.State == Alive })
+	waitForPeer(t, a, "b", "alive", func(p Peer) bool { return p.State == Alive })
 	b.Leave(time.Second)
-	awaitPeer(t, a, "b", "left", func(p Peer) bool { return p.State == Left })
+	waitForPeer(t, a, "b", "left", func(p Peer) bool { return p.State == Left })
 	b = startNode(t, "b", there, after, here)
 	defer b.Leave(time.Second)
-	awaitPeer(t, a, "b", "alive again", func(p Peer) bool { return p.State == Alive && p.Incarnation > before })
+	waitForPeer(t, a, "b", "alive again", func(p Peer) bool { return p.State == Alive && p.Incarnation > before })
 }
--- a/internal/membership/lists.go
+++ b/internal/membership/lists.go
@@ -12,28 +12,30 @@
 	"golang.org/x/time/rate"
 )
 
-// Lists is what a gateway shares with its peers: the list of hosts that it has. The node
-// carries it and checks that it came whole; what it says is for the owner to judge.
+// Lists gives the node access to the host list that a gateway shares with its peers. The node
+// transports the list and checks its integrity; validating the contents is up to the implementation.
 type Lists interface {
-	// Offer returns the list as the owner encodes it, or nil where there is none.
+	// Offer returns the encoded list, or nil if there is none.
 	Offer() []byte
-	// Take is a list that a peer gave, whole. An error refuses it and is logged.
+	// Take accepts an encoded list that was received intact from a peer. An error refuses the
+	// list and is logged.
 	Take(list []byte) error
 }
 
 const (
-	listMagic = "bl-list1"
-	maxList   = 1 << 20 // bytes of an encoded list; a longer one is neither offered nor taken
-	wantWord  = "want-list:"
-	listWord  = "list:"
-	wantAsked = 3 // peers asked at once
+	listMagic         = "bl-list1"
+	maxListBytes      = 1 << 20 // of an encoded list; a longer one is neither sent nor accepted
+	listRequestPrefix = "want-list:"
+	listPrefix        = "list:"
+	maxListRequests   = 3 // peers that one call of RequestLists asks
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal puts a list behind the magic and its CRC-32C; nil where there is none to offer.
-func seal(list []byte) []byte {
-	if len(list) == 0 || len(list) > maxList {
+// frameList prepends the magic string and the CRC-32C to an encoded list. It returns nil for an
+// empty list and for one longer than maxListBytes.
+func frameList(list []byte) []byte {
+	if len(list) == 0 || len(list) > maxListBytes {
 		return nil
 	}
 	out := binary.LittleEndian.AppendUint32([]byte(listMagic), crc32.Checksum(list, castagnoli))
@@ -41,86 +43,89 @@
 }
 
 var (
-	errNoList = errors.New("not a list of this form")
-	errTorn   = errors.New("its checksum is wrong")
-	errLong   = errors.New("longer than 1 MB")
+	errListFormat   = errors.New("not a list in the expected format")
+	errListChecksum = errors.New("checksum mismatch")
+	errListTooLong  = errors.New("longer than 1 MB")
 )
 
-// open returns what seal was given.
-func open(b []byte) ([]byte, error) {
-	rest, ok := bytes.CutPrefix(b, []byte(listMagic))
-	if !ok || len(rest) < 4 {
-		return nil, errNoList
+// parseListFrame returns the encoded list from a frame that frameList made.
+func parseListFrame(b []byte) ([]byte, error) {
+	payload, ok := bytes.CutPrefix(b, []byte(listMagic))
+	if !ok || len(payload) < 4 {
+		return nil, errListFormat
 	}
-	list := rest[4:]
-	if len(list) > maxList {
-		return nil, errLong
+	list := payload[4:]
+	if len(list) > maxListBytes {
+		return nil, errListTooLong
 	}
-	if binary.LittleEndian.Uint32(rest) != crc32.Checksum(list, castagnoli) {
-		return nil, errTorn
+	if binary.LittleEndian.Uint32(payload) != crc32.Checksum(list, castagnoli) {
+		return nil, errListChecksum
 	}
 	return list, nil
 }
 
-// take checks a list that a peer gave and hands it on.
-func (n *Node) take(b []byte) {
+// receiveList checks the integrity of a list from a peer and passes it to Lists.Take.
+func (n *Node) receiveList(b []byte) {
 	if n.lists == nil || len(b) == 0 {
 		return
 	}
-	list, err := open(b)
+	list, err := parseListFrame(b)
 	if err == nil {
 		err = n.lists.Take(list)
 	}
 	if err != nil {
-		n.bad.Add(1)
+		n.unreadable.Add(1)
 		slog.Warn("membership: a peer's list refused", "err", err, "bytes", len(b))
 	}
 }
 
-// give answers a peer that has no list, within the rate that this node gives lists.
-func (n *Node) give(name string) {
-	if n.lists == nil || !n.gives.Allow() {
+// sendList sends the list to the named peer, which requested it, unless the rate limit of this
+// node is exhausted.
+func (n *Node) sendList(name string) {
+	if n.lists == nil || !n.listLimiter.Allow() {
 		return
 	}
-	list := seal(n.lists.Offer())
+	list := frameList(n.lists.Offer())
 	if list == nil {
 		return
 	}
 	for _, m := range n.ml.Members() {
 		if m.Name == name {
-			if err := n.ml.SendReliable(m, append([]byte(listWord), list...)); err != nil {
-				slog.Info("membership: list not given", "peer", name, "err", err)
+			if err := n.ml.SendReliable(m, append([]byte(listPrefix), list...)); err != nil {
+				slog.Info("membership: list not sent to peer", "peer", name, "err", err)
 			}
 			return
 		}
 	}
 }
 
-// RequestLists asks a few peers for their list; one that has one gives it soon after.
+// RequestLists asks a few randomly chosen peers for their host list. Answers arrive later, by
+// Lists.Take; a peer without a list does not answer.
 func (n *Node) RequestLists() {
 	members := n.ml.Members()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	asked := 0
 	for _, m := range members {
-		if m.Name != n.self && asked < wantAsked {
-			n.ml.SendBestEffort(m, []byte(wantWord+n.self))
+		if m.Name != n.name && asked < maxListRequests {
+			n.ml.SendBestEffort(m, []byte(listRequestPrefix+n.name))
 			asked++
 		}
 	}
 }
 
-// newGives bounds the lists given: 50 a second, as each may have a megabyte.
-func newGives() *rate.Limiter { return rate.NewLimiter(50, 50) }
+// newListLimiter limits the lists sent on request to 50 per second, because each may be 1 MB long.
+func newListLimiter() *rate.Limiter { return rate.NewLimiter(50, 50) }
 
-// LocalState is given to a peer that joins, and to the one joined through.
+// LocalState returns the framed list for the state exchange of a join, which runs in both
+// directions. It implements memberlist.Delegate.
 func (d *delegate) LocalState(join bool) []byte {
 	if !join || d.lists == nil {
 		return nil
 	}
-	return seal(d.lists.Offer())
+	return frameList(d.lists.Offer())
 }
 
-// MergeRemoteState takes what LocalState gave at the peer.
-func (d *delegate) MergeRemoteState(buf []byte, join bool) { (*Node)(d).take(buf) }
+// MergeRemoteState receives the result of the peer's LocalState. It implements memberlist.Delegate.
+func (d *delegate) MergeRemoteState(buf []byte, join bool) { (*Node)(d).receiveList(buf) }
 
 var _ memberlist.Delegate = (*delegate)(nil)
--- a/internal/membership/lists_test.go
+++ b/internal/membership/lists_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// A list comes through whole; one with any byte flipped, cut anywhere, or too long is
-// refused before its owner sees it.
-func TestSealedListIsChecked(t *testing.T) {
+// An intact list is decoded unchanged. A frame with a modified byte or cut at any length is
+// refused, and a list that is too long or empty is not framed.
+func TestCorruptListIsRefused(t *testing.T) {
 	list := []byte(`{"version":7,"servers":[]}`)
-	sealed := seal(list)
-	if got, err := open(sealed); err != nil || !bytes.Equal(got, list) {
+	framed := frameList(list)
+	if got, err := parseListFrame(framed); err != nil || !bytes.Equal(got, list) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	for i := range sealed {
-		torn := bytes.Clone(sealed)
-		torn[i] ^= 0x40
-		if _, err := open(torn); err == nil {
-			t.Errorf("byte %d flipped, and it was taken", i)
+	for i := range framed {
+		corrupt := bytes.Clone(framed)
+		corrupt[i] ^= 0x40
+		if _, err := parseListFrame(corrupt); err == nil {
+			t.Errorf("a frame with byte %d modified was accepted", i)
 		}
-		if _, err := open(sealed[:i]); err == nil {
-			t.Errorf("cut to %d bytes, and it was taken", i)
+		if _, err := parseListFrame(framed[:i]); err == nil {
+			t.Errorf("a frame cut to %d bytes was accepted", i)
 		}
 	}
-	if seal(make([]byte, maxList+1)) != nil || seal(nil) != nil {
-		t.Error("a list too long, or none, was sealed")
+	if frameList(make([]byte, maxListBytes+1)) != nil || frameList(nil) != nil {
+		t.Error("a list that is too long or empty was framed")
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership tells a gateway which other gateways are present: a view kept
-// from hashicorp/memberlist (SWIM with suspicion and Lifeguard), with each peer's
-// state, incarnation and the time it was last confirmed.
+// Package membership maintains a gateway's view of the other gateways of its fleet, based on
+// hashicorp/memberlist (SWIM with suspicion and Lifeguard). The view has each peer's state,
+// incarnation and the time at which the peer was last confirmed alive. The package also shares
+// each gateway's load and host list with its peers.
 package membership
 
 import (
@@ -27,75 +28,78 @@
 const (
 	Alive   = "alive"
 	Suspect = "suspect"
-	Left    = "left" // said goodbye (SIGTERM)
-	Dead    = "dead" // stopped answering probes and indirect probes, suspicion ran out
+	Left    = "left" // announced that it leaves, as on SIGTERM
+	Dead    = "dead" // answered neither probes nor indirect probes until the suspicion timeout
 )
 
-// Peer is one gateway as the view has it.
+// Peer is the view's entry of one gateway.
 type Peer struct {
 	Name  string `json:"name"`
 	Addr  string `json:"addr"`
 	State string `json:"state"`
-	// Incarnation is the process's: its start in Unix ms, from its metadata, or one more
-	// than a peer knew of it. A peer that says a lower one than the view holds is not
-	// believed; it is told which is known, and takes a higher one.
+	// Incarnation identifies the peer's process. It comes from the peer's metadata: its start
+	// time in Unix ms, or one more than the highest incarnation that another peer knew. Messages
+	// with a lower incarnation than the view's are ignored; the peer is sent the known one and
+	// announces a higher one.
 	Incarnation uint64    `json:"incarnation"`
-	Confirmed   time.Time `json:"confirmed"` // last seen in this state or alive
-	Since       time.Time `json:"since"`     // of the present state
-	Rank        int       `json:"rank"`      // of its settings, and
-	Rate        float64   `json:"rate"`      // requests a second that came to it, as it told last
-	leaving     bool      // it said it leaves: its end is a goodbye
+	Confirmed   time.Time `json:"confirmed"` // when the peer was last confirmed alive
+	Since       time.Time `json:"since"`     // when the peer entered its present state
+	Rank        int       `json:"rank"`      // rank in the peer's settings
+	Rate        float64   `json:"rate"`      // requests per second received by the peer, as last announced
+	leaving     bool      // the peer announced that it leaves, so it ends as Left, not as Dead
 }
 
 // Options configure a Node.
 type Options struct {
 	Name  string   // unique among the gateways
 	Bind  string   // host:port for memberlist's UDP and TCP
-	Peers []string // host:port of some others, to join through
-	// Incarnation of this process; 0 takes the present time in ms.
+	Peers []string // host:port of gateways to join
+	// Incarnation is the incarnation of this process; 0 stands for the present time in Unix ms.
 	Incarnation uint64
-	// Local takes memberlist's timing for one machine (a probe waits 200 ms for its
-	// answer) instead of its LAN timing (500 ms); both probe one peer a second.
+	// Local selects memberlist's timing for a single machine (a probe timeout of 200 ms)
+	// instead of its LAN timing (500 ms). Both probe one peer per second.
 	Local bool
-	// Lists, if set, is shared with peers that have none.
+	// Lists is the host list to share with peers; nil disables sharing.
 	Lists Lists
 }
 
-// Node is this gateway's membership.
+// Node is this gateway's participation in the membership protocol. It is safe for concurrent use.
 type Node struct {
-	ml   *memberlist.Memberlist
-	self string
-	inc  atomic.Uint64 // incarnation of this process
-	bad  atomic.Int64  // packets and streams that could not be read
-	// leaving is said in the metadata before the goodbye: memberlist tells a goodbye and
-	// a death alike to the events, so the view tells them apart by this.
+	ml          *memberlist.Memberlist
+	name        string
+	incarnation atomic.Uint64 // incarnation of this process
+	unreadable  atomic.Int64  // packets and streams that could not be decoded, and refused lists
+	// leaving is announced in the metadata before memberlist's own leave message, because
+	// memberlist delivers the same event for a peer that left and for one that died.
 	leaving atomic.Bool
 
-	lists   Lists
-	gives   *rate.Limiter
-	stopped chan struct{} // closed by Leave
-	load    atomic.Pointer[load]
+	lists       Lists
+	listLimiter *rate.Limiter
+	stopped     chan struct{} // closed by Leave
+	announced   atomic.Pointer[announcedLoad]
 
-	mu   sync.Mutex
-	view map[string]*Peer
-	why  string // the last change of the view
+	mu         sync.Mutex
+	view       map[string]*Peer
+	lastChange string // last change of the view, as "name state"
 }
 
-type meta struct {
-	Inc     uint64  `json:"inc"`
-	Leaving bool    `json:"leaving,omitempty"`
-	Rank    int     `json:"rank,omitempty"`
-	Rate    float64 `json:"rate,omitempty"`
+// nodeMetadata is the metadata that a gateway publishes through memberlist, as JSON.
+type nodeMetadata struct {
+	Incarnation uint64  `json:"inc"`
+	Leaving     bool    `json:"leaving,omitempty"`
+	Rank        int     `json:"rank,omitempty"`
+	Rate        float64 `json:"rate,omitempty"`
 }
 
-// load is this gateway's place and traffic, as told to the others.
-type load struct {
+// announcedLoad is the rank and traffic that this gateway last announced to its peers.
+type announcedLoad struct {
 	rank int
 	rate float64
 	at   time.Time
 }
 
-// Start begins to join the peers, and goes on as long as some are absent, and keeps the view.
+// Start starts a Node, which maintains the view and joins absent peers in the background until
+// Leave.
 func Start(opt Options) (*Node, error) {
 	host, portText, err := net.SplitHostPort(opt.Bind)
 	if err != nil {
@@ -105,10 +109,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership bind: port %q", portText)
 	}
-	n := &Node{self: opt.Name, view: map[string]*Peer{}, lists: opt.Lists, gives: newGives(), stopped: make(chan struct{})}
-	n.inc.Store(opt.Incarnation)
+	n := &Node{name: opt.Name, view: map[string]*Peer{}, lists: opt.Lists, listLimiter: newListLimiter(), stopped: make(chan struct{})}
+	n.incarnation.Store(opt.Incarnation)
 	if opt.Incarnation == 0 {
-		n.inc.Store(uint64(time.Now().UnixMilli()))
+		n.incarnation.Store(uint64(time.Now().UnixMilli()))
 	}
 	cfg := memberlist.DefaultLANConfig()
 	if opt.Local {
@@ -118,7 +122,7 @@
 	cfg.AdvertiseAddr, cfg.AdvertisePort = host, port
 	cfg.Delegate, cfg.Events = (*delegate)(n), (*events)(n)
 	cfg.Alive, cfg.Ping = (*events)(n), (*events)(n)
-	cfg.Logger = log.New(&logSink{n: n}, "", 0)
+	cfg.Logger = log.New(&logSink{node: n}, "", 0)
 	if n.ml, err = memberlist.Create(cfg); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
@@ -126,34 +130,34 @@
 	return n, nil
 }
 
-// Waits between two joins of peers that the view lacks.
+// Waits between two attempts to join peers that the view lacks.
 const (
-	joinFirst = 200 * time.Millisecond
-	joinMost  = 5 * time.Second
-	joinAlone = time.Second // ... while it sees nobody
+	minJoinWait      = 200 * time.Millisecond
+	maxJoinWait      = 5 * time.Second
+	maxJoinWaitAlone = time.Second // limit while the view has no other peer
 )
 
-// keepJoined joins configured peers that are not alive in the view, a few at a time, as
-// long as this node runs. A peer that started later, or the other side of a cut that lasted
-// until each had the other dead, is found by nothing else.
+// keepJoined joins configured peers that are not live in the view, a few at a time, until Leave.
+// Nothing else finds a peer that started later, or the other side of a network partition that
+// lasted until both sides declared each other dead.
 func (n *Node) keepJoined(peers []string) {
-	for wait := joinFirst; ; wait = min(2*wait, joinMost) {
+	for wait := minJoinWait; ; wait = min(2*wait, maxJoinWait) {
 		var absent []string
 		for _, addr := range peers {
-			if !n.sees(addr) {
+			if !n.hasLivePeer(addr) {
 				absent = append(absent, addr)
 			}
 		}
 		if n.LiveCount() <= 1 {
-			wait = min(wait, joinAlone)
+			wait = min(wait, maxJoinWaitAlone)
 		}
 		if len(absent) == 0 {
-			wait = joinMost
+			wait = maxJoinWait
 		} else {
 			rand.Shuffle(len(absent), func(i, j int) { absent[i], absent[j] = absent[j], absent[i] })
 			if joined, err := n.ml.Join(absent[:min(len(absent), 3)]); joined > 0 {
 				slog.Info("membership joined", "through", joined)
-			} else if wait == joinFirst || wait == joinMost {
+			} else if wait == minJoinWait || wait == maxJoinWait {
 				slog.Warn("membership: no peer answered the join, trying again", "absent", len(absent), "err", err)
 			}
 		}
@@ -165,8 +169,8 @@
 	}
 }
 
-// sees says whether the view has an address alive or suspect.
-func (n *Node) sees(addr string) bool {
+// hasLivePeer reports whether the view has an alive or suspect peer at addr.
+func (n *Node) hasLivePeer(addr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.view {
@@ -177,15 +181,16 @@
 	return false
 }
 
-// Leave says goodbye, so that peers mark this one left at once, and stops.
+// Leave announces that this gateway leaves, so that its peers mark it as left at once, and stops
+// the node. Leave must be called at most once.
 func (n *Node) Leave(timeout time.Duration) error {
 	n.leaving.Store(true)
 	close(n.stopped)
-	// Each peer hears it straight away, then by gossip, and only then the goodbye.
-	word := []byte(leaveWord + n.self)
+	// Peers get the announcement directly and by gossip before memberlist's own leave message.
+	message := []byte(leavePrefix + n.name)
 	for _, m := range n.ml.Members() {
-		if m.Name != n.self {
-			n.ml.SendBestEffort(m, word)
+		if m.Name != n.name {
+			n.ml.SendBestEffort(m, message)
 		}
 	}
 	n.ml.UpdateNode(timeout / 2)
@@ -194,7 +199,7 @@
 	return err
 }
 
-// View returns the peers, this one included, by name.
+// View returns all known gateways, this one included, sorted by name.
 func (n *Node) View() []Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -206,36 +211,37 @@
 	return out
 }
 
-// UnreadableCount counts the packets and streams that memberlist could not decode.
-func (n *Node) UnreadableCount() int64 { return n.bad.Load() }
+// UnreadableCount returns how many packets and streams memberlist could not decode, plus how many
+// lists from peers were refused.
+func (n *Node) UnreadableCount() int64 { return n.unreadable.Load() }
 
-// LastChange is the last change of the view: a peer and its new state.
+// LastChange returns the last change of the view as a peer's name and its new state.
 func (n *Node) LastChange() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.why
+	return n.lastChange
 }
 
-// How far a rate has to move to be told before its time, and that time: each telling is
-// gossiped through the whole bank.
+// Limits on announcements of the load, as each one is gossiped through the whole fleet.
 const (
-	tellMoved = 0.3
-	tellEvery = 10 * time.Second
+	minRateChange    = 0.3              // relative change of the rate that is announced at once
+	announceInterval = 10 * time.Second // between two announcements of smaller changes
 )
 
-// AnnounceLoad lets the others know this gateway's rank and traffic: at once where that moved by
-// much, else every tellEvery at most. It does not wait for them.
+// AnnounceLoad announces this gateway's rank and its requests per second to its peers. A new rank
+// and a large change of the rate are announced at once, anything else at most once per
+// announceInterval. It does not block.
 func (n *Node) AnnounceLoad(rank int, rate float64) {
-	now, old := time.Now(), n.load.Load()
-	if old != nil && old.rank == rank && now.Sub(old.at) < tellEvery &&
-		math.Abs(rate-old.rate) <= tellMoved*max(old.rate, 0.1) {
+	now, old := time.Now(), n.announced.Load()
+	if old != nil && old.rank == rank && now.Sub(old.at) < announceInterval &&
+		math.Abs(rate-old.rate) <= minRateChange*max(old.rate, 0.1) {
 		return
 	}
-	n.load.Store(&load{rank, math.Round(rate*1000) / 1000, now})
-	go n.ml.UpdateNode(tellEvery / 2)
+	n.announced.Store(&announcedLoad{rank, math.Round(rate*1000) / 1000, now})
+	go n.ml.UpdateNode(announceInterval / 2)
 }
 
-// LiveCount counts the peers alive or suspect, this one included.
+// LiveCount returns the number of alive and suspect gateways, this one included.
 func (n *Node) LiveCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -248,10 +254,10 @@
 	return live
 }
 
-// set moves a peer to a state, and logs it if that is a change.
-func (n *Node) set(node *memberlist.Node, state string) {
+// applyEvent updates a peer from a memberlist event and logs a change of its state.
+func (n *Node) applyEvent(node *memberlist.Node, state string) {
 	now := time.Now()
-	var m meta
+	var m nodeMetadata
 	json.Unmarshal(node.Meta, &m)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -260,24 +266,24 @@
 		p = &Peer{Name: node.Name}
 		n.view[node.Name] = p
 	}
-	if m.Inc != 0 && m.Inc < p.Incarnation {
+	if m.Incarnation != 0 && m.Incarnation < p.Incarnation {
 		slog.Warn("membership: peer says an older incarnation, not believed", "peer", node.Name,
-			"incarnation", m.Inc, "known", p.Incarnation, "state", state)
+			"incarnation", m.Incarnation, "known", p.Incarnation, "state", state)
 		if state == Alive {
-			peer := *node                              // memberlist changes it
-			go n.tellIncarnation(&peer, p.Incarnation) // not from here: memberlist holds its lock
+			peer := *node                                // a copy, because memberlist modifies its node
+			go n.reportIncarnation(&peer, p.Incarnation) // a goroutine, because memberlist holds its lock here
 		}
 		return
 	}
-	if m.Inc > p.Incarnation {
-		p.leaving = false // a new process under the old name
+	if m.Incarnation > p.Incarnation {
+		p.leaving = false // a new process has taken over the name
 	}
 	p.leaving = p.leaving || m.Leaving
 	if p.leaving {
-		state = Left // its goodbye holds over what the list says until it is gone
+		state = Left // a leaving peer stays left whatever memberlist reports
 	}
-	if m.Inc != 0 {
-		p.Incarnation = m.Inc
+	if m.Incarnation != 0 {
+		p.Incarnation = m.Incarnation
 	}
 	p.Addr, p.Rank, p.Rate = node.Address(), m.Rank, max(m.Rate, 0)
 	if state == Alive {
@@ -285,17 +291,17 @@
 	}
 	if p.State != state {
 		old := p.State
-		p.State, p.Since, n.why = state, now, node.Name+" "+state
+		p.State, p.Since, n.lastChange = state, now, node.Name+" "+state
 		slog.Info("membership change", "peer", node.Name, "from", old, "to", state,
 			"incarnation", p.Incarnation, "addr", p.Addr)
 	}
 }
 
-// mark moves a peer between alive and suspect, which memberlist tells no event of: it
-// is suspect when this gateway's own probe of it failed (memberlist's log line), and
-// alive again when a probe is acked or an alive message about it is heard, as a
-// refutation is. Left and dead come only from memberlist's events.
-func (n *Node) mark(name, state string) {
+// setLiveness moves a peer between alive and suspect, for which memberlist has no event. A peer
+// becomes suspect when this gateway's own probe of it fails, as memberlist's log shows, and alive
+// again when a probe is acknowledged or an alive message about it arrives, such as a refutation.
+// Left and Dead come only from memberlist's events and from a peer's leave announcement.
+func (n *Node) setLiveness(name, state string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.view[name]
@@ -308,29 +314,31 @@
 	if p.State != state {
 		slog.Info("membership change", "peer", name, "from", p.State, "to", state,
 			"incarnation", p.Incarnation, "addr", p.Addr)
-		p.State, p.Since, n.why = state, time.Now(), name+" "+state
+		p.State, p.Since, n.lastChange = state, time.Now(), name+" "+state
 	}
 }
 
+// events implements memberlist's EventDelegate, AliveDelegate and PingDelegate.
 type events Node
 
-func (e *events) NotifyJoin(m *memberlist.Node)   { (*Node)(e).set(m, Alive) }
-func (e *events) NotifyUpdate(m *memberlist.Node) { (*Node)(e).set(m, Alive) }
-func (e *events) NotifyLeave(m *memberlist.Node)  { (*Node)(e).set(m, Dead) } // or Left, by its word
+func (e *events) NotifyJoin(m *memberlist.Node)   { (*Node)(e).applyEvent(m, Alive) }
+func (e *events) NotifyUpdate(m *memberlist.Node) { (*Node)(e).applyEvent(m, Alive) }
+func (e *events) NotifyLeave(m *memberlist.Node)  { (*Node)(e).applyEvent(m, Dead) } // applyEvent turns it into Left for a leaving peer
 func (e *events) NotifyAlive(m *memberlist.Node) error {
-	(*Node)(e).mark(m.Name, Alive)
+	(*Node)(e).setLiveness(m.Name, Alive)
 	return nil
 }
 func (e *events) AckPayload() []byte { return nil }
 func (e *events) NotifyPingComplete(m *memberlist.Node, _ time.Duration, _ []byte) {
-	(*Node)(e).mark(m.Name, Alive)
+	(*Node)(e).setLiveness(m.Name, Alive)
 }
 
+// delegate implements memberlist.Delegate.
 type delegate Node
 
 func (d *delegate) NodeMeta(limit int) []byte {
-	m := meta{Inc: d.inc.Load(), Leaving: d.leaving.Load()}
-	if l := d.load.Load(); l != nil {
+	m := nodeMetadata{Incarnation: d.incarnation.Load(), Leaving: d.leaving.Load()}
+	if l := d.announced.Load(); l != nil {
 		m.Rank, m.Rate = l.rank, l.rate
 	}
 	b, _ := json.Marshal(m)
@@ -340,23 +348,23 @@
 	return b
 }
 
-// leaveWord, and the name after it, is the message of a peer that leaves.
-const leaveWord = "leaving:"
+// leavePrefix begins the message by which a gateway announces that it leaves; its name follows.
+const leavePrefix = "leaving:"
 
 func (d *delegate) NotifyMsg(b []byte) {
-	if list, ok := bytes.CutPrefix(b, []byte(listWord)); ok {
-		(*Node)(d).take(bytes.Clone(list)) // the buffer is memberlist's
+	if list, ok := bytes.CutPrefix(b, []byte(listPrefix)); ok {
+		(*Node)(d).receiveList(bytes.Clone(list)) // memberlist reuses the buffer
 		return
 	}
-	if name, ok := bytes.CutPrefix(b, []byte(wantWord)); ok {
-		go (*Node)(d).give(string(name)) // it may block on the peer
+	if name, ok := bytes.CutPrefix(b, []byte(listRequestPrefix)); ok {
+		go (*Node)(d).sendList(string(name)) // sending may block on the peer
 		return
 	}
-	if known, ok := bytes.CutPrefix(b, []byte(incarnationWord)); ok {
-		(*Node)(d).raise(string(known))
+	if known, ok := bytes.CutPrefix(b, []byte(incarnationPrefix)); ok {
+		(*Node)(d).raiseIncarnation(string(known))
 		return
 	}
-	name, ok := bytes.CutPrefix(b, []byte(leaveWord))
+	name, ok := bytes.CutPrefix(b, []byte(leavePrefix))
 	if !ok {
 		return
 	}
@@ -366,28 +374,28 @@
 		p.leaving = true
 		slog.Info("membership change", "peer", p.Name, "from", p.State, "to", Left,
 			"incarnation", p.Incarnation, "addr", p.Addr)
-		p.State, p.Since, d.why = Left, time.Now(), p.Name+" "+Left
+		p.State, p.Since, d.lastChange = Left, time.Now(), p.Name+" "+Left
 	}
 }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte { return nil }
 
-// suspectLine starts memberlist's line on a peer that its own probe found silent.
-const suspectLine = "[INFO] memberlist: Suspect "
+// suspectLogPrefix begins the line that memberlist logs when its own probe of a peer fails.
+const suspectLogPrefix = "[INFO] memberlist: Suspect "
 
-// logSink takes memberlist's log lines: what could not be decoded is counted, and
-// lines go on to slog at most one a second.
+// logSink receives memberlist's log lines. It detects suspected peers, counts decoding failures
+// and forwards lines other than debug and info to slog, at most one per second.
 type logSink struct {
-	n    *Node
-	mu   sync.Mutex
-	last time.Time
+	node       *Node
+	mu         sync.Mutex
+	lastLogged time.Time
 }
 
 func (s *logSink) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
-	if rest, ok := bytes.CutPrefix(bytes.TrimSpace(b), []byte(suspectLine)); ok {
+	if rest, ok := bytes.CutPrefix(bytes.TrimSpace(b), []byte(suspectLogPrefix)); ok {
 		if name, ok := bytes.CutSuffix(rest, []byte(" has failed, no acks received")); ok {
-			s.n.mark(string(name), Suspect)
+			s.node.setLiveness(string(name), Suspect)
 		}
 	}
 	if bytes.Contains(b, []byte("[DEBUG]")) || bytes.Contains(b, []byte("[INFO]")) {
@@ -395,13 +403,13 @@
 	}
 	if bytes.Contains(b, []byte("decode")) || bytes.Contains(b, []byte("message type")) ||
 		bytes.Contains(b, []byte("Failed to read")) || bytes.Contains(b, []byte("too small")) {
-		s.n.bad.Add(1)
+		s.node.unreadable.Add(1)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.last) >= time.Second {
-		s.last = time.Now()
-		slog.Warn("memberlist", "line", line, "unreadable", s.n.bad.Load())
+	if time.Since(s.lastLogged) >= time.Second {
+		s.lastLogged = time.Now()
+		slog.Warn("memberlist logged a problem", "line", line, "unreadable", s.node.unreadable.Load())
 	}
 	return len(b), nil
 }
