--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,112 +1,114 @@
-// Package admit decides which calls a service works on, which wait, and which it turns away
-// and for how long. It does no I/O and reads no clock: the service tells it of arrivals and
-// ends with the present time, so a real service and a model of it decide alike.
+// Package admit implements admission control for a service: it decides which calls are worked on,
+// which wait in a queue, and which are shed with a retry delay. It does no I/O and reads no clock.
+// The service passes in arrivals and completions with the present time, so a real service and a
+// simulation of it decide alike.
 package admit
 
 import (
 	"time"
 )
 
-// Class orders the calls that wait: a lower one goes first.
+// Class is the priority of a waiting call. Calls of a lower Class are admitted first.
 type Class int
 
-// Classes of a call for a list. A caller without a list can serve nobody; one that resumes
-// costs little; one that wants the whole list anew has one to go on with.
+// Classes of the calls that ask for a list.
 const (
-	NoList Class = iota
-	Resume
-	FullList
-	classes
+	NoList     Class = iota // the caller has no list and cannot serve anybody
+	Resume                  // the caller resumes from its version, which costs the service little
+	FullList                // the caller wants the full list again but can go on with the one it has
+	classCount              // number of classes
 )
 
-// Options bound a Gate. All must be above 0.
+// Options are the limits of a Gate. All of them must be greater than 0.
 type Options struct {
-	Work  int           // calls in work at most
-	Queue int           // calls that wait at most
-	Wait  time.Duration // a call that waited this long is turned away
-	Least time.Duration // least time between two calls that were told to come back
-	Most  time.Duration // longest time that a caller is told to stay away
+	Work  int           // maximum number of calls in work
+	Queue int           // maximum number of waiting calls
+	Wait  time.Duration // a call that has waited this long is shed
+	Least time.Duration // minimum time between the retries of two shed calls
+	Most  time.Duration // maximum retry delay
 }
 
-// Decision is what becomes of a call.
+// Decision is the outcome of a call: it is admitted or shed.
 type Decision struct {
-	ID         uint64
+	ID         uint64 // ID of the call, as passed to Arrive
 	Admitted   bool
-	RetryAfter time.Duration // turned away: come back after this
+	RetryAfter time.Duration // retry delay of a shed call; 0 if the call is admitted
 }
 
-// Gate keeps the calls of one service. The zero value is not usable; see New. It is not
-// safe for concurrent use.
+// Gate limits the calls in work and the waiting calls of one service. Create it with New. It is
+// not safe for concurrent use.
 type Gate struct {
-	opt    Options
-	now    time.Duration
-	work   int
-	lines  [classes][]call
-	queued int
-	took   float64       // seconds a call is in work, a moving average
-	booked time.Duration // the last time that a caller was told to come back at
+	opt         Options
+	now         time.Duration // latest time passed in
+	working     int           // calls in work
+	queues      [classCount][]call
+	queued      int           // calls in all queues
+	averageWork float64       // moving average of the seconds that a call is in work
+	lastRetryAt time.Duration // latest retry time given to a shed call
 }
 
+// call is a waiting call.
 type call struct {
 	id    uint64
-	since time.Duration
+	since time.Duration // when it arrived
 }
 
-// New returns a Gate for a service that begins idle.
+// New returns a Gate without any calls.
 func New(opt Options) *Gate { return &Gate{opt: opt} }
 
-// Arrive is a call that comes now, on any clock that does not go back. It returns the
-// verdicts that are due: on this call unless it waits, and on one that it displaced. When
-// the queue is full, the youngest of the last class makes room for one of an earlier class.
-func (g *Gate) Arrive(now time.Duration, id uint64, class Class) (due []Decision) {
-	due = g.Expire(now)
-	if g.work < g.opt.Work && g.queued == 0 {
-		g.work++
-		return append(due, Decision{ID: id, Admitted: true})
+// Arrive adds a call that arrives now, on any monotonic clock. It returns the decisions made: on
+// this call unless it waits, on a call that it displaced, and on expired calls. When the queue is
+// full, a call displaces the youngest waiting call of the highest Class above its own.
+func (g *Gate) Arrive(now time.Duration, id uint64, class Class) (decisions []Decision) {
+	decisions = g.Expire(now)
+	if g.working < g.opt.Work && g.queued == 0 {
+		g.working++
+		return append(decisions, Decision{ID: id, Admitted: true})
 	}
 	if g.queued >= g.opt.Queue {
-		last := classes - 1
-		for last > class && len(g.lines[last]) == 0 {
-			last--
+		displacedClass := classCount - 1
+		for displacedClass > class && len(g.queues[displacedClass]) == 0 {
+			displacedClass--
 		}
-		if last <= class {
-			return append(due, g.shed(id))
+		if displacedClass <= class {
+			return append(decisions, g.shed(id))
 		}
-		line := g.lines[last]
-		due = append(due, g.shed(line[len(line)-1].id))
-		g.lines[last], g.queued = line[:len(line)-1], g.queued-1
+		queue := g.queues[displacedClass]
+		decisions = append(decisions, g.shed(queue[len(queue)-1].id))
+		g.queues[displacedClass], g.queued = queue[:len(queue)-1], g.queued-1
 	}
-	g.lines[class] = append(g.lines[class], call{id, now})
+	g.queues[class] = append(g.queues[class], call{id, now})
 	g.queued++
-	return due
+	return decisions
 }
 
-// Done is the end of a call's work, which took so long; those that it makes room for are
-// let in.
-func (g *Gate) Done(now, took time.Duration) (due []Decision) {
-	due = g.Expire(now)
-	g.work--
-	if g.took == 0 {
-		g.took = took.Seconds()
+// Done ends the work of an admitted call, which took the given time, and admits waiting calls in
+// its stead. It returns the decisions made.
+func (g *Gate) Done(now, took time.Duration) (decisions []Decision) {
+	decisions = g.Expire(now)
+	g.working--
+	if g.averageWork == 0 {
+		g.averageWork = took.Seconds()
 	}
-	g.took += (took.Seconds() - g.took) / 16
-	for class := range g.lines {
-		for len(g.lines[class]) > 0 && g.work < g.opt.Work {
-			due = append(due, Decision{ID: g.lines[class][0].id, Admitted: true})
-			g.lines[class] = g.lines[class][1:]
+	g.averageWork += (took.Seconds() - g.averageWork) / 16
+	for class := range g.queues {
+		for len(g.queues[class]) > 0 && g.working < g.opt.Work {
+			decisions = append(decisions, Decision{ID: g.queues[class][0].id, Admitted: true})
+			g.queues[class] = g.queues[class][1:]
 			g.queued--
-			g.work++
+			g.working++
 		}
 	}
-	return due
+	return decisions
 }
 
-// Cancel is the end of a call that waits, by its caller; false says that it does not wait.
+// Cancel removes a waiting call that its caller has given up. It returns false if the call does
+// not wait.
 func (g *Gate) Cancel(id uint64) bool {
-	for class, line := range g.lines {
-		for i, c := range line {
+	for class, queue := range g.queues {
+		for i, c := range queue {
 			if c.id == id {
-				g.lines[class] = append(line[:i:i], line[i+1:]...)
+				g.queues[class] = append(queue[:i:i], queue[i+1:]...)
 				g.queued--
 				return true
 			}
@@ -115,32 +117,33 @@
 	return false
 }
 
-// Expire turns away the calls that have waited too long by now.
-func (g *Gate) Expire(now time.Duration) (due []Decision) {
+// Expire sheds the calls that have waited for Options.Wait and returns the decisions on them.
+func (g *Gate) Expire(now time.Duration) (decisions []Decision) {
 	g.now = max(g.now, now)
-	for class := range g.lines {
-		for len(g.lines[class]) > 0 && g.now-g.lines[class][0].since >= g.opt.Wait {
-			due = append(due, g.shed(g.lines[class][0].id))
-			g.lines[class] = g.lines[class][1:]
+	for class := range g.queues {
+		for len(g.queues[class]) > 0 && g.now-g.queues[class][0].since >= g.opt.Wait {
+			decisions = append(decisions, g.shed(g.queues[class][0].id))
+			g.queues[class] = g.queues[class][1:]
 			g.queued--
 		}
 	}
-	return due
+	return decisions
 }
 
-// shed turns a call away. Each is told a time of its own, one call's work after the last
-// one told and after what waits now, so that they do not come back together.
+// shed returns the decision that sheds a call. Each shed call gets its own retry time, one call's
+// work after the last one given and after the calls that wait now, so that callers do not all
+// return at once.
 func (g *Gate) shed(id uint64) Decision {
-	gap := max(g.opt.Least, time.Duration(g.took/float64(g.opt.Work)*1e9))
-	g.booked = max(g.booked, g.now+time.Duration(g.queued)*gap) + gap
-	if g.booked-g.now > g.opt.Most {
-		g.booked = g.now + gap // the times to tell are used up: begin anew
+	gap := max(g.opt.Least, time.Duration(g.averageWork/float64(g.opt.Work)*1e9))
+	g.lastRetryAt = max(g.lastRetryAt, g.now+time.Duration(g.queued)*gap) + gap
+	if g.lastRetryAt-g.now > g.opt.Most {
+		g.lastRetryAt = g.now + gap // the range up to Options.Most is used up: start over
 	}
-	return Decision{ID: id, RetryAfter: g.booked - g.now}
+	return Decision{ID: id, RetryAfter: g.lastRetryAt - g.now}
 }
 
-// Waiting is how many calls wait, and Working how many are in work.
+// Waiting returns the number of waiting calls.
 func (g *Gate) Waiting() int { return g.queued }
 
-// Working is how many calls are in work.
-func (g *Gate) Working() int { return g.work }
+// Working returns the number of calls in work.
+func (g *Gate) Working() int { return g.working }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -8,69 +8,70 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes, each call has one verdict, bounds hold, a call waits no longer than it
-// may, and one that is turned away is told a time within the bounds.
-func TestGateKeepsItsBounds(t *testing.T) {
+// For random sequences of arrivals, completions and expirations, each call gets at most one
+// decision, the limits of Options hold, no call waits longer than Options.Wait, no call waits while
+// there is room to work on it, and the retry delays of shed calls are within bounds.
+func TestGateKeepsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opt := Options{Work: rapid.IntRange(1, 4).Draw(t, "work"), Queue: rapid.IntRange(1, 8).Draw(t, "queue"),
 			Wait: time.Second, Least: time.Millisecond, Most: 5 * time.Second}
 		g := New(opt)
 		now := time.Duration(0)
-		waits, working, had := map[uint64]time.Duration{}, 0, map[uint64]bool{}
-		take := func(due []Decision) {
-			for _, v := range due {
-				if had[v.ID] {
-					t.Fatalf("call %d has two verdicts", v.ID)
+		waiting, working, decided := map[uint64]time.Duration{}, 0, map[uint64]bool{}
+		record := func(decisions []Decision) {
+			for _, v := range decisions {
+				if decided[v.ID] {
+					t.Fatalf("call %d has two decisions", v.ID)
 				}
-				had[v.ID] = true
-				delete(waits, v.ID)
+				decided[v.ID] = true
+				delete(waiting, v.ID)
 				if v.Admitted {
 					working++
 				} else if v.RetryAfter <= 0 || v.RetryAfter > opt.Most {
-					t.Fatalf("call %d is to come back after %v", v.ID, v.RetryAfter)
+					t.Fatalf("call %d has retry delay %v, want more than 0 and at most %v", v.ID, v.RetryAfter, opt.Most)
 				}
 			}
 		}
 		for id := uint64(1); id < 200; id++ {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
-				waits[id] = now
-				take(g.Arrive(now, id, Class(rapid.IntRange(0, int(classes)-1).Draw(t, "class"))))
+				waiting[id] = now
+				record(g.Arrive(now, id, Class(rapid.IntRange(0, int(classCount)-1).Draw(t, "class"))))
 			case 2:
 				if working > 0 {
 					working--
-					take(g.Done(now, 10*time.Millisecond))
+					record(g.Done(now, 10*time.Millisecond))
 				}
 			case 3:
-				take(g.Expire(now))
+				record(g.Expire(now))
 			}
-			if working != g.Working() || working > opt.Work || len(waits) != g.Waiting() || len(waits) > opt.Queue {
-				t.Fatalf("%d in work, %d waiting; the gate says %d and %d", working, len(waits), g.Working(), g.Waiting())
+			if working != g.Working() || working > opt.Work || len(waiting) != g.Waiting() || len(waiting) > opt.Queue {
+				t.Fatalf("%d calls in work and %d waiting, but the gate counts %d and %d", working, len(waiting), g.Working(), g.Waiting())
 			}
-			if working < opt.Work && len(waits) > 0 {
-				t.Fatalf("%d wait though only %d are in work", len(waits), working)
+			if working < opt.Work && len(waiting) > 0 {
+				t.Fatalf("%d calls wait though only %d are in work", len(waiting), working)
 			}
-			for id, since := range waits {
+			for id, since := range waiting {
 				if now-since >= opt.Wait && now == g.now {
-					t.Fatalf("call %d waits since %v, now %v", id, since, now)
+					t.Fatalf("call %d still waits at %v, since %v", id, now, since)
 				}
 			}
 		}
 	})
 }
 
-// Those with no list go first, then those that resume; a full queue gives up its youngest
-// of the last class; and 100 that are turned away are told times 1 ms apart at least.
-func TestGateOrderAndSpread(t *testing.T) {
+// Calls without a list are admitted first, then those that resume. A full queue sheds its
+// youngest call of the highest class. The retry times of 100 shed calls are at least 1 ms apart.
+func TestGateOrderAndRetrySpread(t *testing.T) {
 	g := New(Options{Work: 1, Queue: 3, Wait: time.Minute, Least: time.Millisecond, Most: time.Minute})
 	g.Arrive(0, 1, FullList)
 	for id, class := range map[uint64]Class{2: FullList, 3: Resume, 4: FullList} {
 		g.Arrive(0, id, class)
 	}
-	due := g.Arrive(0, 5, NoList)
-	if len(due) != 1 || due[0].Admitted || due[0].ID == 3 {
-		t.Fatalf("the queue was full: %v", due)
+	decisions := g.Arrive(0, 5, NoList)
+	if len(decisions) != 1 || decisions[0].Admitted || decisions[0].ID == 3 {
+		t.Fatalf("decisions with a full queue: %v, want one that sheds call 2 or 4", decisions)
 	}
 	var order []uint64
 	for range 3 {
@@ -79,19 +80,19 @@
 		}
 	}
 	if order[0] != 5 || order[1] != 3 {
-		t.Errorf("let in as %v, want 5, 3 and the last", order)
+		t.Errorf("admitted in the order %v, want 5, 3 and then the remaining call", order)
 	}
 	g = New(Options{Work: 1, Queue: 1, Wait: time.Minute, Least: time.Millisecond, Most: time.Minute})
 	g.Arrive(0, 1, NoList)
 	g.Arrive(0, 2, NoList)
-	var after []time.Duration
+	var retryDelays []time.Duration
 	for id := uint64(3); id < 103; id++ {
-		after = append(after, g.Arrive(0, id, NoList)[0].RetryAfter)
+		retryDelays = append(retryDelays, g.Arrive(0, id, NoList)[0].RetryAfter)
 	}
-	slices.Sort(after)
-	for i := 1; i < len(after); i++ {
-		if after[i]-after[i-1] < time.Millisecond {
-			t.Fatalf("two are told to come back %v apart", after[i]-after[i-1])
+	slices.Sort(retryDelays)
+	for i := 1; i < len(retryDelays); i++ {
+		if retryDelays[i]-retryDelays[i-1] < time.Millisecond {
+			t.Fatalf("two retry times are only %v apart, want at least 1 ms", retryDelays[i]-retryDelays[i-1])
 		}
 	}
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,22 +1,24 @@
-// Package flow spreads what several senders have over receivers that each can reach some
-// of, so that all receivers get the same: iterative proportional fitting of a sparse matrix.
-// It is arithmetic only; who reaches whom, and what becomes of the answer, is its caller's.
+// Package flow distributes the traffic of several senders over receivers, of which each sender
+// reaches only some, so that all receivers get the same load. It uses iterative proportional
+// fitting of a sparse matrix. It is arithmetic only: the caller decides who reaches whom and
+// what to do with the result.
 package flow
 
-// Edge is what one sender sends to one receiver. To numbers the receiver.
+// Edge is the traffic from one sender to one receiver.
 type Edge struct {
-	To   int
-	Rate float64
+	To   int     // index of the receiver
+	Rate float64 // traffic, in the unit of the senders' rates
 }
 
-// Balance sets the rates of the rows, one a sender with an Edge for each receiver that it
-// reaches, so that each row sums to its sender's rate and the sums over receivers 0 to n-1
-// are as even as the rows allow. No receiver gets more than the share most of a row, where
-// the row has receivers enough. It does so many rounds: 30 bring the sums within some
-// hundredths of each other on rows of three or four. A row with no part, or a rate that is
-// not above 0, is left out; rates should lie within 1e9 of each other.
-func Balance(rows [][]Edge, rates []float64, n int, most float64, rounds int) {
-	load, sum, reached := make([]float64, n), 0.0, 0
+// Balance sets the rates of the edges. Each row has the edges of one sender, one to each receiver
+// that the sender reaches, and sums to that sender's entry of rates. The sums per receiver, of
+// which there are as many as receivers says, become as even as the rows allow. No edge gets more
+// than the fraction maxShare of its row, as far as the row has enough edges for that. Balance runs
+// the given number of rounds: with 30, the sums differ by a few hundredths on rows of three or
+// four edges. Rows without an edge, or with a rate that is not above 0, are skipped. The rates
+// should be within a factor of 1e9 of each other.
+func Balance(rows [][]Edge, rates []float64, receivers int, maxShare float64, rounds int) {
+	load, sum, reachable := make([]float64, receivers), 0.0, 0
 	for i, row := range rows {
 		if len(row) == 0 || !(rates[i] > 0) {
 			continue
@@ -25,7 +27,7 @@
 		for k := range row {
 			row[k].Rate = rates[i] / float64(len(row))
 			if load[row[k].To] == 0 {
-				reached++
+				reachable++
 			}
 			load[row[k].To]++
 		}
@@ -39,27 +41,28 @@
 		}
 		for i, row := range rows {
 			if rates[i] > 0 {
-				scale(row, load, sum/float64(reached), rates[i], most)
+				scale(row, load, sum/float64(reachable), rates[i], maxShare)
 			}
 		}
 	}
 }
 
-// scale moves a row toward receivers that get less than they should.
-func scale(row []Edge, load []float64, should, rate, most float64) {
+// scale shifts the rates of a row toward the receivers whose load is below target, keeping the
+// sum of the row at rate.
+func scale(row []Edge, load []float64, target, rate, maxShare float64) {
 	sum := 0.0
 	for k := range row {
 		if l := load[row[k].To]; l > 0 {
-			row[k].Rate *= should / l
+			row[k].Rate *= target / l
 		}
 		sum += row[k].Rate
 	}
-	left := 0.0
+	cappedSum := 0.0
 	for k := range row {
-		row[k].Rate = min(row[k].Rate*rate/sum, max(most, 1/float64(len(row)))*rate)
-		left += row[k].Rate
+		row[k].Rate = min(row[k].Rate*rate/sum, max(maxShare, 1/float64(len(row)))*rate)
+		cappedSum += row[k].Rate
 	}
 	for k := range row {
-		row[k].Rate *= rate / left
+		row[k].Rate *= rate / cappedSum
 	}
 }
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the rows, each keeps its sender's rate and no part is below 0 or not a number;
-// where every sender reaches every receiver, all receivers get the same.
-func TestEvenKeepsEachRate(t *testing.T) {
+// For random rows, each row keeps its sender's rate and every edge has a finite rate of at least
+// 0. If every sender reaches every receiver, all receivers get the same load.
+func TestBalanceKeepsEachRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "receivers")
-		all := rapid.Bool().Draw(t, "each reaches all")
+		all := rapid.Bool().Draw(t, "every sender reaches every receiver")
 		var rows [][]Edge
 		var rates []float64
 		for range rapid.IntRange(1, 12).Draw(t, "senders") {
@@ -30,26 +30,26 @@
 			got := 0.0
 			for _, p := range row {
 				if !(p.Rate >= 0) || math.IsInf(p.Rate, 0) {
-					t.Fatalf("row %d: %v", i, row)
+					t.Fatalf("row %d has a rate that is negative or not finite: %v", i, row)
 				}
 				got += p.Rate
 				load[p.To] += p.Rate
 			}
 			if len(row) > 0 && math.Abs(got-rates[i]) > 1e-6*(1+rates[i]) {
-				t.Fatalf("row %d sums to %v, its rate is %v", i, got, rates[i])
+				t.Fatalf("row %d sums to %v, want its sender's rate %v", i, got, rates[i])
 			}
 			sum += got
 		}
 		for to, l := range load {
 			if all && math.Abs(l-sum/float64(n)) > 1e-6*(1+sum) {
-				t.Fatalf("receiver %d gets %v of %v over %d", to, l, sum, n)
+				t.Fatalf("receiver %d gets %v, want an equal share of %v among %d", to, l, sum, n)
 			}
 		}
 	})
 }
 
-// A busy sender that shares its receivers with quiet ones: they make room.
-func TestEvenMakesRoom(t *testing.T) {
+// Quiet senders that share receivers with a busy sender shift their traffic to other receivers.
+func TestBalanceOffsetsBusySender(t *testing.T) {
 	rows := [][]Edge{{{To: 0}, {To: 1}, {To: 2}}, {{To: 1}, {To: 2}, {To: 3}}, {{To: 2}, {To: 3}, {To: 0}}}
 	Balance(rows, []float64{6, 3, 3}, 4, 0.5, 30)
 	load := make([]float64, 4)
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,4 +1,4 @@
-// Package listener keeps a server accepting connections through failures of accept.
+// Package listener keeps a server accepting connections when accept fails temporarily.
 package listener
 
 import (
@@ -10,36 +10,36 @@
 )
 
 const (
-	firstPause = time.Millisecond // after a failed accept; the first of a row is tried again at once
-	mostPause  = 200 * time.Millisecond
-	logEvery   = time.Second
+	minRetryPause = time.Millisecond // after the second failure in a row; the first is retried at once
+	maxRetryPause = 200 * time.Millisecond
+	logInterval   = time.Second // minimum time between two log lines about failures
 )
 
-// Retrying is a net.Listener whose Accept returns an error only once it has been closed.
-// Linux reports pending network errors of a new connection through accept, and a want of
-// descriptors, buffers or memory passes: neither says that the listening socket is broken. A
-// failure is logged, once a second at most, and accept is tried again after a pause that
-// grows from 1 to 200 ms.
+// Retrying is a net.Listener whose Accept returns an error only once it has been closed. Linux
+// reports pending network errors of a new connection through accept, and a shortage of
+// descriptors, buffers or memory is temporary; neither means that the listening socket is broken.
+// Failures are logged at most once per second, and accept is retried after a pause that grows from
+// 1 to 200 ms.
 type Retrying struct {
 	net.Listener
-	name string // for the log
+	name string // names the listener in the log
 
-	once sync.Once
-	done chan struct{} // closed by Close
+	closeOnce sync.Once
+	closed    chan struct{} // closed by Close
 
-	mu     sync.Mutex
-	logged time.Time
-	failed int // accepts since the last line
+	mu         sync.Mutex
+	lastLogged time.Time
+	failures   int // failed accepts since the last log line
 }
 
-// NewRetrying returns a Retrying over ln; name says in the log whose connections it takes.
+// NewRetrying returns a Retrying that wraps ln and appears in the log under name.
 func NewRetrying(ln net.Listener, name string) *Retrying {
-	return &Retrying{Listener: ln, name: name, done: make(chan struct{})}
+	return &Retrying{Listener: ln, name: name, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection, or net.ErrClosed after Close.
+// Accept returns the next connection, or an error that wraps net.ErrClosed after Close.
 func (l *Retrying) Accept() (net.Conn, error) {
-	for pause := time.Duration(0); ; pause = min(max(firstPause, 2*pause), mostPause) {
+	for pause := time.Duration(0); ; pause = min(max(minRetryPause, 2*pause), maxRetryPause) {
 		conn, err := l.Listener.Accept()
 		if err == nil {
 			return conn, nil
@@ -47,28 +47,28 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		l.log(err)
+		l.logFailure(err)
 		select {
-		case <-l.done:
+		case <-l.closed:
 			return nil, net.ErrClosed
 		case <-time.After(pause):
 		}
 	}
 }
 
-// log notes a failure unless the last line was just now.
-func (l *Retrying) log(err error) {
+// logFailure counts a failure and logs it, at most once per logInterval.
+func (l *Retrying) logFailure(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed++
-	if now := time.Now(); now.Sub(l.logged) >= logEvery {
-		slog.Warn("accept failed, trying again", "listener", l.name, "failures", l.failed, "err", err)
-		l.logged, l.failed = now, 0
+	l.failures++
+	if now := time.Now(); now.Sub(l.lastLogged) >= logInterval {
+		slog.Warn("accept failed, trying again", "listener", l.name, "failures", l.failures, "err", err)
+		l.lastLogged, l.failures = now, 0
 	}
 }
 
-// Close ends Accept, also while it pauses.
+// Close closes the listener and ends Accept, also during its pause before a retry.
 func (l *Retrying) Close() error {
-	l.once.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// heldOutput takes nothing while it is held, and fails while it is broken.
-type heldOutput struct {
-	held   sync.Mutex
+// blockableOutput is an output whose writes block while block is locked and fail while it is broken.
+type blockableOutput struct {
+	block  sync.Mutex
 	mu     sync.Mutex
 	text   bytes.Buffer
 	broken bool
 }
 
-func (o *heldOutput) Write(p []byte) (int, error) {
-	o.held.Lock()
-	defer o.held.Unlock()
+func (o *blockableOutput) Write(p []byte) (int, error) {
+	o.block.Lock()
+	defer o.block.Unlock()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.broken {
@@ -31,77 +31,79 @@
 	return o.text.Write(p)
 }
 
-func (o *heldOutput) String() string {
+func (o *blockableOutput) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
 }
 
-func (o *heldOutput) breaks(broken bool) {
+func (o *blockableOutput) setBroken(broken bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.broken = broken
 }
 
-// While nobody reads, lines are taken up to the limit and then lost, in bounded memory; once
-// somebody reads again, what was kept comes in its order, and the count of what was lost.
-func TestLinesAreLostAndCountedWhileNobodyReads(t *testing.T) {
-	const lines, most = 1000, 400
-	out := &heldOutput{}
-	out.held.Lock()
-	w := New(out, most)
+// While nobody reads the log, lines are queued up to the limit and then dropped, in bounded
+// memory. Once somebody reads again, the queued lines arrive in order, and then the number of
+// dropped lines.
+func TestUnreadLinesAreDroppedAndCounted(t *testing.T) {
+	const lines, maxBytes = 1000, 400
+	out := &blockableOutput{}
+	out.block.Lock()
+	w := New(out, maxBytes)
 	for i := range lines {
 		fmt.Fprintf(w, "line %04d\n", i) // 10 bytes
 	}
-	if len(w.queue) > most {
-		t.Errorf("%d bytes wait, %d at the most", len(w.queue), most)
+	if len(w.queue) > maxBytes {
+		t.Errorf("%d bytes are queued, want at most %d", len(w.queue), maxBytes)
 	}
 	if w.Flush(10 * time.Millisecond) {
-		t.Error("lines are said to be written that nobody read")
+		t.Error("Flush reported lines as written that nobody has read")
 	}
-	out.held.Unlock()
+	out.block.Unlock()
 	if !w.Flush(10 * time.Second) {
-		t.Fatal("the lines are not written")
+		t.Fatal("the queued lines were not written within 10 s")
 	}
 	lost := w.Lost()
 	fmt.Fprintln(w, "the last")
 	w.Flush(10 * time.Second)
 	text := out.String()
-	said := 0 // in one line or more: some may have been lost before the first write began
+	logged := 0 // over one message or more, as some lines may have been dropped before the first write began
 	for _, m := range regexp.MustCompile(`lines=(\d+)\n`).FindAllStringSubmatch(text, -1) {
 		n, err := strconv.Atoi(m[1])
 		if err != nil {
 			t.Fatal(err)
 		}
-		said += n
+		logged += n
 	}
-	if said != lost || !strings.HasSuffix(text, "the last\n") {
-		t.Errorf("%d lines are lost, the log says %d; its end is %q", lost, said, text[max(0, len(text)-200):])
+	if logged != lost || !strings.HasSuffix(text, "the last\n") {
+		t.Errorf("%d lines were dropped, but the log reports %d; it ends with %q", lost, logged, text[max(0, len(text)-200):])
 	}
 	if got := strings.Count(text, "line 0"); got+lost != lines {
-		t.Errorf("%d lines came and %d were lost, of %d", got, lost, lines)
+		t.Errorf("%d lines were written and %d dropped, of %d", got, lost, lines)
 	}
 	if !strings.HasPrefix(text, "line 0000\nline 0001\n") {
 		t.Errorf("the log begins with %q", text[:20])
 	}
 }
 
-// A disk that is full for a while, or a reader that has gone, costs lines and nothing else.
-func TestFailedWritesLoseLinesOnly(t *testing.T) {
-	out := &heldOutput{}
-	w := New(out, limit)
-	out.breaks(true)
+// Writes that fail for a while, as with a full disk or a reader that has gone, drop their lines
+// and have no other effect: later lines are written, and the dropped ones are counted.
+func TestFailedWritesOnlyLoseLines(t *testing.T) {
+	out := &blockableOutput{}
+	w := New(out, maxQueuedBytes)
+	out.setBroken(true)
 	for range 3 {
 		fmt.Fprintln(w, "into the full disk")
 		w.Flush(10 * time.Second)
 	}
-	out.breaks(false)
+	out.setBroken(false)
 	fmt.Fprintln(w, "after it")
 	w.Flush(10 * time.Second)
 	if text := out.String(); !strings.HasPrefix(text, "after it\n") || !strings.HasSuffix(text, "lines=3\n") {
-		t.Errorf("the log says %q", text)
+		t.Errorf("the log is %q, want the line after the failures and a count of 3", text)
 	}
 	if got := w.Lost(); got != 3 {
-		t.Errorf("%d lines lost, want 3", got)
+		t.Errorf("%d lines dropped, want 3", got)
 	}
 }
