--- a/internal/faultnet/inject.go
+++ b/internal/faultnet/inject.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Errors that an Injector draws from, by the call that fails.
+// Errors that an Injector picks from, by the call that fails.
 var (
 	dialErrors = []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ETIMEDOUT,
@@ -18,39 +18,42 @@
 	readErrors = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}
 )
 
-// Injector lets system calls fail at random at the seams of the net package, in bouts of two
-// seconds with two seconds between. It is for programs that are built for it.
+// Injector makes system calls fail at random at the interfaces of the net package. Phases without
+// failures and phases with failures alternate every two seconds. It is meant for programs that are
+// built with fault injection.
 type Injector struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	share float64 // of the calls that fail in a bout
-	start time.Time
+	mu          sync.Mutex
+	rng         *rand.Rand
+	failureRate float64 // fraction of the calls that fail during a phase with failures
+	start       time.Time
 }
 
-// NewInjector returns an Injector that fails a share of the calls, as drawn by seed.
-func NewInjector(seed uint64, share float64) *Injector {
-	return &Injector{rng: rand.New(rand.NewPCG(seed, 3)), share: share, start: time.Now()}
+// NewInjector returns an Injector that fails the given fraction of the calls during its phases
+// with failures. The seed determines its random choices.
+func NewInjector(seed uint64, failureRate float64) *Injector {
+	return &Injector{rng: rand.New(rand.NewPCG(seed, 3)), failureRate: failureRate, start: time.Now()}
 }
 
-// draw says whether a call fails now, and with which of the errors.
-func (i *Injector) draw(errs []syscall.Errno) (syscall.Errno, bool) {
+// drawError decides whether a call fails now, and with which of errs.
+func (i *Injector) drawError(errs []syscall.Errno) (syscall.Errno, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if int(time.Since(i.start).Seconds())/2%2 == 0 || i.rng.Float64() >= i.share {
+	if int(time.Since(i.start).Seconds())/2%2 == 0 || i.rng.Float64() >= i.failureRate {
 		return 0, false
 	}
 	return errs[i.rng.IntN(len(errs))], true
 }
 
-// Listener is ln with Accept failing at times.
+// Listener wraps ln so that Accept sometimes fails.
 func (i *Injector) Listener(ln net.Listener) net.Listener { return &injectedListener{ln, i} }
 
+// injectedListener is a net.Listener whose Accept sometimes fails.
 type injectedListener struct {
 	net.Listener
 	inject *Injector
 }
 
-// SyscallConn gives access to the socket: who looks at it is not kept from that.
+// SyscallConn gives access to the socket of the wrapped listener, for callers that inspect it.
 func (l *injectedListener) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -60,19 +63,20 @@
 }
 
 func (l *injectedListener) Accept() (net.Conn, error) {
-	if errno, fails := l.inject.draw(AcceptErrors); fails {
+	if errno, fails := l.inject.drawError(AcceptErrors); fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", errno)}
 	}
 	return l.Listener.Accept()
 }
 
-// Dialer dials a connection.
+// Dialer is a function that dials a connection.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dial is dial that fails at times, or gives connections that break or read little at a time.
+// Dial wraps dial so that it sometimes fails, and so that its connections sometimes fail or return
+// short reads.
 func (i *Injector) Dial(dial Dialer) Dialer {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if errno, fails := i.draw(dialErrors); fails {
+		if errno, fails := i.drawError(dialErrors); fails {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 		}
 		conn, err := dial(ctx, network, addr)
@@ -83,27 +87,27 @@
 	}
 }
 
-// injectedConn is a connection whose reads are short or fail at times; once one has failed it is
-// broken.
+// injectedConn is a connection whose reads are sometimes short and whose reads and writes
+// sometimes fail. A failed read closes the connection.
 type injectedConn struct {
 	*net.TCPConn
 	inject *Injector
 }
 
 func (c *injectedConn) Read(p []byte) (int, error) {
-	if errno, fails := c.inject.draw(readErrors); fails {
+	if errno, fails := c.inject.drawError(readErrors); fails {
 		c.TCPConn.SetLinger(0)
 		c.TCPConn.Close()
 		return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", errno)}
 	}
-	if _, short := c.inject.draw(readErrors); short && len(p) > 1 {
+	if _, short := c.inject.drawError(readErrors); short && len(p) > 1 {
 		p = p[:1+len(p)/64]
 	}
 	return c.TCPConn.Read(p)
 }
 
 func (c *injectedConn) Write(p []byte) (int, error) {
-	if _, fails := c.inject.draw(readErrors); fails {
+	if _, fails := c.inject.drawError(readErrors); fails {
 		return 0, &net.OpError{Op: "write", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("write", syscall.ENOBUFS)}
 	}
 	return c.TCPConn.Write(p)
--- a/internal/faultnet/link.go
+++ b/internal/faultnet/link.go
@@ -1,7 +1,7 @@
-// Package faultnet puts faults between real processes on loopback: a TCP proxy a link
-// that passes, delays, resets, black-holes or refuses, meshes of such links that can
-// be partitioned, and helpers that build, start and signal our binaries. It is test
-// support; nothing here listens beyond 127.0.0.1.
+// Package faultnet injects faults between real processes on loopback. It has a TCP proxy per link
+// that forwards, delays, resets, black-holes or refuses connections, meshes of such links that can
+// be partitioned, helpers that build, start and signal this module's binaries, and wrappers that
+// make system calls fail. It is test support; nothing here listens beyond loopback.
 package faultnet
 
 import (
@@ -13,126 +13,130 @@
 	"time"
 )
 
-// Mode is what a link does with its traffic.
+// Mode is how a link treats its traffic.
 type Mode int
 
 const (
-	// Pass forwards both ways.
+	// Pass forwards traffic in both directions.
 	Pass Mode = iota
-	// Blackhole keeps connections open and silent, new ones too, as a machine that is
-	// cut off: nothing is forwarded and nothing is closed. Leaving it resets what it held,
-	// as such a machine does once it is back.
+	// Blackhole simulates a machine that is cut off from the network: open and new connections
+	// stay open, nothing is forwarded and nothing is closed. A change to another mode resets
+	// these connections, as such a machine does once it is reachable again.
 	Blackhole
-	// Reset resets every open connection and each new one at once.
+	// Reset resets every open connection, and each new one as soon as it is accepted.
 	Reset
-	// Refuse resets every open connection and refuses new ones, as a dead process.
+	// Refuse simulates a dead process: open connections are reset and new ones refused.
 	Refuse
 )
 
-// Link is a proxy from Addr to a target. Its zero value is not usable; see NewLink.
+// Link is a TCP proxy from Addr to a target. Create it with NewLink.
 type Link struct {
-	Addr  string       // dial this to pass through the link
-	calls atomic.Int64 // connections accepted
-	bytes atomic.Int64 // forwarded from the target
-	heard atomic.Pointer[func()]
-
-	mu     sync.Mutex
-	target string
-	ln     net.Listener // nil while refusing
-	mode   Mode
-	delay  time.Duration // added before each chunk forwarded
-	wake   chan struct{} // closed when mode or delay changes
-	conns  map[net.Conn]struct{}
-	done   bool
+	Addr            string       // address on which the link accepts connections
+	accepted        atomic.Int64 // connections accepted
+	bytesFromTarget atomic.Int64 // bytes forwarded from the target
+	onAccept        atomic.Pointer[func()]
+
+	mu      sync.Mutex
+	target  string
+	ln      net.Listener // nil in mode Refuse and after Close
+	mode    Mode
+	delay   time.Duration // added before each chunk forwarded
+	changed chan struct{} // closed and replaced when Set sets the mode
+	conns   map[net.Conn]struct{}
+	closed  bool
 }
 
-// NewLink listens on a fresh loopback port and forwards to target.
+// NewLink returns a Link that listens on a free loopback port and forwards to target.
 func NewLink(target string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	l := &Link{Addr: ln.Addr().String(), target: target, ln: ln,
-		wake: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	go l.accept(ln)
+		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	go l.acceptLoop(ln)
 	return l, nil
 }
 
-// Set changes the mode; it acts on open connections at once.
-func (l *Link) Set(m Mode) error {
+// Set sets the mode, which applies to open connections at once.
+func (l *Link) Set(mode Mode) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	old := l.mode
-	l.mode = m
-	close(l.wake)
-	l.wake = make(chan struct{})
-	if m == Reset || m == Refuse || (old == Blackhole && m != Blackhole) {
-		l.resetLocked()
+	oldMode := l.mode
+	l.mode = mode
+	close(l.changed)
+	l.changed = make(chan struct{})
+	if mode == Reset || mode == Refuse || (oldMode == Blackhole && mode != Blackhole) {
+		l.resetConnsLocked()
 	}
-	if m == Refuse && l.ln != nil {
+	if mode == Refuse && l.ln != nil {
 		l.ln.Close()
 		l.ln = nil
 	}
-	if m != Refuse && l.ln == nil && !l.done {
+	if mode != Refuse && l.ln == nil && !l.closed {
 		ln, err := net.Listen("tcp", l.Addr)
 		if err != nil {
 			return err
 		}
 		l.ln = ln
-		go l.accept(ln)
+		go l.acceptLoop(ln)
 	}
 	return nil
 }
 
 // Accepted returns how many connections the link has accepted.
-func (l *Link) Accepted() int64 { return l.calls.Load() }
+func (l *Link) Accepted() int64 { return l.accepted.Load() }
 
-// OnAccept lets f be called at each connection accepted from now on; it must not block.
-func (l *Link) OnAccept(f func()) { l.heard.Store(&f) }
+// OnAccept registers f to be called for each connection accepted from now on, in place of an
+// earlier function. f must not block.
+func (l *Link) OnAccept(f func()) { l.onAccept.Store(&f) }
 
 // BytesFromTarget returns how many bytes the link has forwarded from its target.
-func (l *Link) BytesFromTarget() int64 { return l.bytes.Load() }
+func (l *Link) BytesFromTarget() int64 { return l.bytesFromTarget.Load() }
 
-// Retarget lets new connections go to another address; open ones stay.
+// Retarget makes new connections go to addr. Open connections keep their target.
 func (l *Link) Retarget(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = addr
 }
 
-// Delay adds d before each chunk forwarded either way, from now on.
+// Delay sets the delay before each chunk that is forwarded in either direction.
 func (l *Link) Delay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// Close ends the link and every connection through it.
+// Close stops the link and resets every connection through it.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.done = true
+	l.closed = true
 	if l.ln != nil {
 		l.ln.Close()
 		l.ln = nil
 	}
-	l.resetLocked()
+	l.resetConnsLocked()
 }
 
-func (l *Link) resetLocked() {
+// resetConnsLocked resets all tracked connections. The caller holds l.mu.
+func (l *Link) resetConnsLocked() {
 	for c := range l.conns {
 		if tc, ok := c.(*net.TCPConn); ok {
-			tc.SetLinger(0) // a close sends RST
+			tc.SetLinger(0) // makes Close send RST
 		}
 		c.Close()
 		delete(l.conns, c)
 	}
 }
 
+// track records a connection, so that it can be reset. If the link is closed, it closes the
+// connection and returns false.
 func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.done {
+	if l.closed {
 		c.Close()
 		return false
 	}
@@ -140,20 +144,22 @@
 	return true
 }
 
-func (l *Link) state() (Mode, time.Duration, <-chan struct{}) {
+// currentMode returns the mode, the delay and a channel that is closed when Set sets the mode.
+func (l *Link) currentMode() (Mode, time.Duration, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.mode, l.delay, l.wake
+	return l.mode, l.delay, l.changed
 }
 
-func (l *Link) accept(ln net.Listener) {
+// acceptLoop accepts connections from ln until it is closed.
+func (l *Link) acceptLoop(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		l.calls.Add(1)
-		if f := l.heard.Load(); f != nil {
+		l.accepted.Add(1)
+		if f := l.onAccept.Load(); f != nil {
 			(*f)()
 		}
 		if !l.track(c) {
@@ -163,18 +169,19 @@
 	}
 }
 
+// serve forwards an accepted connection to the target, as the mode allows.
 func (l *Link) serve(c net.Conn) {
 	for {
-		mode, _, wake := l.state()
+		mode, _, changed := l.currentMode()
 		switch mode {
 		case Reset, Refuse:
 			l.mu.Lock()
 			l.conns[c] = struct{}{}
-			l.resetLocked()
+			l.resetConnsLocked()
 			l.mu.Unlock()
 			return
 		case Blackhole:
-			<-wake // held open and silent; Set resets it on the way out
+			<-changed // the connection stays open and silent; Set resets it when the mode changes
 			continue
 		}
 		break
@@ -182,49 +189,50 @@
 	l.mu.Lock()
 	target := l.target
 	l.mu.Unlock()
-	up, err := net.DialTimeout("tcp", target, 2*time.Second)
+	upstream, err := net.DialTimeout("tcp", target, 2*time.Second)
 	if err != nil {
 		l.mu.Lock()
 		l.conns[c] = struct{}{}
-		l.resetLocked()
+		l.resetConnsLocked()
 		l.mu.Unlock()
 		return
 	}
-	if !l.track(up) {
+	if !l.track(upstream) {
 		c.Close()
 		return
 	}
-	done := make(chan struct{})
+	upstreamDone := make(chan struct{})
 	go func() {
-		if !l.pipe(up, c, false) {
-			up.Close()
+		if !l.pipe(upstream, c, false) {
+			upstream.Close()
 			c.Close()
 		}
-		close(done)
+		close(upstreamDone)
 	}()
-	if !l.pipe(c, up, true) {
-		up.Close()
+	if !l.pipe(c, upstream, true) {
+		upstream.Close()
 		c.Close()
 	}
-	<-done
-	up.Close()
+	<-upstreamDone
+	upstream.Close()
 	c.Close()
 	l.mu.Lock()
 	delete(l.conns, c)
-	delete(l.conns, up)
+	delete(l.conns, upstream)
 	l.mu.Unlock()
 }
 
-// pipe copies src to dst chunk by chunk, as the mode allows. At src's end it ends
-// dst's sending and reports true; on anything else false, and both are to be closed.
+// pipe copies src to dst chunk by chunk, as the mode allows. At the end of src it closes the
+// writing side of dst and returns true. In any other case it returns false, and the caller must
+// close both connections.
 func (l *Link) pipe(dst, src net.Conn, fromTarget bool) bool {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
 		for n > 0 {
-			mode, delay, wake := l.state()
+			mode, delay, changed := l.currentMode()
 			if mode == Blackhole {
-				<-wake
+				<-changed
 				continue
 			}
 			if mode != Pass {
@@ -237,7 +245,7 @@
 				return false
 			}
 			if fromTarget {
-				l.bytes.Add(int64(n))
+				l.bytesFromTarget.Add(int64(n))
 			}
 			break
 		}
--- a/internal/faultnet/link_test.go
+++ b/internal/faultnet/link_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-func echo(t *testing.T) string {
+// startEchoServer returns the address of a TCP server that echoes what it receives.
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,19 +28,19 @@
 	return ln.Addr().String()
 }
 
-// roundtrip sends a byte and reads it back within d.
-func roundtrip(c net.Conn, d time.Duration) error {
+// roundTrip sends a byte to an echo server and reads it back within timeout.
+func roundTrip(c net.Conn, timeout time.Duration) error {
 	if _, err := c.Write([]byte{7}); err != nil {
 		return err
 	}
-	c.SetReadDeadline(time.Now().Add(d))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := io.ReadFull(c, make([]byte, 1))
 	return err
 }
 
-// Each mode does to open and new connections what its doc says.
+// Each mode, and the delay, has its documented effect on open and new connections.
 func TestLinkModes(t *testing.T) {
-	l, err := NewLink(echo(t))
+	l, err := NewLink(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,40 +49,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := roundtrip(c, 5*time.Second); err != nil {
+	if err := roundTrip(c, 5*time.Second); err != nil {
 		t.Fatalf("pass: %v", err)
 	}
 	l.Delay(100 * time.Millisecond)
 	start := time.Now()
-	if err := roundtrip(c, 5*time.Second); err != nil || time.Since(start) < 200*time.Millisecond {
-		t.Fatalf("delay: %v after %v, want 2 × 100 ms or more", err, time.Since(start))
+	if err := roundTrip(c, 5*time.Second); err != nil || time.Since(start) < 200*time.Millisecond {
+		t.Fatalf("delay: %v after %v, want success after at least 2 × 100 ms", err, time.Since(start))
 	}
 	l.Delay(0)
 	l.Set(Blackhole)
-	if err := roundtrip(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("black-hole: %v, want silence", err)
+	if err := roundTrip(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("black-hole: %v, want a timeout", err)
 	}
 	l.Set(Pass)
-	if err := roundtrip(c, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("after the black-hole: %v, want the held connection reset", err)
+	if err := roundTrip(c, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("after the black-hole: %v, want the connection that was kept open to be reset", err)
 	}
 	l.Set(Reset)
 	if c2, err := net.Dial("tcp", l.Addr); err == nil {
-		if err := roundtrip(c2, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("reset: %v, want the connection reset", err)
+		if err := roundTrip(c2, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatalf("reset: %v, want the connection to be reset", err)
 		}
 	}
 	l.Set(Refuse)
 	if c3, err := net.Dial("tcp", l.Addr); err == nil {
 		c3.Close()
-		t.Fatal("refuse: a connection came up")
+		t.Fatal("refuse: a connection was established")
 	}
 	l.Set(Pass)
 	c4, err := net.Dial("tcp", l.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := roundtrip(c4, 5*time.Second); err != nil {
+	if err := roundTrip(c4, 5*time.Second); err != nil {
 		t.Fatalf("pass again: %v", err)
 	}
 }
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Build compiles the module's commands (as "lynxspool/cmd/catalog") into dir and
-// returns the path of each binary by its last element.
+// Build compiles commands of this module, given by import path such as "lynxspool/cmd/catalog",
+// into dir. It returns the path of each binary by the last element of its import path.
 func Build(dir string, pkgs ...string) (map[string]string, error) {
 	args := append([]string{"build", "-o", dir + string(os.PathSeparator)}, pkgs...)
 	out, err := exec.Command("go", args...).CombinedOutput()
@@ -26,54 +26,56 @@
 	return bins, nil
 }
 
-// freeIP is where FreeAddr draws ports: nobody dials from there and links listen elsewhere, so
-// that what was drawn stays free until its process listens.
-const freeIP = "127.0.0.88"
+// freeAddrIP is the address whose ports FreeAddr returns. Nobody dials from it and links listen on
+// another one, so a port stays free until the process that it is meant for listens.
+const freeAddrIP = "127.0.0.88"
 
-var drawn sync.Map // addresses that FreeAddr has returned
+var issuedAddrs sync.Map // addresses that FreeAddr has returned
 
-// FreeAddr returns a loopback address with a port that is free; it returns none twice.
+// FreeAddr returns a loopback address with a free port. It never returns the same address twice.
 func FreeAddr() (string, error) {
 	for {
-		ln, err := net.Listen("tcp", freeIP+":0")
+		ln, err := net.Listen("tcp", freeAddrIP+":0")
 		if err != nil {
 			return "", err
 		}
 		addr := ln.Addr().String()
 		ln.Close()
-		if _, twice := drawn.LoadOrStore(addr, true); !twice {
+		if _, issued := issuedAddrs.LoadOrStore(addr, true); !issued {
 			return addr, nil
 		}
 	}
 }
 
-// Proc is a running process of one of our binaries, its output in a file.
+// Proc is a process of one of this module's binaries, with its output in a file.
 type Proc struct {
 	Name string
-	Log  string // the file with its standard output and error
+	Log  string // path of the file with its standard output and error
 	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
+	done chan struct{} // closed when the process has ended
+	err  error         // how the process ended; valid once done is closed
 }
 
-// Start runs bin with args; env is added to this process's environment. Its output
-// goes to dir/name.log.
+// Start starts bin with args and with env added to this process's environment. Its output is
+// appended to dir/name.log.
 func Start(dir, name, bin string, args []string, env ...string) (*Proc, error) {
 	return start(dir, name, bin, args, nil, nil, env)
 }
 
-// StartWithPdeathsig is Start for a process that the kernel kills when the calling thread ends. The
-// caller has locked its goroutine to a thread that lives as long as the process should: so
-// nothing outlives a caller that panics or is killed itself.
+// StartWithPdeathsig is like Start, but the kernel kills the process when the calling thread ends
+// (PR_SET_PDEATHSIG), so that no process outlives a caller that panics or is killed. The caller
+// must have locked its goroutine to a thread that lives as long as the process should.
 func StartWithPdeathsig(dir, name, bin string, args []string, env ...string) (*Proc, error) {
 	return StartWithPdeathsigAndFiles(nil, dir, name, bin, args, env...)
 }
 
-// StartWithPdeathsigAndFiles is StartWithPdeathsig for a process that inherits files, as descriptors 3 and on.
+// StartWithPdeathsigAndFiles is like StartWithPdeathsig, but the process inherits files as
+// descriptors 3 and up.
 func StartWithPdeathsigAndFiles(files []*os.File, dir, name, bin string, args []string, env ...string) (*Proc, error) {
 	return start(dir, name, bin, args, files, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}, env)
 }
 
+// start starts a process with all options of the exported functions; files and attr may be nil.
 func start(dir, name, bin string, args []string, files []*os.File, attr *syscall.SysProcAttr, env []string) (*Proc, error) {
 	p := &Proc{Name: name, Log: filepath.Join(dir, name+".log"), done: make(chan struct{})}
 	f, err := os.OpenFile(p.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -95,10 +97,10 @@
 	return p, nil
 }
 
-// Pid is the process's id.
+// Pid returns the process ID.
 func (p *Proc) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends sig unless the process has ended.
+// Signal sends sig to the process unless it has ended.
 func (p *Proc) Signal(sig syscall.Signal) {
 	select {
 	case <-p.done:
@@ -107,32 +109,32 @@
 	}
 }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Proc) Kill() {
-	p.Signal(syscall.SIGCONT) // a stopped process takes SIGKILL too, but is then reaped late
+	p.Signal(syscall.SIGCONT) // SIGKILL also ends a stopped process, but it is then reaped late
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Stop freezes the process (SIGSTOP): its sockets stay open and silent.
+// Stop suspends the process (SIGSTOP). Its sockets stay open and silent.
 func (p *Proc) Stop() { p.Signal(syscall.SIGSTOP) }
 
-// Cont lets a stopped process go on.
+// Cont resumes a stopped process (SIGCONT).
 func (p *Proc) Cont() { p.Signal(syscall.SIGCONT) }
 
-// Term sends SIGTERM and waits up to d for the end, then kills; it returns how the
-// process ended.
-func (p *Proc) Term(d time.Duration) error {
+// Term sends SIGTERM and kills the process if it has not ended after timeout. It returns how the
+// process ended, as exec.Cmd.Wait does.
+func (p *Proc) Term(timeout time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(d):
+	case <-time.After(timeout):
 		p.Kill()
 	}
 	return p.err
 }
 
-// Exited says whether the process has ended, and how.
+// Exited reports whether the process has ended, and how, as exec.Cmd.Wait does.
 func (p *Proc) Exited() (bool, error) {
 	select {
 	case <-p.done:
@@ -142,13 +144,12 @@
 	}
 }
 
-// Mesh is a link for every ordered pair of named nodes: From(a, b) is what a dials to
-// reach b.
+// Mesh has a link for every ordered pair of named nodes.
 type Mesh struct {
-	links map[[2]string]*Link
+	links map[[2]string]*Link // by source and destination node
 }
 
-// NewMesh builds links among nodes; targets gives each node's listening address.
+// NewMesh creates the links between all nodes; targets has each node's listening address by name.
 func NewMesh(targets map[string]string) (*Mesh, error) {
 	m := &Mesh{links: map[[2]string]*Link{}}
 	for a := range targets {
@@ -167,18 +168,18 @@
 	return m, nil
 }
 
-// Link returns the link that a uses to reach b.
+// Link returns the link that node a dials to reach node b.
 func (m *Mesh) Link(a, b string) *Link { return m.links[[2]string{a, b}] }
 
-// Partition black-holes every link between a node of side and one outside it, both
-// ways; the links within each side pass.
+// Partition black-holes every link between a node in side and one outside it, in both directions.
+// Links within each side pass traffic.
 func (m *Mesh) Partition(side ...string) {
-	in := map[string]bool{}
+	inside := map[string]bool{}
 	for _, s := range side {
-		in[s] = true
+		inside[s] = true
 	}
-	for k, l := range m.links {
-		if in[k[0]] != in[k[1]] {
+	for nodes, l := range m.links {
+		if inside[nodes[0]] != inside[nodes[1]] {
 			l.Set(Blackhole)
 		} else {
 			l.Set(Pass)
@@ -186,14 +187,14 @@
 	}
 }
 
-// Heal lets every link pass.
+// Heal makes every link pass traffic.
 func (m *Mesh) Heal() {
 	for _, l := range m.links {
 		l.Set(Pass)
 	}
 }
 
-// Close ends every link.
+// Close closes every link.
 func (m *Mesh) Close() {
 	for _, l := range m.links {
 		l.Close()
