--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -28,7 +28,7 @@
 				if v.Admitted {
 					working++
 				} else if v.RetryAfter <= 0 || v.RetryAfter > opt.Most {
-					t.Fatalf("call %d has retry delay %v, want more than 0 and at most %v", v.ID, v.RetryAfter, opt.Most)
+					t.Fatalf("call %d has a retry delay of %v, which is out of bounds", v.ID, v.RetryAfter)
 				}
 			}
 		}
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -20,7 +20,7 @@
 // as happens when its wall clock was stepped back before it restarted.
 func (n *Node) reportIncarnation(to *memberlist.Node, known uint64) {
 	if n.ml == nil {
-		return // not joined yet
+		return // Start has not finished
 	}
 	message := strconv.AppendUint([]byte(incarnationPrefix), known, 10)
 	if err := n.ml.SendReliable(to, message); err != nil {
--- a/internal/membership/incarnation_test.go
+++ b/internal/membership/incarnation_test.go
@@ -49,14 +49,14 @@
 // announce a higher one and become alive in their views.
 func TestRestartAfterClockStepBackIsAccepted(t *testing.T) {
 	const before, after = 2_000_000_000_000, 1_999_996_400_000 // in Unix ms, one hour apart
-	here, there := freeAddr(t), freeAddr(t)
-	a := startNode(t, "a", here, before)
+	addrA, addrB := freeAddr(t), freeAddr(t)
+	a := startNode(t, "a", addrA, before)
 	defer a.Leave(time.Second)
-	b := startNode(t, "b", there, before, here)
+	b := startNode(t, "b", addrB, before, addrA)
 	waitForPeer(t, a, "b", "alive", func(p Peer) bool { return p.State == Alive })
 	b.Leave(time.Second)
 	waitForPeer(t, a, "b", "left", func(p Peer) bool { return p.State == Left })
-	b = startNode(t, "b", there, after, here)
+	b = startNode(t, "b", addrB, after, addrA)
 	defer b.Leave(time.Second)
 	waitForPeer(t, a, "b", "alive again", func(p Peer) bool { return p.State == Alive && p.Incarnation > before })
 }
--- a/internal/membership/lists.go
+++ b/internal/membership/lists.go
@@ -38,8 +38,8 @@
 	if len(list) == 0 || len(list) > maxListBytes {
 		return nil
 	}
-	out := binary.LittleEndian.AppendUint32([]byte(listMagic), crc32.Checksum(list, castagnoli))
-	return append(out, list...)
+	frame := binary.LittleEndian.AppendUint32([]byte(listMagic), crc32.Checksum(list, castagnoli))
+	return append(frame, list...)
 }
 
 var (
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -203,12 +203,12 @@
 func (n *Node) View() []Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make([]Peer, 0, len(n.view))
+	peers := make([]Peer, 0, len(n.view))
 	for _, p := range n.view {
-		out = append(out, *p)
+		peers = append(peers, *p)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out
+	sort.Slice(peers, func(i, j int) bool { return peers[i].Name < peers[j].Name })
+	return peers
 }
 
 // UnreadableCount returns how many packets and streams memberlist could not decode, plus how many
@@ -393,8 +393,8 @@
 
 func (s *logSink) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
-	if rest, ok := bytes.CutPrefix(bytes.TrimSpace(b), []byte(suspectLogPrefix)); ok {
-		if name, ok := bytes.CutSuffix(rest, []byte(" has failed, no acks received")); ok {
+	if event, ok := bytes.CutPrefix(bytes.TrimSpace(b), []byte(suspectLogPrefix)); ok {
+		if name, ok := bytes.CutSuffix(event, []byte(" has failed, no acks received")); ok {
 			s.node.setLiveness(string(name), Suspect)
 		}
 	}
