--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -46,7 +46,7 @@
 		}
 	}
 	c.limit.N = math.MaxInt64
-	a = answer{kind: served, header: resp.Header}
+	a = answer{kind: answerServed, header: resp.Header}
 	if resp.StatusCode != http.StatusOK {
 		// Only its head tells anything; the rest is read for the next answer's sake.
 		switch n, err := io.CopyN(io.Discard, resp.Body, maxSmall+1); {
@@ -70,10 +70,10 @@
 		a.stream = st
 		return resp.StatusCode, a, !resp.Close, nil
 	}
-	a.give = func() { kept.give(size) }
+	a.release = func() { kept.give(size) }
 	defer func() {
 		if err != nil {
-			a.drop()
+			a.discard()
 			a = answer{}
 		}
 	}()
--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -10,125 +10,132 @@
 )
 
 // A client counts the time of its request from the request's last byte. The gateway may read that
-// byte much later: it waits in the listener's backlog while no connection can be taken, behind a
-// request that is being answered, behind a server that takes a long body late, or for a process that
-// is held up. So the time of a request runs from the last moment at which its last byte was known
-// not to have come. That is never later than the truth; what follows makes it no earlier than needed.
+// byte much later: it waits in the listener's backlog while no connection can be accepted, behind a
+// pipelined request that is being answered, behind a host that takes a long body slowly, or while
+// the process is stalled. So the time of a request runs from the last moment at which its last byte
+// is known not to have arrived. That is never later than the true time. The following rules make it
+// no earlier than necessary.
 //
-//   - A reader that finds nothing knows that all it reads later came later, and so does one that is
-//     woken; a wake-up may be late only while the process is held up.
-//   - The kernel knows when data came last on a connection (TCP_INFO). Where it says so, that counts:
-//     it is exact to one of its ticks, for a backlog and a process that is held up too. Its word is
-//     not used where a full receive window may have kept bytes back at the client.
-//   - A client whose bytes were kept back may have written as many more as its own socket takes. Until
-//     those have been read, or nothing has come for a while, to find nothing proves nothing.
+//   - A read that finds nothing proves that all bytes read later arrive later, and so does a reader
+//     that is woken up; a wake-up is late only while the process is stalled.
+//   - The kernel knows when data last arrived on a connection (TCP_INFO). Where available, that time
+//     is used: it is exact to one kernel tick, for a connection in the backlog and for a stalled
+//     process too. It is not used where a full receive window may have kept bytes back at the client.
+//   - A client whose bytes were kept back may have written as many more as its own socket buffer
+//     takes. Until those have been read, or nothing has arrived for a while, a read that finds
+//     nothing proves nothing.
 //
-// Accepting every connection at once, with silent peers closed to make room, would empty the backlog
-// sooner, but a young connection without a byte may belong to a client whose bytes are on their way.
+// To accept every connection at once and close silent ones to make room would empty the backlog
+// sooner, but a new connection without a byte may belong to a client whose bytes are on their way.
 
 const (
-	// leastWindow is how many bytes the receive window of a connection takes in any case.
-	leastWindow = 32 << 10
-	// senderBuffer is how many bytes a client's socket takes that the gateway's does not
-	// (the default limit of net.ipv4.tcp_wmem).
-	senderBuffer = 4 << 20
-	// pressingBytes is how many unread bytes say that the client's may be kept back.
-	pressingBytes = 64 << 10
-	// transitTime is how long what a client's socket holds takes to come while the window is open.
-	transitTime = 50 * time.Millisecond
-	// reachEvery is how many bytes are read between two notes of how far a stream may reach.
-	reachEvery = 256 << 10
-	// mostReaches bounds the notes: what both sockets may hold, and room to spare.
-	mostReaches = 64
+	// minReceiveWindow is a lower bound on the receive window of a connection, in bytes.
+	minReceiveWindow = 32 << 10
+	// maxClientSendBuffer is how many bytes a client's socket can hold that the gateway's socket
+	// has not taken (the default limit of net.ipv4.tcp_wmem).
+	maxClientSendBuffer = 4 << 20
+	// blockedSenderUnread is the number of unread bytes from which on the client may be blocked.
+	blockedSenderUnread = 64 << 10
+	// sendBufferTransit is how long the contents of a client's send buffer take to arrive while
+	// the receive window is open.
+	sendBufferTransit = 50 * time.Millisecond
+	// sendBoundInterval is how many bytes are read between two elements of sendBounds.
+	sendBoundInterval = 256 << 10
+	// maxSendBounds limits the length of sendBounds. It covers what both sockets can hold, with
+	// a reserve.
+	maxSendBounds = 64
 )
 
-// arrival bounds when the bytes of a stream came that are read next. Its user holds the lock.
-type arrival struct {
-	absent  time.Time // nothing was waiting to be read, as was seen
-	came    time.Time // the same, or a reader that waited was woken; not before absent
-	fresh   int       // bytes read since absent
-	total   int64     // bytes read
-	noted   int64     // total at the last of reaches
-	reaches []reach   // while bytes may be kept back: oldest first, none before came
+// arrivalTracker bounds when the bytes of a stream arrived that are read next. Its user locks it.
+type arrivalTracker struct {
+	emptyAt         time.Time   // last time at which nothing was seen waiting to be read
+	notBefore       time.Time   // emptyAt, or a later time at which a waiting reader was woken up
+	readSinceEmpty  int         // bytes read since emptyAt
+	totalRead       int64       // bytes read in all
+	lastBoundOffset int64       // totalRead at the last element of sendBounds
+	sendBounds      []sendBound // filled while the sender may be blocked; oldest first, none before notBefore
 }
 
-// reach says that no byte of a stream beyond end can have been written by its sender at a time.
-type reach struct {
+// sendBound says that at the given time the sender of a stream cannot have written any byte beyond
+// the offset end.
+type sendBound struct {
 	at  time.Time
 	end int64
 }
 
-// sawNothing notes that nothing was waiting to be read, nor kept back.
-func (a *arrival) sawNothing(now time.Time) {
-	a.absent, a.came, a.fresh = now, now, 0
-	a.noted, a.reaches = a.total, a.reaches[:0]
+// noteEmpty records that nothing was waiting to be read and that the sender was not blocked.
+func (a *arrivalTracker) noteEmpty(now time.Time) {
+	a.emptyAt, a.notBefore, a.readSinceEmpty = now, now, 0
+	a.lastBoundOffset, a.sendBounds = a.totalRead, a.sendBounds[:0]
 }
 
-// woken notes that a reader has been woken that waited since a time.
-func (a *arrival) woken(now, since time.Time) {
+// noteWakeup records that a reader has been woken up that had waited since a time.
+func (a *arrivalTracker) noteWakeup(now, waitingSince time.Time) {
 	switch {
-	case !a.keptBack():
-		a.came = now
-	case now.Sub(since) >= transitTime:
-		a.sawNothing(now.Add(-transitTime))
+	case !a.senderMayBeBlocked():
+		a.notBefore = now
+	case now.Sub(waitingSince) >= sendBufferTransit:
+		a.noteEmpty(now.Add(-sendBufferTransit))
 	}
 }
 
-// took notes that n bytes have been read.
-func (a *arrival) took(n int) {
-	a.fresh += n
-	a.total += int64(n)
+// noteRead records that n bytes have been read.
+func (a *arrivalTracker) noteRead(n int) {
+	a.readSinceEmpty += n
+	a.totalRead += int64(n)
 }
 
-// keptBack says whether what comes next may have been kept back at the sender.
-func (a *arrival) keptBack() bool {
-	n := len(a.reaches)
-	return n > 0 && a.total < a.reaches[n-1].end
+// senderMayBeBlocked returns whether the next bytes may have been kept back at the sender.
+func (a *arrivalTracker) senderMayBeBlocked() bool {
+	n := len(a.sendBounds)
+	return n > 0 && a.totalRead < a.sendBounds[n-1].end
 }
 
-// press notes how many bytes wait to be read; if they are many, more may be kept back.
-func (a *arrival) press(now time.Time, unread int) {
-	if unread < pressingBytes || a.keptBack() && a.total-a.noted < reachEvery {
+// noteUnread records how many bytes wait to be read. If they are many, the sender may be blocked.
+func (a *arrivalTracker) noteUnread(now time.Time, unread int) {
+	if unread < blockedSenderUnread || a.senderMayBeBlocked() && a.totalRead-a.lastBoundOffset < sendBoundInterval {
 		return
 	}
-	if len(a.reaches) == mostReaches {
-		a.reaches = append(a.reaches[:0], a.reaches[1:]...)
+	if len(a.sendBounds) == maxSendBounds {
+		a.sendBounds = append(a.sendBounds[:0], a.sendBounds[1:]...)
 	}
-	a.noted = a.total
-	a.reaches = append(a.reaches, reach{now, a.total + int64(unread) + senderBuffer})
+	a.lastBoundOffset = a.totalRead
+	a.sendBounds = append(a.sendBounds, sendBound{now, a.totalRead + int64(unread) + maxClientSendBuffer})
 }
 
-// since is the last moment at which the byte that ends at an offset of the stream had not come.
-func (a *arrival) since(end int64) time.Time {
-	at := a.came
-	for _, r := range a.reaches {
-		if r.end >= end {
+// arrivedAfter returns the last time at which the byte that ends at an offset of the stream is known
+// not to have arrived.
+func (a *arrivalTracker) arrivedAfter(end int64) time.Time {
+	at := a.notBefore
+	for _, bound := range a.sendBounds {
+		if bound.end >= end {
 			break
 		}
-		at = later(at, r.at)
+		at = laterOf(at, bound.at)
 	}
 	return at
 }
 
-// last is when the byte came that was read last, with nothing waiting behind it. It asks the
-// kernel unless little time has passed since nothing was there.
-func (a *arrival) last(now time.Time, fd int) time.Time {
-	at := a.since(a.total)
-	if a.fresh > leastWindow || now.Sub(a.absent) <= kernelTick {
+// lastByteArrivedAfter bounds the arrival time of the byte that was read last, with nothing waiting
+// behind it. It asks the kernel unless nothing was there to read a short time ago.
+func (a *arrivalTracker) lastByteArrivedAfter(now time.Time, fd int) time.Time {
+	at := a.arrivedAfter(a.totalRead)
+	if a.readSinceEmpty > minReceiveWindow || now.Sub(a.emptyAt) <= kernelTick {
 		return at
 	}
-	age, ok := dataAge(fd)
+	age, ok := lastDataAge(fd)
 	if !ok {
 		return at
 	}
-	byKernel := later(a.absent, now.Add(-age))
+	byKernel := laterOf(a.emptyAt, now.Add(-age))
 	if diff := at.Sub(byKernel); diff >= 0 && diff <= kernelTick {
 		return at
 	}
 	return byKernel
 }
 
-func later(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -138,47 +145,48 @@
 // backlog is a listener that knows since when a connection may have waited to be accepted.
 type backlog struct {
 	net.Listener
-	raw syscall.RawConn // nil where there is none, as in tests without sockets
+	raw syscall.RawConn // nil for a listener without a socket, as in tests
 
-	mu    sync.Mutex
-	queue arrival
+	mu       sync.Mutex
+	arrivals arrivalTracker
 }
 
-// newBacklog returns a backlog over ln. Whatever waits there already is taken to have come now,
-// unless the kernel knows better.
+// newBacklog returns a backlog over ln. Connections that wait already are taken to have arrived
+// now, unless the kernel reports an earlier time.
 func newBacklog(ln net.Listener) *backlog {
 	l := &backlog{Listener: ln}
 	if sc, ok := ln.(syscall.Conn); ok {
-		l.raw, _ = sc.SyscallConn() // an error is that of a closed listener, which Accept tells as well
+		l.raw, _ = sc.SyscallConn() // fails only if the listener is closed, which Accept reports as well
 	}
-	l.queue.came = time.Now()
+	l.arrivals.notBefore = time.Now()
 	return l
 }
 
-// queuedConn is a connection that was accepted; it came when its queue says, at the earliest.
+// queuedConn is a connection that was accepted, with the bounds on its arrival in the backlog.
 type queuedConn struct {
 	net.Conn
-	queue arrival
+	arrivals arrivalTracker
 }
 
 // Accept returns the next connection, as a queuedConn.
 func (l *backlog) Accept() (net.Conn, error) {
-	waits := l.look()
+	empty := l.checkEmpty()
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if waits {
-		l.queue.came = time.Now()
+	if empty {
+		l.arrivals.notBefore = time.Now()
 	}
-	return queuedConn{c, arrival{absent: l.queue.absent, came: l.queue.came}}, nil
+	return queuedConn{c, arrivalTracker{emptyAt: l.arrivals.emptyAt, notBefore: l.arrivals.notBefore}}, nil
 }
 
-// look says whether no connection waits, and notes it. Where that cannot be seen it is presumed, as
-// whoever accepts is woken, but not noted: the kernel may know better of each connection.
-func (l *backlog) look() (empty bool) {
+// checkEmpty returns whether no connection waits, and records it. If the socket cannot be looked at,
+// it returns true, as Accept then waits to be woken up, but records nothing: the kernel may report
+// an earlier time for the data of each connection.
+func (l *backlog) checkEmpty() (empty bool) {
 	if l.raw == nil {
 		return true
 	}
@@ -191,7 +199,7 @@
 	if empty {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.queue.sawNothing(now)
+		l.arrivals.noteEmpty(now)
 	}
 	return empty
 }
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -15,28 +15,28 @@
 // Bounds of the pages: a server may be told 0.15 s more than its client still waits, and an answer
 // that comes more than half a second after a request's time counts as never given.
 const (
-	toldSlack   = 150 * time.Millisecond
-	answerSlack = 500 * time.Millisecond
+	statedTimeoutSlack = 150 * time.Millisecond
+	answerSlack        = 500 * time.Millisecond
 )
 
-// sighting is a request as a server got it.
-type sighting struct {
-	at   time.Time
-	told time.Duration
+// receivedRequest is a request as a server got it.
+type receivedRequest struct {
+	at      time.Time
+	timeout time.Duration
 }
 
-// see notes a request that a server has got whole.
-func see(r *http.Request) sighting {
-	seconds, _ := strconv.ParseFloat(r.Header.Get(headTimeout), 64)
-	return sighting{time.Now(), time.Duration(seconds * float64(time.Second))}
+// newReceivedRequest notes a request that a server has got whole.
+func newReceivedRequest(r *http.Request) receivedRequest {
+	seconds, _ := strconv.ParseFloat(r.Header.Get(timeoutHeader), 64)
+	return receivedRequest{time.Now(), time.Duration(seconds * float64(time.Second))}
 }
 
-// toldNoMoreThanLeft checks what a server was told of a request whose client waits for timeout
+// checkStatedTimeout checks what a server was told of a request whose client waits for timeout
 // from sent on.
-func toldNoMoreThanLeft(t *testing.T, s sighting, sent time.Time, timeout time.Duration) {
+func checkStatedTimeout(t *testing.T, s receivedRequest, sent time.Time, timeout time.Duration) {
 	t.Helper()
-	if left := timeout - s.at.Sub(sent); s.told > left+toldSlack {
-		t.Errorf("the server is told %v where %v are left", s.told, left)
+	if left := timeout - s.at.Sub(sent); s.timeout > left+statedTimeoutSlack {
+		t.Errorf("the server is told %v where %v are left", s.timeout, left)
 	}
 }
 
@@ -49,22 +49,22 @@
 // gateway reads one byte of it and no more until the first has its answer. The time of the second
 // was counted from that later read, though its client counts from its last byte: the server was told
 // 3.995 s where 1.999 s were left, and the answer could come 2 s late.
-func TestPipelinedRequestsTimeRunsFromItsLastByte(t *testing.T) {
+func TestPipelinedRequestTimeRunsFromLastByte(t *testing.T) {
 	const busy, timeout = time.Second, 1800 * time.Millisecond
 	for _, pieces := range []int{1, 3} {
 		t.Run(fmt.Sprint("pieces_", pieces), func(t *testing.T) {
 			t.Parallel()
-			seen := make(chan sighting, 2)
-			server := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
-				seen <- see(r)
+			seen := make(chan receivedRequest, 2)
+			host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
+				seen <- newReceivedRequest(r)
 				if n > 0 {
 					return true // the second gets no answer
 				}
 				time.Sleep(busy)
 				return says(good)(c, r, n)
 			})
-			g := startGateway(t, testConfig(server))
-			c := g.open(timedRequest("GET", "first", patience, 0))
+			g := startGateway(t, testConfig(host))
+			c := g.openConn(timedRequest("GET", "first", patience, 0))
 			<-seen
 			second := timedRequest("GET", "second", timeout, 0)
 			for i := range pieces {
@@ -75,11 +75,11 @@
 			}
 			sent := time.Now()
 			in := bufio.NewReader(c)
-			if status := answerOf(t, in); status != http.StatusOK {
+			if status := readAnswer(t, in); status != http.StatusOK {
 				t.Fatalf("the first request is answered with %d", status)
 			}
-			toldNoMoreThanLeft(t, <-seen, sent, timeout)
-			answerOf(t, in)
+			checkStatedTimeout(t, <-seen, sent, timeout)
+			readAnswer(t, in)
 			if took := time.Since(sent); took > timeout+answerSlack {
 				t.Errorf("the second request is answered after %v, its client waits for %v", took, timeout)
 			}
@@ -91,8 +91,8 @@
 	}
 }
 
-// answerOf reads an answer whole and returns its status.
-func answerOf(t *testing.T, in *bufio.Reader) int {
+// readAnswer reads an answer whole and returns its status.
+func readAnswer(t *testing.T, in *bufio.Reader) int {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -111,7 +111,7 @@
 // of both), and after 5.01 s where it takes nothing, which is the time after which a write to a server
 // counts as stalled: nothing was due before. The time of a long body now runs from when its client can
 // have written the last byte, and its answer is due by that while it is still coming in.
-func TestLongBodysTimeRunsFromItsLastByte(t *testing.T) {
+func TestLongBodyTimeRunsFromLastByte(t *testing.T) {
 	const timeout = 1500 * time.Millisecond
 	for name, stalls := range map[string]time.Duration{
 		"taken after a second": time.Second,
@@ -138,12 +138,12 @@
 			}()
 			g := startGateway(t, testConfig(&testHost{Listener: ln}))
 			body := text(5 << 20)
-			c := g.open(timedRequest("POST", "long", timeout, len(body)))
+			c := g.openConn(timedRequest("POST", "long", timeout, len(body)))
 			if _, err := c.Write(body); err != nil {
 				t.Fatal(err)
 			}
 			sent := time.Now()
-			answerOf(t, bufio.NewReader(c))
+			readAnswer(t, bufio.NewReader(c))
 			if took := time.Since(sent); took > timeout+answerSlack {
 				t.Errorf("the answer comes %v after the last byte, the client waits for %v", took, timeout)
 			}
@@ -153,23 +153,23 @@
 
 // A client that sends a long body slowly has all its time from the last byte on, though the body
 // takes longer than that.
-func TestSlowBodyKeepsItsTime(t *testing.T) {
+func TestSlowUploadKeepsItsTime(t *testing.T) {
 	const timeout = 700 * time.Millisecond
-	server := newHost(t, says(good))
-	g := startGateway(t, testConfig(server))
+	host := newHost(t, says(good))
+	g := startGateway(t, testConfig(host))
 	body := text(maxSmall + 30<<10)
-	c := g.open(timedRequest("POST", "slow", timeout, len(body)))
+	c := g.openConn(timedRequest("POST", "slow", timeout, len(body)))
 	for i := range 5 {
 		time.Sleep(300 * time.Millisecond)
 		c.Write(body[i*len(body)/5 : (i+1)*len(body)/5])
 	}
-	if status := answerOf(t, bufio.NewReader(c)); status != http.StatusOK {
+	if status := readAnswer(t, bufio.NewReader(c)); status != http.StatusOK {
 		t.Errorf("it is answered with %d", status)
 	}
 }
 
 // So it is with a body of a length that is not told: the bound is then how far a client may have got.
-func TestLongChunkedBodysTimeRunsFromItsLastByte(t *testing.T) {
+func TestLongChunkedBodyTimeRunsFromLastByte(t *testing.T) {
 	const timeout, stall = 1500 * time.Millisecond, time.Second
 	ln := listen(t, "127.0.0.1:0", nil)
 	defer ln.Close()
@@ -183,10 +183,10 @@
 		io.Copy(io.Discard, c) // it answers nothing
 	}()
 	g := startGateway(t, testConfig(&testHost{Listener: ln}))
-	c := g.open(chunkedRequest("long", timeout))
+	c := g.openConn(chunkedRequest("long", timeout))
 	writeChunks(t, c, text(5<<20))
 	sent := time.Now()
-	answerOf(t, bufio.NewReader(c))
+	readAnswer(t, bufio.NewReader(c))
 	if took := time.Since(sent); took > timeout+answerSlack {
 		t.Errorf("the answer comes %v after the last byte, the client waits for %v", took, timeout)
 	}
@@ -211,7 +211,7 @@
 
 // A long body that a server takes at its own pace, for longer than the request's time, is not given
 // up on the way: its client cannot have written the last byte before most of it was taken.
-func TestLongBodyOverASlowServerKeepsItsTime(t *testing.T) {
+func TestLongBodyToSlowHostKeepsItsTime(t *testing.T) {
 	const timeout = 4 * time.Second
 	body := text(maxBody)
 	for name, write := range map[string]func(net.Conn){
@@ -220,7 +220,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := httpHost(t, func(w http.ResponseWriter, r *http.Request) {
+			host := httpHost(t, func(w http.ResponseWriter, r *http.Request) {
 				for buf := make([]byte, 64<<10); ; {
 					_, err := io.ReadFull(r.Body, buf)
 					if err != nil {
@@ -230,15 +230,15 @@
 				}
 				io.WriteString(w, "good")
 			})
-			g := startGateway(t, testConfig(server))
+			g := startGateway(t, testConfig(host))
 			head := chunkedRequest("long", timeout)
 			if name == "length" {
 				head = timedRequest("POST", "long", timeout, len(body))
 			}
-			c := g.open(head)
+			c := g.openConn(head)
 			began := time.Now()
 			write(c)
-			if status := answerOf(t, bufio.NewReader(c)); status != http.StatusOK {
+			if status := readAnswer(t, bufio.NewReader(c)); status != http.StatusOK {
 				t.Errorf("it is answered with %d after %v", status, time.Since(began))
 			}
 		})
@@ -247,11 +247,11 @@
 
 // A connection may wait before the process accepts at all: a listener that was handed over has a
 // backlog that nobody has looked at.
-func TestTimeRunsInABacklogThatIsTakenOver(t *testing.T) {
-	const waits, timeout = time.Second, 3 * time.Second
-	seen := make(chan sighting, 1)
-	server := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
-		seen <- see(r)
+func TestTimeRunsInInheritedBacklog(t *testing.T) {
+	const backlogWait, timeout = time.Second, 3 * time.Second
+	seen := make(chan receivedRequest, 1)
+	host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
+		seen <- newReceivedRequest(r)
 		return says(good)(c, r, n)
 	})
 	ln := listen(t, "127.0.0.1:0", nil)
@@ -262,63 +262,63 @@
 	defer c.Close()
 	io.WriteString(c, timedRequest("GET", "early", timeout, 0))
 	sent := time.Now()
-	time.Sleep(waits)
-	g := startGateway(t, testConfig(server))
+	time.Sleep(backlogWait)
+	g := startGateway(t, testConfig(host))
 	defer g.server.http.Close()
 	go g.server.Serve(ln)
-	toldNoMoreThanLeft(t, <-seen, sent, timeout)
+	checkStatedTimeout(t, <-seen, sent, timeout)
 }
 
 // The audit counts a server that is told too much from the request's last byte, whatever deadline the
 // request was given: it did not move at any of the faults above, as it counted from the same wrong
 // moment as they did.
-func TestAuditCountsFromTheLastByte(t *testing.T) {
+func TestAuditCountsTimeFromLastByte(t *testing.T) {
 	const waited, left = time.Second, 2 * time.Second
 	now := time.Now()
-	whole := &requestHead{whole: now.Add(-waited)}
-	for stated, breaks := range map[time.Duration]int64{left: 1, left - waited: 0, left - waited + toldSlack/2: 0} {
+	completeHead := &requestHead{completeAt: now.Add(-waited)}
+	for stated, violations := range map[time.Duration]int64{left: 1, left - waited: 0, left - waited + statedTimeoutSlack/2: 0} {
 		var audit Audit
 		x := newExchange("")
-		x.from, x.head, x.left, x.deadline = &framedConn{}, whole, left, now.Add(stated)
-		audit.sent(&host{}, x, now, stated, time.Second)
-		if n := audit.Figures().TimeoutsOver; n != breaks {
-			t.Errorf("%v stated where %v are left: %d breaks counted, want %d", stated, left-waited, n, breaks)
+		x.clientConn, x.head, x.timeout, x.deadline = &framedConn{}, completeHead, left, now.Add(stated)
+		audit.checkSent(&host{}, x, now, stated, time.Second)
+		if n := audit.Counters().TimeoutsOverLeft; n != violations {
+			t.Errorf("%v stated where %v are left: %d breaks counted, want %d", stated, left-waited, n, violations)
 		}
 	}
 }
 
-// hiddenListener is a listener whose socket cannot be looked at.
-type hiddenListener struct{ net.Listener }
+// unobservableListener is a listener whose socket cannot be looked at.
+type unobservableListener struct{ net.Listener }
 
 // Where the backlog cannot be looked at, the kernel's word on the connection still counts. A gateway of
 // the soak whose accepts fail on purpose told a server 1.195 s where 0.842 s were left (seed 12,
 // q12-020850): its backlog passed for seen empty, which is later than the data and so went before it.
-func TestTimeRunsInABacklogThatCannotBeSeen(t *testing.T) {
+func TestTimeRunsInUnobservableBacklog(t *testing.T) {
 	const timeout = 5 * time.Second
-	seen := make(chan sighting, 1)
-	server := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
-		seen <- see(r)
+	seen := make(chan receivedRequest, 1)
+	host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
+		seen <- newReceivedRequest(r)
 		return says(good)(c, r, n)
 	})
-	cfg := testConfig(server)
+	cfg := testConfig(host)
 	cfg.Sockets = 64
 	g := startGateway(t, cfg)
 	ln := listen(t, "127.0.0.1:0", nil)
-	go g.server.Serve(hiddenListener{ln})
+	go g.server.Serve(unobservableListener{ln})
 	g.url = "http://" + ln.Addr().String()
-	places := cfg.Sockets * mostSockets / 100
-	for range places {
-		g.open("")
+	slots := cfg.Sockets * maxClientConnPercent / 100
+	for range slots {
+		g.openConn("")
 	}
-	until(t, "all places are held", func() bool { return len(g.server.slots) == places })
+	until(t, "all places are held", func() bool { return len(g.server.connSlots) == slots })
 	sent := time.Now()
-	g.open(timedRequest("GET", "hidden", timeout, 0))
-	toldNoMoreThanLeft(t, <-seen, sent, timeout)
+	g.openConn(timedRequest("GET", "hidden", timeout, 0))
+	checkStatedTimeout(t, <-seen, sent, timeout)
 }
 
 // Without the kernel's word, what a connection may have waited for is bounded by looks at the
 // backlog: it came after the last one that found nothing.
-func TestBacklogBoundsTheWait(t *testing.T) {
+func TestBacklogBoundsArrivalTime(t *testing.T) {
 	l := newBacklog(listen(t, "127.0.0.1:0", nil))
 	defer l.Close()
 	dial := func() {
@@ -334,19 +334,19 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		return c.(queuedConn).queue.came
+		return c.(queuedConn).arrivals.notBefore
 	}
 	const span = 50 * time.Millisecond
 	time.Sleep(span)
 	looked := time.Now()
-	if !l.look() {
+	if !l.checkEmpty() {
 		t.Fatal("an empty backlog is not seen as empty")
 	}
 	dial()
 	dial()
 	dialled := time.Now()
 	time.Sleep(span)
-	if l.look() {
+	if l.checkEmpty() {
 		t.Fatal("a backlog of two is seen as empty")
 	}
 	for range 2 {
@@ -355,9 +355,9 @@
 		}
 	}
 	time.AfterFunc(span, dial)
-	waits := time.Now()
-	if came := accept(); came.Sub(waits) < span {
-		t.Errorf("a connection that was waited for came %v after the wait began, want %v at least", came.Sub(waits), span)
+	waitStart := time.Now()
+	if came := accept(); came.Sub(waitStart) < span {
+		t.Errorf("a connection that was waited for came %v after the wait began, want %v at least", came.Sub(waitStart), span)
 	}
 }
 
@@ -365,74 +365,74 @@
 func TestArrivalBounds(t *testing.T) {
 	zero := time.Now()
 	at := func(seconds int) time.Time { return zero.Add(time.Duration(seconds) * time.Second) }
-	const mega = 1 << 20
+	const mebibyte = 1 << 20
 	for _, c := range []struct {
 		name string
-		note func(a *arrival)
+		note func(a *arrivalTracker)
 		end  int64
 		want int
 	}{
-		{"nothing was there", func(a *arrival) { a.sawNothing(at(3)) }, 100, 3},
-		{"a reader was woken", func(a *arrival) { a.sawNothing(at(3)); a.woken(at(5), at(3)) }, 100, 5},
-		{"bytes were there", func(a *arrival) { a.sawNothing(at(3)); a.took(100) }, 100, 3},
-		{"few bytes wait", func(a *arrival) { a.took(mega); a.press(at(4), pressingBytes-1) }, 9 * mega, 0},
-		{"the sender may have written all", func(a *arrival) { a.took(mega); a.press(at(4), mega) }, 6 * mega, 0},
-		{"the sender cannot have written all", func(a *arrival) { a.took(mega); a.press(at(4), mega) }, 6*mega + 1, 4},
-		{"the last note counts that lies before", func(a *arrival) {
+		{"nothing was there", func(a *arrivalTracker) { a.noteEmpty(at(3)) }, 100, 3},
+		{"a reader was woken", func(a *arrivalTracker) { a.noteEmpty(at(3)); a.noteWakeup(at(5), at(3)) }, 100, 5},
+		{"bytes were there", func(a *arrivalTracker) { a.noteEmpty(at(3)); a.noteRead(100) }, 100, 3},
+		{"few bytes wait", func(a *arrivalTracker) { a.noteRead(mebibyte); a.noteUnread(at(4), blockedSenderUnread-1) }, 9 * mebibyte, 0},
+		{"the sender may have written all", func(a *arrivalTracker) { a.noteRead(mebibyte); a.noteUnread(at(4), mebibyte) }, 6 * mebibyte, 0},
+		{"the sender cannot have written all", func(a *arrivalTracker) { a.noteRead(mebibyte); a.noteUnread(at(4), mebibyte) }, 6*mebibyte + 1, 4},
+		{"the last note counts that lies before", func(a *arrivalTracker) {
 			for i := range 8 {
-				a.took(mega)
-				a.press(at(i+1), pressingBytes)
+				a.noteRead(mebibyte)
+				a.noteUnread(at(i+1), blockedSenderUnread)
 			}
-		}, 8*mega + pressingBytes + 1, 4},
-		{"a wake-up proves nothing while bytes are kept back", func(a *arrival) {
-			a.took(mega)
-			a.press(at(4), mega)
-			a.woken(at(5), at(5).Add(-transitTime+1))
-		}, 5 * mega, 0},
-		{"... but behind a long wait", func(a *arrival) {
-			a.took(mega)
-			a.press(at(4), mega)
-			a.woken(at(6).Add(transitTime), at(5))
-		}, 5 * mega, 6},
-		{"... and where all that may be has been read", func(a *arrival) {
-			a.took(mega)
-			a.press(at(4), mega)
-			a.took(5 * mega)
-			a.woken(at(6), at(6))
-		}, 7 * mega, 6},
-		{"the oldest notes go", func(a *arrival) {
-			for i := range 2 * mostReaches {
-				a.took(mega)
-				a.press(at(i+1), pressingBytes)
+		}, 8*mebibyte + blockedSenderUnread + 1, 4},
+		{"a wake-up proves nothing while bytes are kept back", func(a *arrivalTracker) {
+			a.noteRead(mebibyte)
+			a.noteUnread(at(4), mebibyte)
+			a.noteWakeup(at(5), at(5).Add(-sendBufferTransit+1))
+		}, 5 * mebibyte, 0},
+		{"... but behind a long wait", func(a *arrivalTracker) {
+			a.noteRead(mebibyte)
+			a.noteUnread(at(4), mebibyte)
+			a.noteWakeup(at(6).Add(sendBufferTransit), at(5))
+		}, 5 * mebibyte, 6},
+		{"... and where all that may be has been read", func(a *arrivalTracker) {
+			a.noteRead(mebibyte)
+			a.noteUnread(at(4), mebibyte)
+			a.noteRead(5 * mebibyte)
+			a.noteWakeup(at(6), at(6))
+		}, 7 * mebibyte, 6},
+		{"the oldest notes go", func(a *arrivalTracker) {
+			for i := range 2 * maxSendBounds {
+				a.noteRead(mebibyte)
+				a.noteUnread(at(i+1), blockedSenderUnread)
 			}
-		}, (2*mostReaches)*mega + pressingBytes + 1, 2*mostReaches - 4},
+		}, (2*maxSendBounds)*mebibyte + blockedSenderUnread + 1, 2*maxSendBounds - 4},
 	} {
-		a := arrival{absent: zero, came: zero}
+		a := arrivalTracker{emptyAt: zero, notBefore: zero}
 		c.note(&a)
-		if got := a.since(c.end).Sub(zero); got != time.Duration(c.want)*time.Second {
+		if got := a.arrivedAfter(c.end).Sub(zero); got != time.Duration(c.want)*time.Second {
 			t.Errorf("%s: it came after %v, want %d s", c.name, got, c.want)
 		}
 	}
 }
 
-// lateConn is a connection whose reader is late: the process is held up.
-type lateConn struct {
+// delayedConn is a connection whose reader is late: the process is held up.
+type delayedConn struct {
 	*net.TCPConn
-	late time.Duration
+	delay time.Duration
 }
 
-func (c lateConn) Read(p []byte) (int, error) {
-	time.Sleep(c.late)
+func (c delayedConn) Read(p []byte) (int, error) {
+	time.Sleep(c.delay)
 	return c.TCPConn.Read(p)
 }
 
 // An answer waits unread for half a second. What its server is charged with is the time that the
 // answer took to come, not the time that it waited here: that was 0.5 s too much, as an attempt
 // was timed until the loop heard of its end.
-func TestAnswerThatWaitsUnreadIsChargedWhenItCame(t *testing.T) {
-	const late = 500 * time.Millisecond
+func TestUnreadAnswerIsChargedUntilItArrived(t *testing.T) {
+	const delay = 500 * time.Millisecond
 	for name, answer := range map[string]string{"served": good, "an error": errored} {
-		server := newHost(t, says(answer))
+		host := newHost(t, says(answer))
 		p := newTestPool()
 		p.WrapDial(func(dial DialFunc) DialFunc {
 			return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -440,13 +440,13 @@
 				if err != nil {
 					return nil, err
 				}
-				return lateConn{c.(*net.TCPConn), late}, nil
+				return delayedConn{c.(*net.TCPConn), delay}, nil
 			}
 		})
-		try := newTry()
-		p.attempt(t.Context(), pooled(p, server.addr()), newExchange("b"), try)
-		if try.took == 0 || try.took > late/2 {
-			t.Errorf("%s: the server is charged with %v (0: the whole attempt), its answer came at once and waited for %v", name, try.took, late)
+		attempt := newTry()
+		p.attempt(t.Context(), pooled(p, host.addr()), newExchange("b"), attempt)
+		if attempt.took == 0 || attempt.took > delay/2 {
+			t.Errorf("%s: the server is charged with %v (0: the whole attempt), its answer came at once and waited for %v", name, attempt.took, delay)
 		}
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -43,7 +43,7 @@
 
 // answerCame says whether some of its answer has come, read or not.
 func (t *try) answerCame() bool {
-	return t.sent.Load() && t.sentOn.answerCame(t.sentAt)
+	return t.sent.Load() && t.sentOn.answerArrived(t.sentAt)
 }
 
 // end calls the attempt off.
@@ -60,7 +60,7 @@
 // client has another answer.
 func (t *try) pass(x *exchange, a answer) bool {
 	t.mu.Lock()
-	won := !t.over && x.close()
+	won := !t.over && x.claimAnswer()
 	t.passes = won
 	t.mu.Unlock()
 	if won {
@@ -86,7 +86,7 @@
 		case ctx.Err() != nil:
 			if err == nil {
 				p.put(c) // nothing was written to it
-			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialled) > x.left/2 {
+			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialled) > x.timeout/2 {
 				// The dial had most of the time that there was: the host could not be
 				// connected to, though the dial's own time-out is longer.
 				return lynxspool.ConnectFailed, answer{}
@@ -107,7 +107,7 @@
 		}
 		reused := c.reused
 		result, a := p.exchange(ctx, c, x, t)
-		if result == lynxspool.ConnectFailed && reused && ctx.Err() == nil && !x.spent() {
+		if result == lynxspool.ConnectFailed && reused && ctx.Err() == nil && !x.bodyConsumed() {
 			// It closed after the look and before the last byte: nothing ran, and
 			// that tells nothing of the host. Each round uses up one idle connection.
 			continue
@@ -119,11 +119,11 @@
 // permit is the last look before the first byte of an attempt: whether the server still takes
 // requests, and whether the request still wants an answer and has a client to give it to.
 func (p *Pool) permit(h *host, x *exchange) bool {
-	if x.gone != nil && x.gone() {
-		x.leave()
-		x.finish(answer{kind: failed})
+	if x.clientGone != nil && x.clientGone() {
+		x.markClientGone()
+		x.finish(answer{kind: answerFailed})
 	}
-	return !x.over.Load() && h.usable.Load()
+	return !x.finished.Load() && h.usable.Load()
 }
 
 // localFailure says that a call to the system failed for want of something on this machine:
@@ -171,7 +171,7 @@
 	// in time, and is read first.
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			c.awaitRead()
+			c.awaitUnreadAnswer()
 		}
 		c.Conn.Close()
 	})
@@ -187,14 +187,14 @@
 		c.SetWriteDeadline(t.by)
 		defer c.SetWriteDeadline(time.Time{}) // ahead of the put below, as it is set later
 	}
-	head, stated := x.encode()
-	p.audit.sent(c.host, x, time.Now(), stated, p.grace)
+	head, stated := x.encodeHead()
+	p.audit.checkSent(c.host, x, time.Now(), stated, p.grace)
 	early, err := c.write(x, head)
 	if err != nil {
 		switch {
 		case errors.Is(err, errClient):
 			// Answered by whoever reads the client; nothing ran, and the host is not to blame.
-			x.finish(answer{kind: rejected, err: err})
+			x.finish(answer{kind: answerRejected, err: err})
 			return lynxspool.NotSent, answer{}
 		case ctx.Err() != nil:
 			return unsent(ctx), answer{}
@@ -219,7 +219,7 @@
 		keep = false // what it did not read of the request would follow
 	}
 	if err == nil && a.stream == nil {
-		t.took = c.answeredAfter(t.from, wrote)
+		t.took = c.answerDuration(t.from, wrote)
 	}
 	if err != nil && ctx.Err() != nil {
 		p.unheard(c.host, wrote)
@@ -244,7 +244,7 @@
 	}
 	switch {
 	case status == http.StatusOK && early:
-		a.drop()
+		a.discard()
 		return lynxspool.Failed, answer{} // it cannot have run what it has not got
 	case status == http.StatusOK && a.stream != nil:
 		var result lynxspool.Result
@@ -253,7 +253,7 @@
 	case status == http.StatusOK:
 		return lynxspool.OK, a
 	}
-	a.drop()
+	a.discard()
 	switch {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		a.header.Get(headNotProcessed) == "1":
@@ -328,7 +328,7 @@
 		}
 		if err == io.EOF {
 			// All of it has been read. It may have come long before: the server took it late.
-			x.deadline = x.due(x.dueAt())
+			x.deadline = x.capDeadline(x.clientDeadline())
 		}
 		if err == io.EOF && up.length < 0 {
 			if err := piece(buf[:n]); err != nil {
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -8,71 +8,72 @@
 	"lynxspool"
 )
 
-// Slack of the rules that are checked as they are kept.
+// Tolerances of the checks.
 const (
-	goneSlack    = 100 * time.Millisecond // an attempt may begin so long after its client has gone
-	timeoutSlack = 150 * time.Millisecond // a server may be told so much more than the client has left
+	goneClientSlack = 100 * time.Millisecond // how long after its client has left an attempt may begin
+	timeoutSlack    = 150 * time.Millisecond // how much more time than the client has left may be stated to a host
 )
 
-// Audit counts breaks of rules that the gateway sees itself, one counter a rule. Each is zero in
-// a gateway that works; what decides is elsewhere (the module, and permit before a first byte).
-// It is safe for concurrent use.
+// Audit counts violations of rules that the gateway can observe itself, one counter for each rule.
+// All counters are zero in a correct gateway. The rules are enforced elsewhere: in the decision
+// module, and in Pool.permit before the first byte of an attempt. Audit is safe for concurrent use.
 type Audit struct {
-	sentAfterNotice atomic.Int64
-	sentForGone     atomic.Int64
-	secondRuns      atomic.Int64
-	timeoutsOver    atomic.Int64
-	closedOwing     atomic.Int64
-	coldOver        atomic.Int64
+	sentAfterNotification atomic.Int64
+	sentForGoneClients    atomic.Int64
+	secondRuns            atomic.Int64
+	timeoutsOverLeft      atomic.Int64
+	closedOwingAnswer     atomic.Int64
+	slowStartOverBudget   atomic.Int64
 }
 
-// AuditFigures are the counters of an Audit, in breaks since the process started.
-type AuditFigures struct {
-	SentAfterNotice int64 `json:"sent_after_notification"` // attempts begun beyond the grace after a server left
-	SentForGone     int64 `json:"sent_for_gone_clients"`   // ... beyond 0.1 s after the client had gone
-	SecondRuns      int64 `json:"second_runs"`             // ... of what may have run, beyond what its class allows
-	TimeoutsOver    int64 `json:"timeouts_over_left"`      // ... that told a server more than the client had left
-	ClosedOwing     int64 `json:"closed_owing_an_answer"`  // requests read whose connection closed with no answer
-	ColdOver        int64 `json:"slow_start_over_budget"`  // sends to a cold server beyond its budget, from here alone
+// AuditCounters are the counters of an Audit: the violations since the process started.
+type AuditCounters struct {
+	SentAfterNotification int64 `json:"sent_after_notification"` // attempts begun later than the drain grace after their host left
+	SentForGoneClients    int64 `json:"sent_for_gone_clients"`   // attempts begun more than 0.1 s after their client had left
+	SecondRuns            int64 `json:"second_runs"`             // attempts of requests that may have run before, beyond what their class allows
+	TimeoutsOverLeft      int64 `json:"timeouts_over_left"`      // attempts that stated more time to a host than the client had left
+	ClosedOwingAnswer     int64 `json:"closed_owing_an_answer"`  // requests read whose connection closed without an answer
+	SlowStartOverBudget   int64 `json:"slow_start_over_budget"`  // attempts sent to a cold host beyond its budget, as far as this gateway alone sends them
 }
 
-// Figures returns the counters as they are.
-func (a *Audit) Figures() AuditFigures {
-	return AuditFigures{
-		SentAfterNotice: a.sentAfterNotice.Load(), SentForGone: a.sentForGone.Load(), SecondRuns: a.secondRuns.Load(),
-		TimeoutsOver: a.timeoutsOver.Load(), ClosedOwing: a.closedOwing.Load(), ColdOver: a.coldOver.Load(),
+// Counters returns the present values of the counters.
+func (a *Audit) Counters() AuditCounters {
+	return AuditCounters{
+		SentAfterNotification: a.sentAfterNotification.Load(), SentForGoneClients: a.sentForGoneClients.Load(), SecondRuns: a.secondRuns.Load(),
+		TimeoutsOverLeft: a.timeoutsOverLeft.Load(), ClosedOwingAnswer: a.closedOwingAnswer.Load(), SlowStartOverBudget: a.slowStartOverBudget.Load(),
 	}
 }
 
 // Log writes the counters as one line.
 func (a *Audit) Log(msg string) {
-	f := a.Figures()
-	slog.Info(msg, "sent_after_notification", f.SentAfterNotice, "sent_for_gone_clients", f.SentForGone,
-		"second_runs", f.SecondRuns, "timeouts_over_left", f.TimeoutsOver, "closed_owing_an_answer", f.ClosedOwing,
-		"slow_start_over_budget", f.ColdOver)
+	c := a.Counters()
+	slog.Info(msg, "sent_after_notification", c.SentAfterNotification, "sent_for_gone_clients", c.SentForGoneClients,
+		"second_runs", c.SecondRuns, "timeouts_over_left", c.TimeoutsOverLeft, "closed_owing_an_answer", c.ClosedOwingAnswer,
+		"slow_start_over_budget", c.SlowStartOverBudget)
 }
 
-// count adds a break to a counter and logs it.
-func count(counter *atomic.Int64, rule string, args ...any) {
+// recordViolation increments a counter and logs the violation.
+func recordViolation(counter *atomic.Int64, rule string, args ...any) {
 	counter.Add(1)
 	slog.Error("rule broken: "+rule, args...)
 }
 
-// sent checks an attempt whose first byte went out at began, and which stated a time-out to its server.
-func (a *Audit) sent(h *host, x *exchange, began time.Time, stated time.Duration, grace time.Duration) {
+// checkSent checks an attempt whose first byte was written at began and which stated a timeout to its
+// host.
+func (a *Audit) checkSent(h *host, x *exchange, began time.Time, statedTimeout time.Duration, grace time.Duration) {
 	if left := h.leftAt.Load(); left != nil && began.Sub(*left) > grace {
-		count(&a.sentAfterNotice, "sent after notification", "id", x.requestID(), "host", h.id, "after", began.Sub(*left))
+		recordViolation(&a.sentAfterNotification, "sent after notification", "id", x.requestID(), "host", h.id, "after", began.Sub(*left))
 	}
-	if gone := x.goneAt.Load(); gone != nil && began.Sub(*gone) > goneSlack {
-		count(&a.sentForGone, "sent for a client that has gone", "id", x.requestID(), "after", began.Sub(*gone))
+	if gone := x.clientGoneAt.Load(); gone != nil && began.Sub(*gone) > goneClientSlack {
+		recordViolation(&a.sentForGoneClients, "sent for a client that has gone", "id", x.requestID(), "after", began.Sub(*gone))
 	}
-	if left := x.dueAt().Add(answerMargin).Sub(began); stated > left+timeoutSlack {
-		count(&a.timeoutsOver, "server told more time than is left", "id", x.requestID(), "told", stated, "left", left)
+	if left := x.clientDeadline().Add(answerMargin).Sub(began); statedTimeout > left+timeoutSlack {
+		recordViolation(&a.timeoutsOverLeft, "server told more time than is left", "id", x.requestID(), "told", statedTimeout, "left", left)
 	}
 }
 
-// attempt checks a further attempt of a request against the ones before it.
-func (a *Audit) attempt(x *exchange, now time.Time) {
+// checkAttempt checks a further attempt of a request against its earlier ones.
+func (a *Audit) checkAttempt(x *exchange, now time.Time) {
 	class := &x.rules.Settings.Classes[x.class]
 	if class.Effect == lynxspool.Safe {
 		return
@@ -82,7 +83,7 @@
 			continue
 		}
 		if class.Effect == lynxspool.Unsafe || now.Sub(t.from) > class.Window {
-			count(&a.secondRuns, "sent again though it may have run", "id", x.requestID(), "attempts", len(x.attempts))
+			recordViolation(&a.secondRuns, "sent again though it may have run", "id", x.requestID(), "attempts", len(x.attempts))
 			return
 		}
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,12 +11,12 @@
 	"lynxspool"
 )
 
-// BenchmarkRequestsWay is one request's way from a client through the gateway to a server and back, on
+// BenchmarkRequestRoundTrip is one request's way from a client through the gateway to a server and back, on
 // connections that are kept. Allocations are those of all three.
-func BenchmarkRequestsWay(b *testing.B) {
-	server := benchServer(b)
+func BenchmarkRequestRoundTrip(b *testing.B) {
+	host := benchHost(b)
 	cfg := testConfig()
-	cfg.Known.Servers = []Member{{ID: "s-0", Addr: server, State: "ready"}}
+	cfg.Known.Servers = []Member{{ID: "s-0", Addr: host, State: "ready"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	pool := NewPool(cfg)
@@ -24,14 +24,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	clients := NewServer(cfg, loop)
+	server := NewServer(cfg, loop)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	go loop.Run(ctx)
-	go clients.Serve(ln)
-	defer clients.http.Close()
+	go server.Serve(ln)
+	defer server.http.Close()
 	loop.Members(lynxspool.ListSaved, cfg.Known)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// benchServer answers every request on every connection at once.
-func benchServer(b *testing.B) (addr string) {
+// benchHost answers every request on every connection at once.
+func benchHost(b *testing.B) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -321,7 +321,7 @@
 		{"stalls", head("POST /api HTTP/1.1", "d", "Content-Length: 200000\r\n") + "x", 400},
 		{"stalls in a chunk", head("POST /api HTTP/1.1", "e", chunked) + strings.Repeat(piece, 3) + "8000\r\nx", 400},
 	} {
-		if got := g.talk(tt.text); len(got) != 1 || got[0] != tt.want {
+		if got := g.sendParts(tt.text); len(got) != 1 || got[0] != tt.want {
 			t.Errorf("%s: answers %v, want a single %d", tt.name, got, tt.want)
 		}
 	}
@@ -343,12 +343,12 @@
 		head("POST /api HTTP/1.1", "3", chunked) + body +
 		head("POST /api HTTP/1.1", "4", "Content-Length: 100000\r\n") + long +
 		head("POST /api HTTP/1.1", "5", chunked) + body
-	if got := fmt.Sprint(g.talk(all + head("GET /_health HTTP/1.1", "6", "Connection: close\r\n"))); got != "[200 200 200 200 200 200]" {
+	if got := fmt.Sprint(g.sendParts(all + head("GET /_health HTTP/1.1", "6", "Connection: close\r\n"))); got != "[200 200 200 200 200 200]" {
 		t.Errorf("answers %v", got)
 	}
 	hidden := head("POST /api HTTP/1.1", "hidden", "Connection: close\r\nContent-Length: 0\r\n")
 	bad := head("POST /api HTTP/1.1", "7", chunked+"Content-Length: 5\r\n") + "0\r\n\r\n" + hidden
-	if got := fmt.Sprint(g.talk(all + bad)); got != "[200 200 200 200 200 400]" {
+	if got := fmt.Sprint(g.sendParts(all + bad)); got != "[200 200 200 200 200 400]" {
 		t.Errorf("answers %v", got)
 	}
 	host.mu.Lock()
@@ -379,16 +379,16 @@
 		c := &framedConn{}
 		for rest := all; len(rest) > 0; {
 			n := min(size, len(rest))
-			c.follow([]byte(rest[:n]))
+			c.parse([]byte(rest[:n]))
 			rest = rest[n:]
 		}
 		var got []string
-		for _, h := range c.heads {
-			s := h.length
-			if h.encoded {
+		for _, h := range c.pendingHeads {
+			s := h.contentLength
+			if h.hasTransferEncoding {
 				s += "c"
 			}
-			if h.odd {
+			if h.ambiguous {
 				s += "o"
 			}
 			got = append(got, s)
@@ -425,14 +425,14 @@
 		io.WriteString(w, "good")
 	})
 	p, x := newTestPool(), newExchange("")
-	s := &Server{exitAt: time.Now().Add(time.Second)}
-	x.due, x.left = s.due, time.Hour
+	s := &Server{finalAnswerAt: time.Now().Add(time.Second)}
+	x.capDeadline, x.timeout = s.capDeadline, time.Hour
 	x.upload = &upload{
 		clientBody: &clientBody{body: bytes.NewReader(text(100_000)), rc: http.NewResponseController(deadlines{httptest.NewRecorder()})},
 		length:     100_000, whole: make(chan struct{}),
 	}
 	s.stopping.Store(true)
-	if got, _ := tryOnce(t, p, pooled(p, host.addr()), x); got != lynxspool.OK || !x.deadline.Equal(s.exitAt) {
-		t.Errorf("result %v, due %v, want the end of the process %v", got, x.deadline, s.exitAt)
+	if got, _ := tryOnce(t, p, pooled(p, host.addr()), x); got != lynxspool.OK || !x.deadline.Equal(s.finalAnswerAt) {
+		t.Errorf("result %v, due %v, want the end of the process %v", got, x.deadline, s.finalAnswerAt)
 	}
 }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -15,10 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is the client's connection: reading it, its deadlines, and closing it with nothing lost.
-// What it brings is followed in framing.go, when that came in arrival.go.
+// This file implements the connection of a client: reading, read deadlines, and closing it without
+// losing a request. framing.go parses the bytes that are read, and arrival.go bounds the time at
+// which they arrived.
 
-// framedListener watches the framing of what its connections bring.
+// framedListener accepts connections as framedConns.
 type framedListener struct{ net.Listener }
 
 func (l framedListener) Accept() (net.Conn, error) {
@@ -31,59 +32,59 @@
 
 func newFramedConn(c net.Conn) *framedConn {
 	now := time.Now()
-	framed := &framedConn{Conn: c, head: requestHead{began: now}}
-	framed.unread.sawNothing(now)
+	framed := &framedConn{Conn: c, partialHead: requestHead{startedAt: now}}
+	framed.arrivals.noteEmpty(now)
 	if queued, ok := c.(queuedConn); ok {
-		c, framed.Conn, framed.unread = queued.Conn, queued.Conn, queued.queue
+		c, framed.Conn, framed.arrivals = queued.Conn, queued.Conn, queued.arrivals
 	}
 	framed.raw = rawConn(c)
-	framed.reader.init(framed.raw, framed.readNow)
+	framed.reader.init(framed.raw, framed.readAvailable)
 	return framed
 }
 
-// framedConn follows the framing of what its connection brings, from head to head.
+// framedConn is a connection that parses the framing of the requests that are read from it.
 type framedConn struct {
 	net.Conn
-	raw     syscall.RawConn // of Conn; nil where there is none, as in tests without sockets
-	closed  atomic.Bool     // by us, whatever may have been read from it
-	release func()          // gives back its place at the first Close; may be nil
-
-	mu     sync.Mutex     // net/http reads ahead while the handler runs
-	ended  bool           // nothing more is read, as the connection is about to be closed
-	heads  []*requestHead // of requests that no handler has yet, in their order
-	idle   bool           // no request is being served, so what comes in begins one
-	due    time.Time      // a head that has begun to come in while idle has to be whole; zero: none has
-	unread arrival        // of what has not been read
-	readBy time.Time      // deadline of reads
-	reader connReader
-	at     place
-	left   int64        // bytes of the body or chunk still to come
-	line   []byte       // start of the line that is coming in
-	long   bool         // ... which has been cut
-	head   requestHead  // that is coming in
-	latest *requestHead // of the request whose head came whole last
+	raw         syscall.RawConn // of Conn; nil for a connection without a socket, as in tests
+	closed      atomic.Bool     // closed by this process, whatever has been read from it
+	releaseSlot func()          // called by the first Close to free the connection's slot; may be nil
+
+	mu            sync.Mutex     // needed as net/http reads ahead while the handler runs
+	closing       bool           // the connection is about to be closed, and nothing more is read
+	pendingHeads  []*requestHead // heads of requests that no handler has taken yet, oldest first
+	idle          bool           // no request is being served, so the next bytes begin one
+	headDeadline  time.Time      // deadline of a head that has begun to arrive on an idle connection; zero if there is none
+	arrivals      arrivalTracker // bounds the arrival time of the bytes that are read next
+	readDeadline  time.Time      // current deadline of reads
+	reader        connReader
+	state         parseState
+	remaining     int64        // bytes of the body or chunk that are still to come
+	line          []byte       // start of the line that is being received, up to maxLineBytes
+	lineTruncated bool         // the line is longer than maxLineBytes
+	partialHead   requestHead  // head that is being received
+	lastHead      *requestHead // head of the request that was received last
 }
 
-// Read reads and takes in what came in one step under c.mu, so that whoever closes the
-// connection for bringing nothing knows of all that was read.
+// Read reads and parses what has arrived in one step under c.mu, so that closeIf knows of all that
+// was read when it closes a connection for sending nothing.
 func (c *framedConn) Read(p []byte) (n int, err error) {
 	defer func() {
-		if due := c.headDue(); !due.IsZero() {
-			c.readUntil(due)
+		if headDeadline := c.idleHeadDeadline(); !headDeadline.IsZero() {
+			c.setReadDeadline(headDeadline)
 		}
 	}()
 	if c.raw == nil {
 		n, err = c.Conn.Read(p)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.unread.sawNothing(time.Now())
-		c.unread.took(n)
-		c.follow(p[:n])
+		c.arrivals.noteEmpty(time.Now())
+		c.arrivals.noteRead(n)
+		c.parse(p[:n])
 		return n, err
 	}
 	n, err = c.reader.read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.readLate(p, err)
+		n, err = c.readAfterDeadline(p, err)
 	}
 	var call *os.SyscallError
 	switch {
@@ -97,156 +98,158 @@
 	return n, nil
 }
 
-// readLate reads what came before the deadline of reads though that has passed: the process may
-// have been held up, and a request that has come whole is owed an answer.
-func (c *framedConn) readLate(p []byte, overdue error) (n int, err error) {
-	err = overdue
-	c.raw.Control(func(fd uintptr) { // an error is that of a closed connection
+// readAfterDeadline reads what arrived before the read deadline although the deadline has passed:
+// the process may have been stalled, and a request that has arrived whole is owed an answer.
+func (c *framedConn) readAfterDeadline(p []byte, timeoutErr error) (n int, err error) {
+	err = timeoutErr
+	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
 		unread, _ := unreadBytes(int(fd))
-		age, ok := dataAge(int(fd))
+		age, ok := lastDataAge(int(fd))
 		c.mu.Lock()
-		inTime := ok && unread > 0 && time.Now().Add(-age).Before(c.readBy)
+		inTime := ok && unread > 0 && time.Now().Add(-age).Before(c.readDeadline)
 		c.mu.Unlock()
 		if inTime {
-			n, _, err = c.readNow(int(fd), p, &time.Time{})
+			n, _, err = c.readAvailable(int(fd), p, &time.Time{})
 		}
 	})
 	if n == 0 && err == nil {
-		err = overdue
+		err = timeoutErr
 	}
 	return n, err
 }
 
-// SetReadDeadline sets the deadline of reads, or the time at which a head is due that has begun
-// to come in, if that is sooner: net/http waits for its first bytes as long as for a new request.
+// SetReadDeadline sets the deadline of reads to t, or to the deadline of a head that has begun to
+// arrive on an idle connection, if that is sooner: net/http gives the first bytes of a request as
+// much time as it waits for a new request.
 func (c *framedConn) SetReadDeadline(t time.Time) error {
-	if due := c.headDue(); !due.IsZero() && (t.IsZero() || due.Before(t)) {
-		t = due
+	if headDeadline := c.idleHeadDeadline(); !headDeadline.IsZero() && (t.IsZero() || headDeadline.Before(t)) {
+		t = headDeadline
 	}
-	return c.readUntil(t)
+	return c.setReadDeadline(t)
 }
 
-// readUntil sets the deadline of reads and notes it.
-func (c *framedConn) readUntil(t time.Time) error {
+// setReadDeadline sets the deadline of reads and stores it.
+func (c *framedConn) setReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.readBy = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// headDue is when a head that has begun to come in on an idle connection has to be whole; zero:
-// none has.
-func (c *framedConn) headDue() time.Time {
+// idleHeadDeadline returns the deadline of a head that has begun to arrive on an idle connection,
+// or zero if there is none.
+func (c *framedConn) idleHeadDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.idle {
 		return time.Time{}
 	}
-	return c.due
+	return c.headDeadline
 }
 
-// setIdle says whether a request is being served. The time of a head of which some came in
-// meanwhile begins when nothing is.
+// setIdle records whether the connection is without a request that is being served. A head that
+// has begun to arrive during a request gets its time from the end of that request on.
 func (c *framedConn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = idle
-	if idle && !c.due.IsZero() {
-		c.due = time.Now().Add(headerTimeout)
+	if idle && !c.headDeadline.IsZero() {
+		c.headDeadline = time.Now().Add(headerTimeout)
 	}
 }
 
-// readNow reads what there is; it is not done where there is nothing yet, and notes since when its
-// reader waits.
-func (c *framedConn) readNow(fd int, p []byte, waits *time.Time) (n int, done bool, err error) {
+// readAvailable reads the bytes that have arrived. If there are none it returns false for done and
+// stores in waitingSince when its caller began to wait.
+func (c *framedConn) readAvailable(fd int, p []byte, waitingSince *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closing {
 		return 0, true, net.ErrClosed
 	}
 	now := time.Now()
 	n, err = retryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
 	if err == syscall.EAGAIN {
-		c.drained(now)
-		*waits = now
+		c.noteNothingUnread(now)
+		*waitingSince = now
 		return 0, false, nil
 	}
 	if err != nil {
 		return 0, true, os.NewSyscallError("read", err)
 	}
-	if !waits.IsZero() {
-		c.unread.woken(now, *waits)
+	if !waitingSince.IsZero() {
+		c.arrivals.noteWakeup(now, *waitingSince)
 	}
-	c.unread.took(n)
-	c.follow(p[:n])
-	if n < len(p) { // that was all
-		c.dateLast(now, fd)
-		c.drained(now)
-	} else if c.at != inHead {
-		c.press(now, fd)
+	c.arrivals.noteRead(n)
+	c.parse(p[:n])
+	if n < len(p) { // nothing is left unread
+		c.dateLastByte(now, fd)
+		c.noteNothingUnread(now)
+	} else if c.state != parsingHead {
+		c.noteUnreadBody(now, fd)
 	}
 	return n, true, nil
 }
 
-// drained notes that nothing was left to read. Behind a whole request a client waits for its
-// answer, so that nothing is kept back.
-func (c *framedConn) drained(now time.Time) {
-	if c.at == inHead || !c.unread.keptBack() {
-		c.unread.sawNothing(now)
+// noteNothingUnread records that no bytes were left to read. After a whole request the client waits
+// for its answer, so its socket holds nothing back either.
+func (c *framedConn) noteNothingUnread(now time.Time) {
+	if c.state == parsingHead || !c.arrivals.senderMayBeBlocked() {
+		c.arrivals.noteEmpty(now)
 	}
 }
 
-// dateLast asks when the request came whose last byte was read last, if one ends there.
-func (c *framedConn) dateLast(now time.Time, fd int) {
-	if c.latest != nil && !c.latest.whole.IsZero() && c.at == inHead && c.head.began.IsZero() {
-		c.latest.whole = c.unread.last(now, fd)
+// dateLastByte bounds the arrival time of a request that ends with the byte that was read last.
+func (c *framedConn) dateLastByte(now time.Time, fd int) {
+	if c.lastHead != nil && !c.lastHead.completeAt.IsZero() && c.state == parsingHead && c.partialHead.startedAt.IsZero() {
+		c.lastHead.completeAt = c.arrivals.lastByteArrivedAfter(now, fd)
 	}
 }
 
-// press notes how much of a body waits to be read.
-func (c *framedConn) press(now time.Time, fd int) {
+// noteUnreadBody records how many bytes of a body wait to be read.
+func (c *framedConn) noteUnreadBody(now time.Time, fd int) {
 	if unread, ok := unreadBytes(fd); ok {
-		c.unread.press(now, unread)
+		c.arrivals.noteUnread(now, unread)
 	}
 }
 
-// wholeAt is when the last byte of a request came, at the earliest. Of one that is still coming in
-// it is the last moment at which it is known not to have been whole.
-func (c *framedConn) wholeAt(h *requestHead) time.Time {
+// receivedAt returns the earliest time at which the last byte of a request can have arrived. If the
+// request is still arriving, that is the last time at which it is known to have been incomplete.
+func (c *framedConn) receivedAt(h *requestHead) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !h.whole.IsZero() {
-		return h.whole
+	if !h.completeAt.IsZero() {
+		return h.completeAt
 	}
 	now := time.Now()
-	if c.raw == nil || h != c.latest {
+	if c.raw == nil || h != c.lastHead {
 		return now
 	}
-	at := now // a closed connection brings nothing more
-	c.raw.Control(func(fd uintptr) { at = c.notWhole(now, int(fd)) })
+	at := now // a closed connection receives nothing more
+	c.raw.Control(func(fd uintptr) { at = c.lastKnownIncomplete(now, int(fd)) })
 	return at
 }
 
-// notWhole is the last moment at which the body that comes in is known not to have been whole.
-func (c *framedConn) notWhole(now time.Time, fd int) time.Time {
+// lastKnownIncomplete returns the last time at which the body that is arriving is known to have
+// been incomplete.
+func (c *framedConn) lastKnownIncomplete(now time.Time, fd int) time.Time {
 	unread, ok := unreadBytes(fd)
 	if !ok {
 		return now
 	}
 	if unread == 0 {
-		c.drained(now)
+		c.noteNothingUnread(now)
 	}
-	if c.at != inBody {
-		return c.unread.since(c.unread.total + int64(unread))
+	if c.state != parsingBody {
+		return c.arrivals.arrivedAfter(c.arrivals.totalRead + int64(unread))
 	}
-	owed := c.left - int64(unread)
-	if owed > senderBuffer || owed > 0 && unread < leastWindow && !c.unread.keptBack() {
+	unsent := c.remaining - int64(unread)
+	if unsent > maxClientSendBuffer || unsent > 0 && unread < minReceiveWindow && !c.arrivals.senderMayBeBlocked() {
 		return now
 	}
-	return c.unread.since(c.unread.total + c.left)
+	return c.arrivals.arrivedAfter(c.arrivals.totalRead + c.remaining)
 }
 
-// retryInterrupted makes a system call until no signal interrupts it.
+// retryInterrupted repeats a system call while it fails with EINTR.
 func retryInterrupted[T any](call func() (T, error)) (result T, err error) {
 	for {
 		if result, err = call(); err != syscall.EINTR {
@@ -255,48 +258,51 @@
 	}
 }
 
-// closeResting closes a connection without a request if nothing of one has come in.
-func (c *framedConn) closeResting() bool {
-	return c.closeIf(func() bool { return len(c.heads) == 0 && c.at == inHead && !c.head.started && len(c.line) == 0 })
+// closeIfIdle closes a connection without a request if no byte of a request has arrived.
+func (c *framedConn) closeIfIdle() bool {
+	return c.closeIf(func() bool {
+		return len(c.pendingHeads) == 0 && c.state == parsingHead && !c.partialHead.hasRequestLine && len(c.line) == 0
+	})
 }
 
-// closeWithoutHead closes a connection without a request unless the head of one has come whole.
-func (c *framedConn) closeWithoutHead() bool {
-	return c.closeIf(func() bool { return len(c.heads) == 0 && c.at == inHead })
+// closeIfNoHead closes a connection without a request if no whole head has arrived.
+func (c *framedConn) closeIfNoHead() bool {
+	return c.closeIf(func() bool { return len(c.pendingHeads) == 0 && c.state == parsingHead })
 }
 
-// closeWithoutBody closes a connection whose request is being read unless it has come whole.
-func (c *framedConn) closeWithoutBody() bool {
-	return c.closeIf(func() bool { return c.at != inHead })
+// closeIfBodyIncomplete closes a connection whose request is being read if the request has not
+// arrived whole.
+func (c *framedConn) closeIfBodyIncomplete() bool {
+	return c.closeIf(func() bool { return c.state != parsingHead })
 }
 
-// closeIf closes the connection if that may be and no bytes wait to be read; what was read
-// after that is not taken in. It says whether it did.
-func (c *framedConn) closeIf(may func() bool) bool {
+// closeIf closes the connection if allowed returns true and no bytes wait to be read, and returns
+// whether it did. Bytes that are read after the decision are not parsed.
+func (c *framedConn) closeIf(allowed func() bool) bool {
 	c.mu.Lock()
-	close := !c.ended && may() && !c.hasUnread()
-	c.ended = c.ended || close
+	canClose := !c.closing && allowed() && !c.hasUnread()
+	c.closing = c.closing || canClose
 	c.mu.Unlock()
-	if close {
-		c.Close() // not under c.mu: it waits for the reader
+	if canClose {
+		c.Close() // not under c.mu, as Close waits for the reader
 	}
-	return close
+	return canClose
 }
 
-// hasUnread says whether bytes have come in that nobody has read; c.mu is held.
+// hasUnread returns whether bytes have arrived that nobody has read. The caller holds c.mu.
 func (c *framedConn) hasUnread() bool {
 	if c.raw == nil {
 		return false
 	}
-	waiting := 0
-	c.raw.Control(func(fd uintptr) { // an error is that of a closed connection
-		waiting, _ = peek(int(fd))
+	unread := 0
+	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
+		unread, _ = peek(int(fd))
 	})
-	return waiting > 0
+	return unread > 0
 }
 
-// peek looks for a byte that has come in, without waiting: 1 there is one, 0 the other side has
-// ended its sending, EAGAIN neither.
+// peek looks for an unread byte without waiting. It returns 1 if there is one, 0 if the peer has
+// closed its sending side, and the error EAGAIN otherwise.
 func peek(fd int) (int, error) {
 	return retryInterrupted(func() (int, error) {
 		var b [1]byte
@@ -305,22 +311,22 @@
 	})
 }
 
-// Close marks the connection closed. One that is closed as idle may bring a request at
-// that moment; the mark tells the handler, which must not let both it and the one that
-// the client then sends in its place go on.
+// Close marks the connection as closed. A request may arrive on an idle connection just as it is
+// closed; the mark lets the handler drop that request, so that it is not executed in addition to
+// the copy that the client then sends on another connection.
 func (c *framedConn) Close() error {
 	c.closed.Store(true)
 	err := c.Conn.Close()
-	if c.release != nil {
-		c.release()
+	if c.releaseSlot != nil {
+		c.releaseSlot()
 	}
 	return err
 }
 
-// gone says whether the client has ended its sending or its connection, which bytes that
-// nobody has read yet hide from a reader. What the receive buffer cannot take hides it here
-// as well: the end comes behind it.
-func (c *framedConn) gone() bool {
+// clientGone returns whether the client has closed its sending side or the connection. Unread bytes
+// hide that from a reader, but not from poll. Bytes that do not fit in the receive buffer hide it
+// here as well, since the FIN comes after them.
+func (c *framedConn) clientGone() bool {
 	if c.closed.Load() {
 		return true
 	}
@@ -336,22 +342,24 @@
 	return gone || err != nil
 }
 
-// holdAhead has the system take so much ahead of who reads the connection, so that an end
-// behind it comes in.
-func (c *framedConn) holdAhead(n int) {
+// setReadBuffer has the kernel receive up to n bytes ahead of the reader, so that a FIN behind them
+// arrives and clientGone sees it.
+func (c *framedConn) setReadBuffer(n int) {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.SetReadBuffer(n) // what it takes less, it takes later
+		tcp.SetReadBuffer(n) // if the buffer is smaller, the bytes arrive later
 	}
 }
 
-type framedKey struct{}
+// framedConnKey is the context key of the connection of a request.
+type framedConnKey struct{}
 
-func withFraming(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, framedKey{}, c)
+// withFramedConn returns the context for the requests of a connection.
+func withFramedConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, framedConnKey{}, c)
 }
 
-// closed says whether the connection of a request was closed before its handler began.
-func closed(r *http.Request) bool {
-	c, ok := r.Context().Value(framedKey{}).(*framedConn)
+// connClosed returns whether the connection of a request was closed before its handler began.
+func connClosed(r *http.Request) bool {
+	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
 	return ok && c.closed.Load()
 }
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -10,143 +10,145 @@
 )
 
 const (
-	// A connection that has brought no whole request for this long makes room when there are
-	// too many: a client that means to ask has done so by then, and who sends nothing, or
-	// never the end of a head or body, must not keep others waiting.
-	newLeast = 500 * time.Millisecond
-	// roomEvery is the time between two looks for room while no connection can be taken.
-	roomEvery = 20 * time.Millisecond
+	// minEvictionAge is how long a connection may go without a whole request before it can be
+	// closed to make room: a client that means to send one has done so by then, and a peer that
+	// sends nothing, or never the end of a head or body, must not keep others waiting.
+	minEvictionAge = 500 * time.Millisecond
+	// evictionInterval is the time between two evictions while all slots are taken.
+	evictionInterval = 20 * time.Millisecond
 )
 
-// connState is what a client's connection is doing, and since when.
+// connState is the state of a client's connection and the time of its last change.
 type connState struct {
-	state   http.ConnState
-	reading bool // the body of its request is coming in: it is not taken yet
-	since   time.Time
+	state       http.ConnState
+	readingBody bool // the body of its request is being received, and the request is not submitted yet
+	since       time.Time
 }
 
-// room is which connections make room, the first to go lowest.
-type room int
+// evictionClass says which connections are closed first to make room: the lowest ones that are
+// evictable.
+type evictionClass int
 
 const (
-	roomNone room = iota // it holds a request
-	roomResting
-	roomWithoutHead
-	roomWithoutBody
+	notEvictable     evictionClass = iota // the connection holds a request
+	evictIdle                             // the connection has had an answer and no request since
+	evictWithoutHead                      // no whole head has arrived for minEvictionAge
+	evictWithoutBody                      // the body of its request has not arrived whole for minEvictionAge
 )
 
-// room says where among those that make room a connection is by what net/http tells of it,
-// which may be behind what was read.
-func (cs connState) room() room {
-	young := time.Since(cs.since) < newLeast
+// evictionClass returns the class of a connection by the state that net/http reports, which may be
+// behind what has been read.
+func (cs connState) evictionClass() evictionClass {
+	young := time.Since(cs.since) < minEvictionAge
 	switch {
 	case cs.state == http.StateIdle:
-		return roomResting
+		return evictIdle
 	case cs.state == http.StateNew && !young:
-		return roomWithoutHead
-	case cs.reading && !young:
-		return roomWithoutBody
+		return evictWithoutHead
+	case cs.readingBody && !young:
+		return evictWithoutBody
 	}
-	return roomNone
+	return notEvictable
 }
 
-// closeFor closes a connection to make room, unless more has come in than was told.
-func closeFor(c net.Conn, why room) (closed bool) {
+// evictConn closes a connection to make room, unless more has arrived on it than its class says.
+func evictConn(c net.Conn, class evictionClass) (closed bool) {
 	framed, ok := c.(*framedConn)
 	switch {
-	case !ok || why == roomNone:
+	case !ok || class == notEvictable:
 		return false
-	case why == roomResting:
-		closed = framed.closeResting()
-	case why == roomWithoutHead:
-		closed = framed.closeWithoutHead()
+	case class == evictIdle:
+		closed = framed.closeIfIdle()
+	case class == evictWithoutHead:
+		closed = framed.closeIfNoHead()
 	default:
-		closed = framed.closeWithoutBody()
+		closed = framed.closeIfBodyIncomplete()
 	}
 	if closed {
-		slog.Debug("client's connection closed to make room", "peer", c.RemoteAddr(), "why", why.String())
+		slog.Debug("client connection evicted", "peer", c.RemoteAddr(), "why", class.String())
 	}
 	return closed
 }
 
-// String says what a connection brings, for the log.
-func (r room) String() string {
-	return [...]string{"holds a request", "rests", "brings no head", "brings no body"}[r]
+// String describes what the connection holds or lacks, for the log.
+func (c evictionClass) String() string {
+	return [...]string{"holds a request", "rests", "brings no head", "brings no body"}[c]
 }
 
-// bringsHead says whether a connection has brought a part of a head, for less than so long.
-func bringsHead(c net.Conn, most time.Duration) bool {
+// receivingHead returns whether part of a head has arrived on a connection, the first byte of it
+// less than maxAge ago.
+func receivingHead(c net.Conn, maxAge time.Duration) bool {
 	framed, ok := c.(*framedConn)
 	if !ok {
 		return false
 	}
 	framed.mu.Lock()
 	defer framed.mu.Unlock()
-	return framed.at == inHead && time.Since(framed.head.began) < most
+	return framed.state == parsingHead && time.Since(framed.partialHead.startedAt) < maxAge
 }
 
-// clientListener takes no more connections than the clients' share of descriptors. What
-// comes beyond that waits in the listener's backlog.
+// clientListener accepts no more connections than the clients' share of the descriptors. Further
+// ones wait in the backlog of the listener.
 type clientListener struct {
 	framedListener
-	backlog *backlog
-	server  *Server
-	once    sync.Once
-	done    chan struct{} // closed with the listener
+	backlog   *backlog
+	server    *Server
+	closeOnce sync.Once
+	done      chan struct{} // closed with the listener
 }
 
 func (l *clientListener) Accept() (net.Conn, error) {
-	if err := l.slot(); err != nil {
+	if err := l.acquireSlot(); err != nil {
 		return nil, err
 	}
-	release := sync.OnceFunc(func() { <-l.server.slots })
+	release := sync.OnceFunc(func() { <-l.server.connSlots })
 	c, err := l.framedListener.Accept()
 	if err != nil {
 		release()
 		return nil, err
 	}
-	c.(*framedConn).release = release
+	c.(*framedConn).releaseSlot = release
 	return c, nil
 }
 
-// slot waits until another connection may be open.
-func (l *clientListener) slot() error {
+// acquireSlot waits until another connection may be open.
+func (l *clientListener) acquireSlot() error {
 	select {
-	case l.server.slots <- struct{}{}:
+	case l.server.connSlots <- struct{}{}:
 		return nil
 	default:
 	}
-	tick := time.NewTicker(roomEvery)
+	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case l.server.slots <- struct{}{}:
+		case l.server.connSlots <- struct{}{}:
 			return nil
 		case <-l.done:
 			return net.ErrClosed
 		case <-tick.C:
-			l.backlog.look()
-			l.server.makeRoom()
+			l.backlog.checkEmpty()
+			l.server.evictOne()
 		}
 	}
 }
 
 func (l *clientListener) Close() error {
-	l.once.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.done) })
 	return l.framedListener.Close()
 }
 
-// crowded says whether there are more connections than the budget even with none left that
-// can make room; they are then closed behind their answers.
-func (s *Server) crowded() bool {
+// overBudget returns whether there are more connections than the budget even though all that can be
+// evicted have been. Connections are then closed after their next answer.
+func (s *Server) overBudget() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) > s.budget
+	return len(s.conns) > s.connBudget
 }
 
-// track follows the clients' connections. Beyond the budget it closes one that holds no
-// request: it guards against running out of descriptors with requests in the backlog.
-func (s *Server) track(c net.Conn, state http.ConnState) {
+// trackConn records the state of a client's connection. Above the budget it evicts a connection
+// without a request, so that descriptors do not run out while requests wait in the backlog.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	if framed, ok := c.(*framedConn); ok {
 		framed.setIdle(state == http.StateIdle)
 	}
@@ -156,67 +158,68 @@
 		delete(s.conns, c)
 		return
 	}
-	if state == http.StateIdle && s.leaving && closeFor(c, roomResting) {
+	if state == http.StateIdle && s.closingIdle && evictConn(c, evictIdle) {
 		delete(s.conns, c)
 		return
 	}
 	s.conns[c] = connState{state: state, since: time.Now()}
-	if len(s.conns) > s.budget {
-		s.evict()
+	if len(s.conns) > s.connBudget {
+		s.evictLocked()
 	}
 }
 
-// makeRoom closes a connection that holds no request, if there is one.
-func (s *Server) makeRoom() {
+// evictOne closes one connection without a request, if there is one.
+func (s *Server) evictOne() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.evict()
+	s.evictLocked()
 }
 
-// evict closes the connection that was idle longest or, with none idle, one that has brought
-// no whole request for long; s.mu is held. It looks at each connection once: many may rest with
-// a part of a request, which none of them is closed for here.
-func (s *Server) evict() {
-	s.candidates = s.candidates[:0]
+// evictLocked closes the connection that has been idle for longest or, if none is idle, one that has
+// sent no whole request for minEvictionAge. The caller holds s.mu. Each connection is looked at once
+// only: many may be idle by net/http's state with part of a request received, and none of those can
+// be closed.
+func (s *Server) evictLocked() {
+	s.evictionCandidates = s.evictionCandidates[:0]
 	for c, cs := range s.conns {
-		if room := cs.room(); room != roomNone {
-			s.candidates = append(s.candidates, candidate{c, room, cs.since})
+		if class := cs.evictionClass(); class != notEvictable {
+			s.evictionCandidates = append(s.evictionCandidates, evictionCandidate{c, class, cs.since})
 		}
 	}
-	defer clear(s.candidates) // what is closed goes
-	slices.SortFunc(s.candidates, candidate.compare)
-	for _, next := range s.candidates {
-		if closeFor(next.conn, next.room) {
+	defer clear(s.evictionCandidates) // drops the references to closed connections
+	slices.SortFunc(s.evictionCandidates, evictionCandidate.compare)
+	for _, next := range s.evictionCandidates {
+		if evictConn(next.conn, next.class) {
 			delete(s.conns, next.conn)
 			return
 		}
 	}
 }
 
-// candidate is a connection that may make room.
-type candidate struct {
+// evictionCandidate is a connection that may be evicted.
+type evictionCandidate struct {
 	conn  net.Conn
-	room  room
+	class evictionClass
 	since time.Time
 }
 
-// compare orders candidates, the first to go first.
-func (a candidate) compare(b candidate) int {
-	if a.room != b.room {
-		return int(a.room - b.room)
+// compare orders the candidates that are evicted first before others.
+func (a evictionCandidate) compare(b evictionCandidate) int {
+	if a.class != b.class {
+		return int(a.class - b.class)
 	}
 	return a.since.Compare(b.since)
 }
 
-// reading notes that the body of a request is being read, or has been, and says whether its
-// connection is still there: what was evicted is not sent on.
-func (s *Server) reading(r *http.Request, on bool) bool {
-	c, _ := r.Context().Value(framedKey{}).(*framedConn)
+// setReadingBody records whether the body of a request is being read, and returns whether its
+// connection is still open: the request of an evicted connection is not sent to a host.
+func (s *Server) setReadingBody(r *http.Request, on bool) bool {
+	c, _ := r.Context().Value(framedConnKey{}).(*framedConn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cs, ok := s.conns[c]
 	if ok {
-		cs.reading, cs.since = on, time.Now()
+		cs.readingBody, cs.since = on, time.Now()
 		s.conns[c] = cs
 	}
 	return ok
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -89,7 +89,7 @@
 	silence = time.AfterFunc(after, func() {
 		<-set
 		if c := d.watched(); c != nil && c.hasNews() {
-			silence.Reset(readFirst)
+			silence.Reset(stallReadTime)
 			return
 		}
 		end()
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -14,9 +14,9 @@
 	"lynxspool"
 )
 
-// registry is a discovery service with a list of its own: each call gets the whole list as it
+// fakeDiscovery is a discovery service with a list of its own: each call gets the whole list as it
 // is, and then every change, unless the service was told to fall silent.
-type registry struct {
+type fakeDiscovery struct {
 	t  *testing.T
 	ln net.Listener
 
@@ -28,18 +28,18 @@
 	calls   int
 }
 
-func newRegistry(t *testing.T, hosts ...*testHost) *registry {
-	r := &registry{t: t, version: 50, states: map[string]string{}, addrs: map[string]string{}, watches: map[net.Conn]bool{}}
+func newFakeDiscovery(t *testing.T, hosts ...*testHost) *fakeDiscovery {
+	r := &fakeDiscovery{t: t, version: 50, states: map[string]string{}, addrs: map[string]string{}, watches: map[net.Conn]bool{}}
 	for i, h := range hosts {
 		id := "s-" + strconv.Itoa(i)
 		r.states[id], r.addrs[id] = "ready", h.addr()
 	}
-	r.up("127.0.0.84:0") // an address that no client here dials from, so that the port stays free
-	t.Cleanup(r.down)
+	r.start("127.0.0.84:0") // an address that no client here dials from, so that the port stays free
+	t.Cleanup(r.stop)
 	return r
 }
 
-func (r *registry) up(addr string) {
+func (r *fakeDiscovery) start(addr string) {
 	ln := listen(r.t, addr, nil)
 	r.ln = ln
 	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -52,12 +52,12 @@
 		r.calls++
 		r.watches[c] = true
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		r.tell(c)
+		r.sendList(c)
 	}))
 }
 
-// tell writes the whole list as one chunk; r.mu is held.
-func (r *registry) tell(c net.Conn) {
+// sendList writes the whole list as one chunk; r.mu is held.
+func (r *fakeDiscovery) sendList(c net.Conn) {
 	var list []string
 	for id, state := range r.states {
 		list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q}`, id, r.addrs[id], state))
@@ -67,25 +67,25 @@
 }
 
 // drain changes the state of a host, and tells those who are told of changes.
-func (r *registry) drain(id string) {
+func (r *fakeDiscovery) drain(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
 	r.states[id] = "draining"
 	for c := range r.watches {
-		r.tell(c)
+		r.sendList(c)
 	}
 }
 
-// silence leaves the open watches open and untold from now on.
-func (r *registry) silence() {
+// silenceWatches leaves the open watches open and untold from now on.
+func (r *fakeDiscovery) silenceWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.watches)
 }
 
-// reset resets the open watches.
-func (r *registry) reset() {
+// resetWatches resets the open watches.
+func (r *fakeDiscovery) resetWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.watches {
@@ -95,12 +95,12 @@
 	clear(r.watches)
 }
 
-func (r *registry) down() {
+func (r *fakeDiscovery) stop() {
 	r.ln.Close()
-	r.reset()
+	r.resetWatches()
 }
 
-func (r *registry) called() int {
+func (r *fakeDiscovery) callCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
@@ -109,21 +109,21 @@
 // Hosts that begin to drain right after all watches fell silent or were reset, after discovery
 // came back, or with a new configuration get nothing new once the gateway could have been told.
 // Each fault comes twice, so that a way out that works once is not taken for enough.
-func TestDrainsAreHeardOfThroughTheFaultsOfDiscovery(t *testing.T) {
-	for name, fault := range map[string]func(r *registry, d *Discovery) *registry{
-		"silence": func(r *registry, _ *Discovery) *registry { r.silence(); return r },
-		"reset":   func(r *registry, _ *Discovery) *registry { r.reset(); return r },
-		"outage": func(r *registry, _ *Discovery) *registry {
+func TestDrainIsAppliedDespiteDiscoveryFaults(t *testing.T) {
+	for name, fault := range map[string]func(r *fakeDiscovery, d *Discovery) *fakeDiscovery{
+		"silence": func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery { r.silenceWatches(); return r },
+		"reset":   func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery { r.resetWatches(); return r },
+		"outage": func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery {
 			addr := r.ln.Addr().String()
-			r.down()
-			r.up(addr)
+			r.stop()
+			r.start(addr)
 			return r
 		},
-		"a new configuration": func(r *registry, d *Discovery) *registry {
-			r.silence() // the old address says no more
-			moved := &registry{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
-			moved.up("127.0.0.84:0")
-			r.t.Cleanup(moved.down)
+		"a new configuration": func(r *fakeDiscovery, d *Discovery) *fakeDiscovery {
+			r.silenceWatches() // the old address says no more
+			moved := &fakeDiscovery{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
+			moved.start("127.0.0.84:0")
+			r.t.Cleanup(moved.stop)
 			d.Move(moved.ln.Addr().String())
 			return moved
 		},
@@ -131,16 +131,16 @@
 		for _, ask := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, asked for %t", name, ask), func(t *testing.T) {
 				t.Parallel()
-				drainThrough(t, ask, fault)
+				testDrainDespiteFault(t, ask, fault)
 			})
 		}
 	}
 }
 
-func drainThrough(t *testing.T, ask bool, fault func(r *registry, d *Discovery) *registry) {
+func testDrainDespiteFault(t *testing.T, ask bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
 	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good)), newHost(t, says(good))}
 	cfg := testConfig(hosts...)
-	r := newRegistry(t, hosts...)
+	r := newFakeDiscovery(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
 	cfg.Settings.Ask, cfg.Settings.AskWithin = ask, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
@@ -171,7 +171,7 @@
 		return <-known
 	}
 	for n := range 2 {
-		before := r.called()
+		before := r.callCount()
 		r = fault(r, d)
 		id := "s-" + strconv.Itoa(n)
 		r.drain(id)
@@ -185,7 +185,7 @@
 		if now, _, _ := hosts[n].counts(); now != old {
 			t.Errorf("%s got %d requests after it was known to drain", id, now-old)
 		}
-		if calls := r.called() - before; calls > 40 {
+		if calls := r.callCount() - before; calls > 40 {
 			t.Errorf("%d calls at discovery for one fault", calls)
 		}
 	}
--- a/internal/gateway/encode.go
+++ b/internal/gateway/encode.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	headRequestID = "X-Request-ID"
-	headTimeout   = "X-Timeout"
+	requestIDHeader = "X-Request-ID"
+	timeoutHeader   = "X-Timeout"
 )
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = []string{
+// hopByHopHeaders are the headers that concern a single connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEnd returns the headers that are passed on.
-func endToEnd(in http.Header) http.Header {
+// endToEndHeaders returns the headers that are passed on.
+func endToEndHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, v := range in.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// encode is the head of the request as it goes to a host, with the time left as of now, which
-// it returns too. Method, path and query go out just as they came.
-func (x *exchange) encode() (head []byte, left time.Duration) {
-	header := endToEnd(x.header)
-	due := x.deadline
+// encodeHead returns the head of the request as it is sent to a host, and the time that is left now,
+// which the head states. Method, path and query are sent as they were received.
+func (x *exchange) encodeHead() (head []byte, left time.Duration) {
+	header := endToEndHeaders(x.header)
+	deadline := x.deadline
 	if x.upload != nil {
-		due = x.dueAt()
+		deadline = x.clientDeadline()
 	}
-	left = max(0, time.Until(due))
-	header.Set(headTimeout, strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
+	left = max(0, time.Until(deadline))
+	header.Set(timeoutHeader, strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
 	switch {
 	case x.upload != nil && x.upload.length < 0:
 		header.Set("Transfer-Encoding", "chunked")
@@ -54,11 +54,11 @@
 	}
 	target := x.uri
 	if !strings.HasPrefix(target, "/") {
-		target = x.url.RequestURI() // it came with the name of a host
+		target = x.url.RequestURI() // the request target was in absolute form
 	}
 	var buf bytes.Buffer
 	fmt.Fprintf(&buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", x.method, target, x.host)
-	header.Write(&buf) // a bytes.Buffer takes all
+	header.Write(&buf) // a bytes.Buffer accepts all writes
 	buf.WriteString("\r\n")
 	return buf.Bytes(), left
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -9,100 +9,102 @@
 	"lynxspool"
 )
 
-// exchange is one request of a client and its one final answer. The handler creates
-// it; attempts and out belong to the loop.
+// exchange is one request of a client and its one final answer. The handler creates it; the loop
+// owns attempts and inFlight.
 type exchange struct {
 	method, uri, host string
 	url               *url.URL
 	header            http.Header
-	body              []byte  // what is kept of it: all, but for an upload
-	upload            *upload // the rest is sent as it comes; nil: there is none
-	give              func()  // gives back what is kept
+	body              []byte  // the part of the body that is kept: all of it, unless there is an upload
+	upload            *upload // the rest of the body, streamed to a host; nil if there is none
+	releaseBody       func()  // returns the memory of the kept part to the budget
 
-	rules         *Rules // under which class and tenant are looked up
+	rules         *Rules // rules under which class and tenant were looked up
 	class, tenant int
-	repeat        bool
-	due           func(time.Time) time.Time // the same, or when the process ends
-	from          *framedConn               // its client's connection; nil in tests without one
-	head          *requestHead              // as from has seen it
-	left          time.Duration             // that the client waits from its last byte on, less answerMargin
-	deadline      time.Time                 // when its answer is due; of an upload, once it is whole
+	clientRetry   bool                      // the client marked the request as a retry
+	capDeadline   func(time.Time) time.Time // returns a deadline, or the end of the process if that is earlier
+	clientConn    *framedConn               // connection of the client; nil in tests without one
+	head          *requestHead              // framing of the request on clientConn
+	timeout       time.Duration             // how long the client waits from its last byte on, less answerMargin
+	deadline      time.Time                 // when the answer is due; for an upload it is set once the body is complete
 
-	gone   func() bool               // whether the client has left, as far as its connection tells; may be nil
-	goneAt atomic.Pointer[time.Time] // when that was noticed; nil: not yet
+	clientGone   func() bool               // whether the client has left, as far as its connection shows; may be nil
+	clientGoneAt atomic.Pointer[time.Time] // when the client was seen to have left; nil if it was not
 
-	over   atomic.Bool // it is answered or nobody waits: set once, by finish
-	answer chan answer // holds the answer that finish was won with
+	finished atomic.Bool // answered or abandoned; set once, by claimAnswer
+	answer   chan answer // receives the one final answer
 
 	id       lynxspool.RequestID
 	attempts []*try
-	out      int
+	inFlight int // attempts that have not ended
 }
 
-// requestID is the id that the client gave.
-func (x *exchange) requestID() string { return x.header.Get(headRequestID) }
+// requestID returns the id that the client gave.
+func (x *exchange) requestID() string { return x.header.Get(requestIDHeader) }
 
-// began is from when on its client's time runs: when its last byte came or, while that has not, the
-// last moment at which it was known not to have. All that a request's time decides is counted from
-// here: the time told to a server, the deadline, when it is shed, and the audit.
-func (x *exchange) began() time.Time {
-	if x.from == nil {
-		return x.deadline.Add(-x.left)
+// receivedAt returns when the time of the client started to run: when its last byte arrived or, if
+// that has not, the last time at which the request was known to be incomplete. All that depends on
+// the time of a request is counted from here: the time stated to a host, the deadline, when it is
+// shed, and the audit.
+func (x *exchange) receivedAt() time.Time {
+	if x.clientConn == nil {
+		return x.deadline.Add(-x.timeout)
 	}
-	return x.from.wholeAt(x.head)
+	return x.clientConn.receivedAt(x.head)
 }
 
-// dueAt is when its answer is due by its client's time alone.
-func (x *exchange) dueAt() time.Time { return x.began().Add(x.left) }
+// clientDeadline returns when the answer is due by the client's own time alone.
+func (x *exchange) clientDeadline() time.Time { return x.receivedAt().Add(x.timeout) }
 
-// leave notes that its client has gone.
-func (x *exchange) leave() {
+// markClientGone records that the client has left.
+func (x *exchange) markClientGone() {
 	now := time.Now()
-	x.goneAt.CompareAndSwap(nil, &now)
+	x.clientGoneAt.CompareAndSwap(nil, &now)
 }
 
-// spent says that part of the body is gone, so that it cannot be sent again.
-func (x *exchange) spent() bool { return x.upload != nil && x.upload.spent }
+// bodyConsumed returns whether part of the body is no longer there, so that it cannot be sent again.
+func (x *exchange) bodyConsumed() bool { return x.upload != nil && x.upload.spent }
 
 // answer is the final answer to a request.
 type answer struct {
 	kind       answerKind
-	header     http.Header // served
-	body       []byte      // served
-	stream     *stream     // served, in place of body
-	give       func()      // gives back what is kept; may be nil
-	err        error       // rejected
+	header     http.Header // set for answerServed
+	body       []byte      // set for answerServed without a stream
+	stream     *stream     // set for answerServed in place of body
+	release    func()      // returns the memory of body to the budget; may be nil
+	err        error       // set for answerRejected
 	retryAfter time.Duration
 }
 
-// drop lets go of an answer that nobody gets.
-func (a *answer) drop() {
-	if a.give != nil {
-		a.give()
+// discard releases an answer that nobody receives.
+func (a *answer) discard() {
+	if a.release != nil {
+		a.release()
 	}
 	if a.stream != nil {
 		a.stream.done <- errClientGone
 	}
 }
 
+// answerKind says how a request ended.
 type answerKind int
 
 const (
-	failed answerKind = iota
-	served
-	refused
-	rejected // as no proper request
+	answerFailed answerKind = iota
+	answerServed
+	answerRefused
+	answerRejected // the request is invalid
 )
 
-// close ends an exchange and says whether it was still open: whoever closes it
-// gives the answer, so that there is one.
-func (x *exchange) close() bool { return x.over.CompareAndSwap(false, true) }
+// claimAnswer closes an exchange and returns whether it was still open. The caller that closes it
+// gives the answer, so that there is exactly one.
+func (x *exchange) claimAnswer() bool { return x.finished.CompareAndSwap(false, true) }
 
 // finish gives the answer if there is none yet.
 func (x *exchange) finish(a answer) {
-	if x.close() {
+	if x.claimAnswer() {
 		x.answer <- a
 	} else {
-		a.drop()
+		a.discard()
 	}
 }
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -25,7 +25,7 @@
 			cfg.Sockets = 64
 			g := startGateway(t, cfg)
 			for range 120 {
-				g.open(part)
+				g.openConn(part)
 			}
 			if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
 				t.Errorf("answer %d %q", resp.StatusCode, body)
@@ -33,8 +33,8 @@
 			g.server.mu.Lock()
 			open := len(g.server.conns)
 			g.server.mu.Unlock()
-			if most := cfg.Sockets * mostSockets / 100; open > most {
-				t.Errorf("%d connections are open, %d at most wanted", open, most)
+			if limit := cfg.Sockets * maxClientConnPercent / 100; open > limit {
+				t.Errorf("%d connections are open, %d at most wanted", open, limit)
 			}
 			if n, _, _ := host.counts(); n != 1 {
 				t.Errorf("the host got %d requests", n)
@@ -49,32 +49,32 @@
 // it were left: 4.995 s where 4.498 s were, at a connection that was accepted 0.5 s after its request
 // was written. Now it runs from when its data came, by the kernel, or from the last look that found
 // the backlog empty (arrival.go).
-func TestServerIsToldWhatIsLeftAfterAFlood(t *testing.T) {
+func TestStatedTimeoutCountsWaitInBacklog(t *testing.T) {
 	const timeout, slack = 5 * time.Second, 150 * time.Millisecond
-	type arrival struct {
-		at   time.Time
-		told time.Duration
+	type hostRequest struct {
+		at      time.Time
+		timeout time.Duration
 	}
-	arrived := make(chan arrival, 1)
+	arrived := make(chan hostRequest, 1)
 	host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
-		seconds, _ := strconv.ParseFloat(r.Header.Get(headTimeout), 64)
-		arrived <- arrival{time.Now(), time.Duration(seconds * float64(time.Second))}
+		seconds, _ := strconv.ParseFloat(r.Header.Get(timeoutHeader), 64)
+		arrived <- hostRequest{time.Now(), time.Duration(seconds * float64(time.Second))}
 		return says(good)(c, r, n)
 	})
 	cfg := testConfig(host)
 	cfg.Sockets = 64
 	g := startGateway(t, cfg)
-	places := cfg.Sockets * mostSockets / 100
-	for range places {
-		g.open("")
+	slots := cfg.Sockets * maxClientConnPercent / 100
+	for range slots {
+		g.openConn("")
 	}
-	until(t, "all places are held", func() bool { return len(g.server.slots) == places })
+	until(t, "all places are held", func() bool { return len(g.server.connSlots) == slots })
 	sent := time.Now()
-	g.open("POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: book\r\nX-Timeout: 5\r\nContent-Length: 0\r\n\r\n")
+	g.openConn("POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: book\r\nX-Timeout: 5\r\nContent-Length: 0\r\n\r\n")
 	select {
 	case a := <-arrived:
-		if left := timeout - a.at.Sub(sent); a.told > left+slack {
-			t.Errorf("the server is told %v where %v are left", a.told, left)
+		if left := timeout - a.at.Sub(sent); a.timeout > left+slack {
+			t.Errorf("the server is told %v where %v are left", a.timeout, left)
 		}
 	case <-time.After(patience):
 		t.Fatal("the request does not come to the server")
@@ -86,7 +86,7 @@
 // each connection. It cost as much for each of the peers again, 20 to 28 ms at 563 connections with the log at
 // debug, under the lock of all and for every connection accepted, so that a crowd waited in the
 // backlog for seconds (soak seeds 20, 39 and 41).
-func TestMakingRoomLooksAtEachConnectionOnce(t *testing.T) {
+func TestEvictionLooksAtEachConnectionOnce(t *testing.T) {
 	const all, runs = 600, 20
 	cost := func(stopped int) time.Duration {
 		s := &Server{conns: map[net.Conn]connState{}}
@@ -96,7 +96,7 @@
 			c := newFramedConn(theirs)
 			state := connState{state: http.StateNew, since: time.Now().Add(time.Hour)} // it is young
 			if i < stopped {
-				c.follow([]byte("POS"))
+				c.parse([]byte("POS"))
 				state.state = http.StateIdle
 			}
 			s.conns[c] = state
@@ -104,7 +104,7 @@
 		least := time.Hour
 		for range runs {
 			began := time.Now()
-			s.evict()
+			s.evictLocked()
 			least = min(least, time.Since(began))
 		}
 		if len(s.conns) != all {
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -8,173 +8,173 @@
 	"time"
 )
 
-// net/http lets Transfer-Encoding override Content-Length and then removes the latter,
-// and in HTTP/1.0 drops Transfer-Encoding unread. Either way the handler cannot tell
-// that the sender and we may disagree where the request ends, so that part of its body
-// could be taken for a request that no client sent. framedListener keeps what is needed
-// to tell.
+// net/http lets Transfer-Encoding override Content-Length and then removes the latter, and in
+// HTTP/1.0 it drops Transfer-Encoding unread. In both cases the handler cannot tell that the sender
+// and the gateway may disagree on where the request ends, so that part of its body could be taken
+// for a request that no client sent. framedConn keeps what is needed to detect that.
 
-// requestHead is what the head of a request says of its framing.
+// requestHead holds the framing of a request as its head states it.
 type requestHead struct {
-	began   time.Time // its first byte, or the connection if it is the first there
-	started bool      // its first line has come
-	length  string    // Content-Length, "" for none
-	encoded bool      // it has a Transfer-Encoding
-	framing bool      // the last line was one of these
-	odd     bool      // it is not clear where the request ends
-	whole   time.Time // its last byte came, at the earliest; zero: it has not
+	startedAt           time.Time // first byte, or the start of the connection for its first request
+	hasRequestLine      bool      // the request line has been received
+	contentLength       string    // Content-Length, "" if there is none
+	hasTransferEncoding bool      // it has a Transfer-Encoding
+	lastLineIsFraming   bool      // the last line was a Content-Length or a Transfer-Encoding
+	ambiguous           bool      // sender and gateway may disagree on where the request ends
+	completeAt          time.Time // earliest time at which its last byte can have arrived; zero if it has not
 }
 
-// place is where in a request the next byte belongs.
-type place int
+// parseState says to which part of a request the next byte belongs.
+type parseState int
 
 const (
-	inHead place = iota
-	inBody
-	inChunkSize
-	inChunk
-	inChunkEnd
-	inTrailer
-	lost // it is not clear; the connection ends behind the request
+	parsingHead parseState = iota
+	parsingBody
+	parsingChunkSize
+	parsingChunk
+	parsingChunkEnd
+	parsingTrailer
+	parsingStopped // the framing is ambiguous; the connection ends after this request
 )
 
-// lineMost is how much of a line is kept. A framing line that is longer is odd.
-const lineMost = 128
+// maxLineBytes is how much of a line is kept. A framing line that is longer makes the request
+// ambiguous.
+const maxLineBytes = 128
 
-// follow takes in what has been read.
-func (c *framedConn) follow(in []byte) {
-	for len(in) > 0 && c.at != lost {
-		if c.at == inBody || c.at == inChunk {
-			n := min(c.left, int64(len(in)))
+// parse parses bytes that have been read.
+func (c *framedConn) parse(in []byte) {
+	for len(in) > 0 && c.state != parsingStopped {
+		if c.state == parsingBody || c.state == parsingChunk {
+			n := min(c.remaining, int64(len(in)))
 			in = in[n:]
-			if c.left -= n; c.left > 0 {
+			if c.remaining -= n; c.remaining > 0 {
 				return
 			}
-			if c.at == inChunk {
-				c.at = inChunkEnd
+			if c.state == parsingChunk {
+				c.state = parsingChunkEnd
 			} else {
-				c.next()
+				c.endRequest()
 			}
 			continue
 		}
-		if c.at == inHead && c.head.began.IsZero() {
-			c.head.began = time.Now()
-			c.due = c.head.began.Add(headerTimeout)
+		if c.state == parsingHead && c.partialHead.startedAt.IsZero() {
+			c.partialHead.startedAt = time.Now()
+			c.headDeadline = c.partialHead.startedAt.Add(headerTimeout)
 		}
-		part, rest, ended := bytes.Cut(in, []byte("\n"))
+		line, rest, lineEnded := bytes.Cut(in, []byte("\n"))
 		in = rest
-		room := min(len(part), lineMost-len(c.line))
-		c.line = append(c.line, part[:room]...)
-		c.long = c.long || room < len(part)
-		if !ended {
+		room := min(len(line), maxLineBytes-len(c.line))
+		c.line = append(c.line, line[:room]...)
+		c.lineTruncated = c.lineTruncated || room < len(line)
+		if !lineEnded {
 			return
 		}
-		c.whole(bytes.TrimSuffix(c.line, []byte("\r")))
-		c.line, c.long = c.line[:0], false
+		c.parseLine(bytes.TrimSuffix(c.line, []byte("\r")))
+		c.line, c.lineTruncated = c.line[:0], false
 	}
 }
 
-// next notes that a request has come whole, and waits for another head.
-func (c *framedConn) next() {
-	c.latest.whole = c.unread.since(c.unread.total)
-	c.at, c.head = inHead, requestHead{}
+// endRequest records that a request has been received whole, and expects another head.
+func (c *framedConn) endRequest() {
+	c.lastHead.completeAt = c.arrivals.arrivedAfter(c.arrivals.totalRead)
+	c.state, c.partialHead = parsingHead, requestHead{}
 }
 
-// whole takes in a line.
-func (c *framedConn) whole(line []byte) {
-	switch c.at {
-	case inHead:
+// parseLine parses a whole line.
+func (c *framedConn) parseLine(line []byte) {
+	switch c.state {
+	case parsingHead:
 		switch {
-		case len(line) > 0 && !c.head.started:
-			c.head.started = true
+		case len(line) > 0 && !c.partialHead.hasRequestLine:
+			c.partialHead.hasRequestLine = true
 		case len(line) > 0:
-			c.head.add(line, c.long)
-		case c.head.started: // an empty line ahead of a request is skipped
+			c.partialHead.parseHeaderLine(line, c.lineTruncated)
+		case c.partialHead.hasRequestLine: // empty lines ahead of a request are skipped
 			c.endHead()
 		}
-	case inChunkSize:
+	case parsingChunkSize:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 62)
 		switch {
 		case err != nil:
-			c.at = lost // so net/http finds as well
+			c.state = parsingStopped // net/http rejects this chunk size as well
 		case n == 0:
-			c.at = inTrailer
+			c.state = parsingTrailer
 		default:
-			c.at, c.left = inChunk, int64(n)
+			c.state, c.remaining = parsingChunk, int64(n)
 		}
-	case inChunkEnd:
-		c.at = inChunkSize
+	case parsingChunkEnd:
+		c.state = parsingChunkSize
 		if len(line) > 0 {
-			c.at = lost
+			c.state = parsingStopped
 		}
-	case inTrailer:
+	case parsingTrailer:
 		if len(line) == 0 {
-			c.next()
+			c.endRequest()
 		}
 	}
 }
 
-// add takes in a header line.
-func (h *requestHead) add(line []byte, cut bool) {
-	if line[0] == ' ' || line[0] == '\t' { // it goes on with the last one
-		h.odd = h.odd || h.framing
+// parseHeaderLine parses a header line.
+func (h *requestHead) parseHeaderLine(line []byte, truncated bool) {
+	if line[0] == ' ' || line[0] == '\t' { // continuation of the last line
+		h.ambiguous = h.ambiguous || h.lastLineIsFraming
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	length := bytes.EqualFold(bytes.TrimSpace(name), []byte("content-length"))
 	encoding := bytes.EqualFold(bytes.TrimSpace(name), []byte("transfer-encoding"))
-	if h.framing = length || encoding; h.framing {
-		h.odd = h.odd || cut
+	if h.lastLineIsFraming = length || encoding; h.lastLineIsFraming {
+		h.ambiguous = h.ambiguous || truncated
 	}
 	if length {
 		text := string(bytes.TrimSpace(value))
-		h.odd = h.odd || text == "" || h.length != "" && h.length != text
-		h.length = text
+		h.ambiguous = h.ambiguous || text == "" || h.contentLength != "" && h.contentLength != text
+		h.contentLength = text
 	}
-	h.encoded = h.encoded || encoding
+	h.hasTransferEncoding = h.hasTransferEncoding || encoding
 }
 
-// endHead is the end of a head: what follows is its body or another head.
+// endHead handles the end of a head: the body of the request or another head follows.
 func (c *framedConn) endHead() {
-	c.latest = &requestHead{}
-	*c.latest = c.head
-	h := c.latest
-	h.odd = h.odd || h.encoded && h.length != ""
-	c.due = time.Time{}
+	c.lastHead = &requestHead{}
+	*c.lastHead = c.partialHead
+	h := c.lastHead
+	h.ambiguous = h.ambiguous || h.hasTransferEncoding && h.contentLength != ""
+	c.headDeadline = time.Time{}
 	var err error
-	c.left = 0
-	if h.length != "" {
-		c.left, err = strconv.ParseInt(h.length, 10, 62)
-		h.odd = h.odd || err != nil || c.left < 0
+	c.remaining = 0
+	if h.contentLength != "" {
+		c.remaining, err = strconv.ParseInt(h.contentLength, 10, 62)
+		h.ambiguous = h.ambiguous || err != nil || c.remaining < 0
 	}
-	c.heads = append(c.heads, h)
+	c.pendingHeads = append(c.pendingHeads, h)
 	switch {
-	case h.odd:
-		c.at = lost
-	case h.encoded:
-		c.at = inChunkSize
-	case c.left > 0:
-		c.at = inBody
+	case h.ambiguous:
+		c.state = parsingStopped
+	case h.hasTransferEncoding:
+		c.state = parsingChunkSize
+	case c.remaining > 0:
+		c.state = parsingBody
 	default:
-		c.next()
+		c.endRequest()
 	}
 }
 
-// framing is called once for each request. It gives what is known of its head, and whether it is
-// clear to sender and gateway alike where the request ends.
-func framing(r *http.Request) (h *requestHead, clear bool) {
-	c, ok := r.Context().Value(framedKey{}).(*framedConn)
+// takeRequestHead returns the framing of a request's head, and whether sender and gateway agree on
+// where the request ends. It is called once for each request, in their order.
+func takeRequestHead(r *http.Request) (h *requestHead, unambiguous bool) {
+	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
 	if !ok {
 		return nil, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.heads) == 0 {
-		return nil, false // net/http sees a head where we see none
+	if len(c.pendingHeads) == 0 {
+		return nil, false // net/http has found a head where the parser has found none
 	}
-	h = c.heads[0]
-	c.heads = slices.Delete(c.heads, 0, 1)
+	h = c.pendingHeads[0]
+	c.pendingHeads = slices.Delete(c.pendingHeads, 0, 1)
 	// HTTP/1.0 has no Transfer-Encoding.
-	return h, !h.odd && !(h.encoded && !r.ProtoAtLeast(1, 1)) && h.encoded == (len(r.TransferEncoding) > 0)
+	return h, !h.ambiguous && !(h.hasTransferEncoding && !r.ProtoAtLeast(1, 1)) && h.hasTransferEncoding == (len(r.TransferEncoding) > 0)
 }
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -15,9 +15,9 @@
 	"lynxspool"
 )
 
-// talk sends text to the gateway, cut into parts at each |, and returns the statuses of
+// sendParts sends text to the gateway, cut into parts at each |, and returns the statuses of
 // what it answers until it closes the connection.
-func (g *testGateway) talk(text string) (statuses []int) {
+func (g *testGateway) sendParts(text string) (statuses []int) {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
@@ -58,7 +58,7 @@
 
 // What stands in the body of a request must not be taken for a request of its own,
 // however the sender and the gateway may differ on where the body ends.
-func TestNothingInsideABodyReachesAHost(t *testing.T) {
+func TestRequestInsideBodyReachesNoHost(t *testing.T) {
 	inner := head("POST /api/inner HTTP/1.1", "inner", "Connection: close\r\nContent-Length: 0\r\n")
 	length := func(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
 	hidden := "0\r\n\r\n" + inner
@@ -72,13 +72,13 @@
 		{"HTTP/1.0", head("POST /api HTTP/1.0", "outer", "Connection: keep-alive\r\n"+chunked) + inner},
 		{"HTTP/1.0 and both", head("POST /api HTTP/1.0", "outer", "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked) + hidden},
 	} {
-		server := newHost(t, says(good))
-		g := startGateway(t, testConfig(server))
+		host := newHost(t, says(good))
+		g := startGateway(t, testConfig(host))
 		g.T = t
-		if got := g.talk(tt.text); len(got) != 1 || got[0] != http.StatusBadRequest {
+		if got := g.sendParts(tt.text); len(got) != 1 || got[0] != http.StatusBadRequest {
 			t.Errorf("%s: answers %v, want a single 400", tt.name, got)
 		}
-		if requests, _, _ := server.counts(); requests != 0 {
+		if requests, _, _ := host.counts(); requests != 0 {
 			t.Errorf("%s: the host got %d requests", tt.name, requests)
 		}
 	}
@@ -86,8 +86,8 @@
 
 // Chunked bodies by themselves are in order, on a connection that is used again too.
 func TestChunkedBodyIsServed(t *testing.T) {
-	server := newHost(t, says(good))
-	g := startGateway(t, testConfig(server))
+	host := newHost(t, says(good))
+	g := startGateway(t, testConfig(host))
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -108,9 +108,9 @@
 			t.Errorf("answer %d: %d %q", i, resp.StatusCode, text)
 		}
 	}
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	for _, body := range server.bodies {
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	for _, body := range host.bodies {
 		if body != "body" {
 			t.Errorf("the host got the body %q", body)
 		}
@@ -121,7 +121,7 @@
 type crossingConn struct {
 	net.Conn
 	first, second string
-	overdue       chan struct{} // the deadline for reading has passed
+	readTimedOut  chan struct{} // the deadline for reading has passed
 	closing       chan struct{} // closed with the first Close
 	ended         chan struct{} // closed with the second Close, which ends service
 	mu            sync.Mutex
@@ -131,7 +131,7 @@
 func (c *crossingConn) Read(p []byte) (n int, err error) {
 	if c.first == "" {
 		select {
-		case <-c.overdue:
+		case <-c.readTimedOut:
 			return 0, os.ErrDeadlineExceeded
 		case <-c.closing:
 			c.first, c.second = c.second, ""
@@ -147,11 +147,11 @@
 // SetReadDeadline makes a Read that waits return where net/http breaks it off.
 func (c *crossingConn) SetReadDeadline(t time.Time) error {
 	select {
-	case <-c.overdue:
+	case <-c.readTimedOut:
 	default:
 	}
 	if !t.IsZero() && t.Before(time.Now()) {
-		c.overdue <- struct{}{}
+		c.readTimedOut <- struct{}{}
 	}
 	return nil
 }
@@ -168,12 +168,12 @@
 	return c.Conn.Close()
 }
 
-type oneConn struct {
+type oneConnListener struct {
 	net.Listener
 	conn chan net.Conn
 }
 
-func (l oneConn) Accept() (net.Conn, error) {
+func (l oneConnListener) Accept() (net.Conn, error) {
 	if c, ok := <-l.conn; ok {
 		return c, nil
 	}
@@ -182,7 +182,7 @@
 
 // A client sends a request again that crossed the closing of its idle connection. So
 // what was read of it then must not go on too, whichever way the connection is closed.
-func TestRequestThatCrossesACloseGoesNowhere(t *testing.T) {
+func TestRequestCrossingCloseIsNotSent(t *testing.T) {
 	for name, closeIdle := range map[string]func(*testGateway){
 		"crowded": func(g *testGateway) {
 			c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -191,21 +191,21 @@
 			}
 			g.Cleanup(func() { c.Close() })
 		},
-		"stopping": func(g *testGateway) { g.server.closeIdle() },
+		"stopping": func(g *testGateway) { g.server.closeIdleConns() },
 	} {
 		host := newHost(t, says(good))
 		g := startGateway(t, testConfig(host))
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
 		c := &crossingConn{
-			Conn: near, overdue: make(chan struct{}, 1), closing: make(chan struct{}), ended: make(chan struct{}),
+			Conn: near, readTimedOut: make(chan struct{}, 1), closing: make(chan struct{}), ended: make(chan struct{}),
 			first:  head("POST /api/first HTTP/1.1", "first", "Content-Length: 0\r\n"),
 			second: head("POST /api/second HTTP/1.1", "second", "Content-Length: 0\r\n"),
 		}
 		g.server.mu.Lock()
-		g.server.budget = 1
+		g.server.connBudget = 1
 		g.server.mu.Unlock()
-		l := oneConn{listen(t, "127.0.0.1:0", nil), make(chan net.Conn, 1)}
+		l := oneConnListener{listen(t, "127.0.0.1:0", nil), make(chan net.Conn, 1)}
 		g.url = "http://" + l.Addr().String()
 		l.conn <- c
 		close(l.conn)
@@ -230,15 +230,15 @@
 	}
 }
 
-// patientConn notes how long the server means to wait for the next byte, 0 for ever.
-type patientConn struct {
+// deadlineConn notes how long the server means to wait for the next byte, 0 for ever.
+type deadlineConn struct {
 	net.Conn
 	mu   sync.Mutex
 	wait time.Duration
 	set  int
 }
 
-func (c *patientConn) SetReadDeadline(t time.Time) error {
+func (c *deadlineConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wait, c.set = 0, c.set+1
@@ -248,7 +248,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *patientConn) waits() (wait time.Duration, set int) {
+func (c *deadlineConn) readWait() (wait time.Duration, set int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wait, c.set
@@ -256,25 +256,25 @@
 
 // Whoever sends nothing, or a part of a request, is closed or answered within 3 s of
 // connecting, the handler reading the request or not.
-func TestNoPeerIsWaitedForLong(t *testing.T) {
-	const owed = 3 * time.Second
+func TestReadDeadlinesBoundIncompleteRequests(t *testing.T) {
+	const limit = 3 * time.Second
 	for name, class := range map[string]string{"in order": "book", "unknown": "other"} {
 		g := startGateway(t, testConfig(newHost(t, says(good))))
 		near, far := net.Pipe()
-		c := &patientConn{Conn: near}
-		l := oneConn{listen(t, "127.0.0.1:0", nil), make(chan net.Conn, 1)}
+		c := &deadlineConn{Conn: near}
+		l := oneConnListener{listen(t, "127.0.0.1:0", nil), make(chan net.Conn, 1)}
 		l.conn <- c
 		close(l.conn)
 		go g.server.Serve(l)
-		until(t, "the head is waited for", func() bool { _, set := c.waits(); return set > 0 })
-		wait, before := c.waits()
-		if wait == 0 || wait >= owed {
+		until(t, "the head is waited for", func() bool { _, set := c.readWait(); return set > 0 })
+		wait, before := c.readWait()
+		if wait == 0 || wait >= limit {
 			t.Errorf("class %s: the server waits %v for a head", name, wait)
 		}
 		part := strings.Replace(head("POST /api HTTP/1.1", "id", "Content-Length: 9\r\n"), "book", class, 1) + "part"
 		io.WriteString(far, part)
-		until(t, "the body is waited for", func() bool { _, set := c.waits(); return set > before })
-		if wait, _ := c.waits(); wait == 0 || wait >= owed {
+		until(t, "the body is waited for", func() bool { _, set := c.readWait(); return set > before })
+		if wait, _ := c.readWait(); wait == 0 || wait >= limit {
 			t.Errorf("class %s: the server waits %v for a body", name, wait)
 		}
 		far.Close()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -527,7 +527,7 @@
 	cfg := testConfig(server)
 	cfg.Sockets = 64
 	g := startGateway(t, cfg)
-	budget := g.server.budget
+	budget := g.server.connBudget
 	var idle []net.Conn
 	for i := range budget + 8 {
 		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -613,7 +613,7 @@
 	next := g.cfg.Rules
 	next.Settings.Classes = []lynxspool.Class{g.cfg.Settings.Classes[1]}
 	next.Classes = map[string]int{"book": 0}
-	for class, want := range map[string]answerKind{"book": served, "look": rejected} {
+	for class, want := range map[string]answerKind{"book": answerServed, "look": answerRejected} {
 		x := newExchange("b")
 		x.header.Set("X-Priority-Class", class)
 		if err := x.resolve(&g.cfg.Rules); err != nil {
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -31,9 +31,9 @@
 		g := startGateway(t, cfg)
 		var crowd []net.Conn
 		for range 40 {
-			crowd = append(crowd, g.open(lookHead))
+			crowd = append(crowd, g.openConn(lookHead))
 		}
-		stays := g.open(lookHead)
+		stays := g.openConn(lookHead)
 		until(t, "all wait", func() bool { return g.openRequests() == len(crowd)+1 })
 		for _, c := range crowd {
 			leave(c)
@@ -60,7 +60,7 @@
 		<-left
 		return nil
 	}
-	c := g.open(lookHead)
+	c := g.openConn(lookHead)
 	<-dialling
 	c.Close()
 	x := make(chan bool, 1)
@@ -68,7 +68,7 @@
 		g.loop.post(func(lynxspool.Time) {
 			over := true
 			for _, e := range g.loop.open {
-				over = over && e.over.Load()
+				over = over && e.finished.Load()
 			}
 			x <- over
 		})
@@ -92,7 +92,7 @@
 		return true
 	})
 	g := startGateway(t, testConfig(host))
-	c := g.open(lookHead)
+	c := g.openConn(lookHead)
 	if _, err := io.ReadFull(c, make([]byte, 500)); err != nil {
 		t.Fatal(err)
 	}
@@ -144,9 +144,9 @@
 	const crowd = 20
 	var conns []net.Conn
 	for range crowd {
-		conns = append(conns, g.open(head))
+		conns = append(conns, g.openConn(head))
 	}
-	stays := g.open(head)
+	stays := g.openConn(head)
 	until(t, "all wait", func() bool { return g.openRequests() == crowd+1 })
 	for _, c := range conns {
 		leave(c)
@@ -156,7 +156,7 @@
 		defer g.server.mu.Unlock()
 		there := 0
 		for c := range g.server.conns {
-			if !c.(*framedConn).gone() {
+			if !c.(*framedConn).clientGone() {
 				there++
 			}
 		}
--- a/internal/gateway/heldup.go
+++ b/internal/gateway/heldup.go
@@ -6,50 +6,51 @@
 	"lynxspool"
 )
 
-// heldUp is a time after the process was held up (stopped, or starved of its core) in which timers
-// wait: what has come meanwhile is read first.
-type heldUp struct {
-	since   time.Time
-	until   time.Time // timers wait at least until then
-	answers []*try    // whose answers had come; timers wait for their ends, readMost at the most
+// processStall is the time after the process was stalled (stopped, or without its CPU core), during
+// which timers wait until what has arrived meanwhile has been read.
+type processStall struct {
+	since    time.Time
+	until    time.Time // timers wait at least until then
+	attempts []*try    // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
 }
 
-// yieldsTimers says whether timers wait, as one of them was much too late.
-func (l *Loop) yieldsTimers(now lynxspool.Time) bool {
+// deferTimers returns whether timers have to wait, since one of them is later than stallThreshold.
+func (l *Loop) deferTimers(now lynxspool.Time) bool {
 	if len(l.timers) == 0 {
 		return false
 	}
 	wall := time.Now()
-	if l.heldUp == nil {
-		if now-l.timers[0].at <= heldUpLeast {
+	if l.stall == nil {
+		if now-l.timers[0].at <= stallThreshold {
 			return false
 		}
-		l.heldUp = &heldUp{since: wall, until: wall.Add(readFirst), answers: l.answersThatCame()}
+		l.stall = &processStall{since: wall, until: wall.Add(stallReadTime), attempts: l.attemptsWithAnswer()}
 		return true
 	}
-	if wall.Before(l.heldUp.until) || l.heldUp.waitsFor() && wall.Sub(l.heldUp.since) < readMost {
-		l.heldUp.until = later(l.heldUp.until, wall.Add(time.Millisecond))
+	if wall.Before(l.stall.until) || l.stall.awaitsAttempt() && wall.Sub(l.stall.since) < maxStallReadTime {
+		l.stall.until = laterOf(l.stall.until, wall.Add(time.Millisecond))
 		return true
 	}
-	l.heldUp = nil
+	l.stall = nil
 	return false
 }
 
-// answersThatCame are the attempts that have an answer whose end the loop has not heard of.
-func (l *Loop) answersThatCame() (answers []*try) {
+// attemptsWithAnswer returns the attempts whose answer has arrived and whose end the loop has not
+// handled yet.
+func (l *Loop) attemptsWithAnswer() (attempts []*try) {
 	for _, x := range l.open {
 		for _, t := range x.attempts {
 			if !t.ended && t.answerCame() {
-				answers = append(answers, t)
+				attempts = append(attempts, t)
 			}
 		}
 	}
-	return answers
+	return attempts
 }
 
-// waitsFor says whether an answer has yet to be heard of.
-func (h *heldUp) waitsFor() bool {
-	for _, t := range h.answers {
+// awaitsAttempt returns whether the end of one of the attempts has not been handled yet.
+func (s *processStall) awaitsAttempt() bool {
+	for _, t := range s.attempts {
 		if !t.ended {
 			return true
 		}
@@ -57,11 +58,11 @@
 	return false
 }
 
-// nextRing is how long it is until the next timer rings.
-func (l *Loop) nextRing() time.Duration {
+// untilNextTimer returns how long it is until the next timer fires.
+func (l *Loop) untilNextTimer() time.Duration {
 	next := time.Until(l.clock.time(l.timers[0].at))
-	if l.heldUp != nil {
-		next = max(next, time.Until(l.heldUp.until))
+	if l.stall != nil {
+		next = max(next, time.Until(l.stall.until))
 	}
 	return next
 }
--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -157,8 +157,8 @@
 func newExchange(body string) *exchange {
 	x := &exchange{
 		method: http.MethodPost, uri: "/api/1", host: "service.internal", header: http.Header{},
-		body: []byte(body), left: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1),
-		due: func(t time.Time) time.Time { return t },
+		body: []byte(body), timeout: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1),
+		capDeadline: func(t time.Time) time.Time { return t },
 	}
 	return x
 }
@@ -328,7 +328,7 @@
 		"hardly any time left": {patience, patience, context.DeadlineExceeded, lynxspool.NotSent},
 	} {
 		p, x := newTestPool(), newExchange("b")
-		p.dialer.Timeout, x.left = c.dial, c.request
+		p.dialer.Timeout, x.timeout = c.dial, c.request
 		h := pooled(p, addr)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		if c.cause != nil {
@@ -629,7 +629,7 @@
 func TestLookAgainBeforeTheWrite(t *testing.T) {
 	for name, change := range map[string]func(p *Pool, h *host, x *exchange){
 		"drain during a dial": func(p *Pool, h *host, _ *exchange) { p.update(h, h.addr, 0, false) },
-		"over during a dial":  func(_ *Pool, _ *host, x *exchange) { x.close() },
+		"over during a dial":  func(_ *Pool, _ *host, x *exchange) { x.claimAnswer() },
 	} {
 		p, server := newTestPool(), newHost(t, says(good))
 		h, x := pooled(p, server.addr()), newExchange("b")
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// logEvery is the least time between two lines of a limitedLog.
-const logEvery = 100 * time.Millisecond
+// logInterval is the shortest time between two lines of a rateLimitedLog.
+const logInterval = 100 * time.Millisecond
 
-// limitedLog logs a line now and then, so that what peers send cannot flood the log.
-type limitedLog struct {
-	mu   sync.Mutex
-	at   time.Time // of the last line
-	held int       // lines held back since
+// rateLimitedLog limits the rate of log lines, so that what peers send cannot flood the log.
+type rateLimitedLog struct {
+	mu         sync.Mutex
+	lastAt     time.Time // time of the last line
+	suppressed int       // lines suppressed since then
 }
 
-// warn logs a line unless the last one was just now.
-func (l *limitedLog) warn(msg string, args ...any) {
+// warn logs a line unless the last one was less than logInterval ago.
+func (l *rateLimitedLog) warn(msg string, args ...any) {
 	l.mu.Lock()
-	if time.Since(l.at) < logEvery {
-		l.held++
+	if time.Since(l.lastAt) < logInterval {
+		l.suppressed++
 		l.mu.Unlock()
 		return
 	}
-	held := l.held
-	l.at, l.held = time.Now(), 0
+	suppressed := l.suppressed
+	l.lastAt, l.suppressed = time.Now(), 0
 	l.mu.Unlock()
-	slog.Warn(msg, append(args, "held_back", held)...)
+	slog.Warn(msg, append(args, "held_back", suppressed)...)
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -40,7 +40,7 @@
 	named  map[string]bool // ids of hosts that were ever listed
 	banned map[string]bool // ids of hosts that operators have taken out
 	ctx    context.Context // of all attempts
-	heldUp *heldUp         // timers wait for what has yet to be read; nil: they do not
+	stall  *processStall   // timers wait until what has arrived has been read; nil if the process is not stalled
 
 	listed     chan struct{} // closed when discovery has told a list
 	listedOnce sync.Once
@@ -119,7 +119,7 @@
 			l.ring()
 		}
 		if len(l.timers) > 0 {
-			timer.Reset(l.nextRing())
+			timer.Reset(l.untilNextTimer())
 		}
 	}
 }
@@ -143,20 +143,20 @@
 			// They changed after its head was read. It came under those in force now, and
 			// the module knows the classes by their index there.
 			if err := x.resolve(rules); err != nil {
-				x.finish(answer{kind: rejected, err: err})
+				x.finish(answer{kind: answerRejected, err: err})
 				return
 			}
 		}
 		l.lastID++
 		x.id = l.lastID
 		l.open[x.id] = x
-		left, waited := x.left, time.Duration(0)
+		left, waited := x.timeout, time.Duration(0)
 		if x.upload == nil {
 			left = max(0, l.clock.at(x.deadline)-now)
-			waited = max(0, now-l.clock.at(x.began()))
+			waited = max(0, now-l.clock.at(x.receivedAt()))
 		}
 		l.bal.Request(now, lynxspool.Request{
-			ID: x.id, Class: x.class, Tenant: x.tenant, Repeat: x.repeat, Left: left, Waited: waited, Upload: x.upload != nil,
+			ID: x.id, Class: x.class, Tenant: x.tenant, Repeat: x.clientRetry, Left: left, Waited: waited, Upload: x.upload != nil,
 		})
 	})
 }
@@ -355,9 +355,9 @@
 				x.attempts[a.Attempt].end(context.Canceled)
 			}
 		case lynxspool.Refuse:
-			l.answer(a.Request, answer{kind: refused, retryAfter: a.After})
+			l.answer(a.Request, answer{kind: answerRefused, retryAfter: a.After})
 		case lynxspool.Fail:
-			l.answer(a.Request, answer{kind: failed})
+			l.answer(a.Request, answer{kind: answerFailed})
 		case lynxspool.Wake:
 			heap.Push(&l.timers, wake{a.At, a.Token})
 		case lynxspool.Close:
@@ -369,7 +369,7 @@
 		case lynxspool.Log:
 			slog.Info(a.Text)
 		case lynxspool.ColdOver:
-			count(&l.Audit.coldOver, "cold server sent more than its budget", "host", l.nameOf(a.Host))
+			recordViolation(&l.Audit.slowStartOverBudget, "cold server sent more than its budget", "host", l.nameOf(a.Host))
 		}
 	}
 }
@@ -399,10 +399,10 @@
 		t.by = l.clock.time(a.By)
 	}
 	n := len(x.attempts)
-	l.Audit.attempt(x, t.from)
+	l.Audit.checkAttempt(x, t.from)
 	slog.Debug("attempt begins", "id", x.requestID(), "attempt", n, "host", h.id)
 	x.attempts = append(x.attempts, t)
-	x.out++
+	x.inFlight++
 	timeOut := func() { t.end(context.DeadlineExceeded) }
 	var timer *time.Timer
 	if x.upload == nil {
@@ -428,7 +428,7 @@
 // ended is the end of an attempt. The first good answer ends the request by
 // itself; the Balancer is told so.
 func (l *Loop) ended(now lynxspool.Time, x *exchange, n int, result lynxspool.Result, good answer) {
-	x.out--
+	x.inFlight--
 	x.attempts[n].ended, x.attempts[n].result = true, result
 	slog.Debug("attempt ended", "id", x.requestID(), "attempt", n, "result", result.String())
 	if result == lynxspool.OK {
@@ -440,7 +440,7 @@
 		took = max(0, now-l.clock.at(t.from))
 	}
 	l.bal.Outcome(now, lynxspool.Outcome{
-		Request: x.id, Attempt: n, Result: result, Elapsed: took, Closed: x.over.Load(), Spent: x.spent(),
+		Request: x.id, Attempt: n, Result: result, Elapsed: took, Closed: x.finished.Load(), Spent: x.bodyConsumed(),
 	})
 	l.release(x)
 }
@@ -448,7 +448,7 @@
 // answer gives the Balancer's final answer.
 func (l *Loop) answer(id lynxspool.RequestID, a answer) {
 	if x := l.open[id]; x != nil {
-		slog.Debug("given up by the module", "id", x.requestID(), "refused", a.kind == refused, "attempts", len(x.attempts))
+		slog.Debug("given up by the module", "id", x.requestID(), "refused", a.kind == answerRefused, "attempts", len(x.attempts))
 		x.finish(a)
 		l.release(x)
 	}
@@ -456,7 +456,7 @@
 
 // release forgets a request that is over, once its last attempt has ended.
 func (l *Loop) release(x *exchange) {
-	if x.over.Load() && x.out == 0 {
+	if x.finished.Load() && x.inFlight == 0 {
 		delete(l.open, x.id)
 	}
 }
@@ -466,7 +466,7 @@
 // meanwhile goes first: an answer that waits unread is no sign of a silent server.
 func (l *Loop) ring() {
 	now := l.clock.now()
-	if l.yieldsTimers(now) {
+	if l.deferTimers(now) {
 		return
 	}
 	for n := len(l.timers); n > 0 && len(l.timers) > 0 && l.timers[0].at <= now; n-- {
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -20,48 +20,48 @@
 	pathHealthcheck = "/healthcheck"
 	pathMembership  = "/members"
 	pathAudit       = "/audit"
-	pathHosts       = "/hosts/" // ID/maint or ID/ready
+	pathHosts       = "/hosts/" // followed by ID/maint or ID/ready
 
-	// An answer is due within 1 s of a call. Who sends none holds a connection for
-	// operatorRead at most, and only while no more than operatorConns come.
-	operatorRead  = 1500 * time.Millisecond
-	operatorWrite = 2 * time.Second
-	operatorConns = 16
-	operatorHead  = 8 << 10
-	operatorBody  = 4 << 10
+	// An answer is due within 1 s of a call. A peer that sends no call holds a connection for
+	// operatorReadTimeout at most, and only while there are no more than maxOperatorConns.
+	operatorReadTimeout  = 1500 * time.Millisecond
+	operatorWriteTimeout = 2 * time.Second
+	maxOperatorConns     = 16
+	maxOperatorHeadBytes = 8 << 10
+	maxOperatorBodyBytes = 4 << 10
 )
 
-// Operator is the address for operators: whether this process is ready to serve, and
-// maintenance of hosts.
+// Operator serves the operators' address: whether this process is ready to serve, maintenance of
+// hosts, the membership view and the audit.
 type Operator struct {
 	loop   *Loop
 	server *Server
 	bans   *Bans
-	// Members gives the membership view for GET /members; nil while membership is off.
-	Members func() any
-	settle  time.Duration // before a yes, for the other process of an upgrade to follow
-	http    http.Server
+	// Members returns the membership view for GET /members. It is nil while membership is off.
+	Members          func() any
+	propagationDelay time.Duration // wait before a confirmation, until the other process of an upgrade has followed
+	http             http.Server
 
-	rejects limitedLog
+	rejectLog rateLimitedLog
 
 	mu    sync.Mutex
-	conns []net.Conn // the oldest first
+	conns []net.Conn // oldest first
 }
 
-// NewOperator returns an Operator. shared says that another process may serve beside
-// this one and has to follow.
+// NewOperator returns an Operator. shared says that another process may serve beside this one and
+// has to follow changes of maintenance.
 func NewOperator(loop *Loop, server *Server, bans *Bans, shared bool) *Operator {
 	o := &Operator{loop: loop, server: server, bans: bans}
 	if shared {
-		o.settle = banSettle
+		o.propagationDelay = banSettle
 	}
 	o.http = http.Server{
-		Handler:        http.HandlerFunc(o.serve), // no ServeMux: it would redirect
-		ConnState:      o.track,
-		ConnContext:    withFraming,
-		ReadTimeout:    operatorRead,
-		WriteTimeout:   operatorWrite,
-		MaxHeaderBytes: operatorHead,
+		Handler:        http.HandlerFunc(o.serve), // no ServeMux, which would redirect
+		ConnState:      o.trackConn,
+		ConnContext:    withFramedConn,
+		ReadTimeout:    operatorReadTimeout,
+		WriteTimeout:   operatorWriteTimeout,
+		MaxHeaderBytes: maxOperatorHeadBytes,
 
 		DisableGeneralOptionsHandler: true,
 	}
@@ -69,20 +69,20 @@
 	return o
 }
 
-// Serve answers calls that come to ln.
+// Serve answers the calls that arrive at ln.
 func (o *Operator) Serve(ln net.Listener) error {
 	return o.http.Serve(framedListener{listener.Persist(ln, "operators")})
 }
 
-// track closes the oldest connection when there are too many: a call takes so little
-// time that the oldest belongs to a caller who sends nothing.
-func (o *Operator) track(c net.Conn, state http.ConnState) {
+// trackConn closes the oldest connection when there are too many: a call takes so little time that
+// the oldest connection belongs to a peer that sends nothing.
+func (o *Operator) trackConn(c net.Conn, state http.ConnState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		o.conns = append(o.conns, c)
-		if len(o.conns) > operatorConns {
+		if len(o.conns) > maxOperatorConns {
 			o.conns[0].Close()
 			o.conns = o.conns[1:]
 		}
@@ -97,31 +97,31 @@
 }
 
 func (o *Operator) serve(w http.ResponseWriter, r *http.Request) {
-	no := func(status int, err error) {
-		o.rejects.warn("operator's call refused", "method", r.Method, "path", r.URL.Path, "status", status, "err", err)
+	refuse := func(status int, err error) {
+		o.rejectLog.warn("operator's call refused", "method", r.Method, "path", r.URL.Path, "status", status, "err", err)
 		http.Error(w, err.Error(), status)
 	}
-	if _, clear := framing(r); !clear {
-		no(http.StatusBadRequest, errAmbiguous)
+	if _, unambiguous := takeRequestHead(r); !unambiguous {
+		refuse(http.StatusBadRequest, errAmbiguous)
 		return
 	}
-	// A call that does not come whole is none.
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, operatorBody)); err != nil {
-		no(http.StatusBadRequest, errors.New("the call did not come whole"))
+	// A call that does not arrive whole is refused.
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBodyBytes)); err != nil {
+		refuse(http.StatusBadRequest, errors.New("the call did not come whole"))
 		return
 	}
 	path := r.URL.EscapedPath()
 	method := http.MethodPut
-	id, verb, ok := hostCall(path)
+	id, action, ok := parseHostCall(path)
 	if path == pathHealthcheck || path == pathMembership || path == pathAudit {
 		method, ok = http.MethodGet, true
 	}
 	switch {
 	case !ok:
-		no(http.StatusNotFound, errors.New("there is no such call"))
+		refuse(http.StatusNotFound, errors.New("there is no such call"))
 	case r.Method != method:
 		w.Header().Set("Allow", method)
-		no(http.StatusMethodNotAllowed, fmt.Errorf("the call takes %s", method))
+		refuse(http.StatusMethodNotAllowed, fmt.Errorf("the call takes %s", method))
 	case path == pathHealthcheck:
 		if err := o.server.Healthy(); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -130,37 +130,37 @@
 		io.WriteString(w, "ok\n")
 	case path == pathAudit:
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(o.loop.Audit.Figures())
+		json.NewEncoder(w).Encode(o.loop.Audit.Counters())
 	case path == pathMembership:
 		if o.Members == nil {
-			no(http.StatusNotFound, errors.New("membership is off"))
+			refuse(http.StatusNotFound, errors.New("membership is off"))
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(o.Members())
 	case !o.loop.known(id):
-		no(http.StatusNotFound, errors.New("no such host was ever listed"))
+		refuse(http.StatusNotFound, errors.New("no such host was ever listed"))
 	default:
-		if err := o.bans.Set(o.loop, id, verb == "maint"); err != nil {
-			slog.Error("maintenance of a host not changed", "host", id, "call", verb, "err", err)
+		if err := o.bans.Set(o.loop, id, action == "maint"); err != nil {
+			slog.Error("failed to change the maintenance of a host", "host", id, "call", action, "err", err)
 			http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
 			return
 		}
-		// The events of the loop are handled in order: once this one is, so is the ban.
+		// The loop handles its events in order: once this one is handled, the change is in force.
 		o.loop.Sync()
-		time.Sleep(o.settle)
-		slog.Info("maintenance of a host", "host", id, "call", verb)
+		time.Sleep(o.propagationDelay)
+		slog.Info("maintenance of a host", "host", id, "call", action)
 		io.WriteString(w, "ok\n")
 	}
 }
 
-// hostCall reads the path of a call that concerns a host.
-func hostCall(path string) (id, verb string, ok bool) {
+// parseHostCall parses the path of a call that concerns a host.
+func parseHostCall(path string) (id, action string, ok bool) {
 	rest, ok := strings.CutPrefix(path, pathHosts)
 	if !ok {
 		return "", "", false
 	}
-	id, verb, _ = strings.Cut(rest, "/")
+	id, action, _ = strings.Cut(rest, "/")
 	id, err := url.PathUnescape(id)
-	return id, verb, err == nil && id != "" && (verb == "maint" || verb == "ready")
+	return id, action, err == nil && id != "" && (action == "maint" || action == "ready")
 }
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -15,17 +15,17 @@
 	"lynxspool"
 )
 
-// operate puts an operator's address beside a gateway and returns where it is.
-func (g *testGateway) operate(dir string, shared bool) string {
+// startOperator puts an operator's address beside a gateway and returns where it is.
+func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
 	bans, err := NewBans(dir)
 	if err != nil {
 		g.Fatal(err)
 	}
-	return g.operateWith(bans, shared)
+	return g.startOperatorWith(bans, shared)
 }
 
-func (g *testGateway) operateWith(bans *Bans, shared bool) string {
+func (g *testGateway) startOperatorWith(bans *Bans, shared bool) string {
 	g.Helper()
 	o := NewOperator(g.loop, g.server, bans, shared)
 	ln := listen(g.T, "127.0.0.1:0", nil)
@@ -34,9 +34,9 @@
 	return ln.Addr().String()
 }
 
-// call sends text to an operator's address and returns the status of the answer, 0
+// callOperator sends text to an operator's address and returns the status of the answer, 0
 // for none, and whether the connection ends behind it.
-func call(t *testing.T, addr, text string) (status int, ends bool) {
+func callOperator(t *testing.T, addr, text string) (status int, ends bool) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -55,41 +55,41 @@
 	return resp.StatusCode, err == io.EOF
 }
 
-func line(method, path string) string {
+func operatorRequest(method, path string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: operators\r\n\r\n"
 }
 
-func TestOperatorsCalls(t *testing.T) {
+func TestOperatorCalls(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good)), newHost(t, says(good))))
 	g.loop.Sync()
-	addr := g.operate(t.TempDir(), false)
+	addr := g.startOperator(t.TempDir(), false)
 	for _, tt := range []struct {
 		text string
 		want int
 	}{
-		{line("GET", "/healthcheck"), 200},
-		{line("PUT", "/healthcheck"), 405},
-		{line("GET", "/health"), 404},
-		{line("GET", "//healthcheck"), 404},
-		{line("GET", "/"), 404},
-		{line("PUT", "/hosts/s-0/maint"), 200},
-		{line("PUT", "/hosts/s-0/maint"), 200},
-		{line("PUT", "/hosts/s%2D0/ready"), 200},
-		{line("PUT", "/hosts/s-0/ready"), 200},
-		{line("GET", "/hosts/s-0/maint"), 405},
-		{line("POST", "/hosts/s-0/ready"), 405},
-		{line("PUT", "/hosts/s-0"), 404},
-		{line("PUT", "/hosts/s-0/maint/"), 404},
-		{line("PUT", "/hosts/s-0/drain"), 404},
-		{line("PUT", "/hosts//maint"), 404},
-		{line("PUT", "/hosts/s-9/maint"), 404},
-		{line("PUT", "/hosts/s-9/ready"), 404},
+		{operatorRequest("GET", "/healthcheck"), 200},
+		{operatorRequest("PUT", "/healthcheck"), 405},
+		{operatorRequest("GET", "/health"), 404},
+		{operatorRequest("GET", "//healthcheck"), 404},
+		{operatorRequest("GET", "/"), 404},
+		{operatorRequest("PUT", "/hosts/s-0/maint"), 200},
+		{operatorRequest("PUT", "/hosts/s-0/maint"), 200},
+		{operatorRequest("PUT", "/hosts/s%2D0/ready"), 200},
+		{operatorRequest("PUT", "/hosts/s-0/ready"), 200},
+		{operatorRequest("GET", "/hosts/s-0/maint"), 405},
+		{operatorRequest("POST", "/hosts/s-0/ready"), 405},
+		{operatorRequest("PUT", "/hosts/s-0"), 404},
+		{operatorRequest("PUT", "/hosts/s-0/maint/"), 404},
+		{operatorRequest("PUT", "/hosts/s-0/drain"), 404},
+		{operatorRequest("PUT", "/hosts//maint"), 404},
+		{operatorRequest("PUT", "/hosts/s-9/maint"), 404},
+		{operatorRequest("PUT", "/hosts/s-9/ready"), 404},
 		{"PUT /hosts/s-1/maint HTTP/1.1\r\nHost: o\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
 		{"PUT /hosts/s-1/maint HTTP/1.1\r\nHost: o\r\nContent-Length: 10000\r\n\r\n" + strings.Repeat("x", 10000), 400},
 		{"PUT /hosts/s-1/maint HTTP/1.1\r\n\r\n", 400},
 		{"make it so\r\n\r\n", 400},
 	} {
-		status, ends := call(t, addr, tt.text)
+		status, ends := callOperator(t, addr, tt.text)
 		if status != tt.want || !ends {
 			t.Errorf("%.40q: status %d, connection ends %v; want %d and an end", tt.text, status, ends, tt.want)
 		}
@@ -100,7 +100,7 @@
 }
 
 // Callers who send nothing, or half a call, delay nobody and act on nothing.
-func TestSilentOperatorsDelayNobody(t *testing.T) {
+func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
 	g.loop.Sync()
 	bans, _ := NewBans("")
@@ -110,7 +110,7 @@
 	go o.Serve(ln)
 	defer o.http.Close()
 	addr := ln.Addr().String()
-	for i := range 3 * operatorConns {
+	for i := range 3 * maxOperatorConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -118,7 +118,7 @@
 		defer c.Close()
 		io.WriteString(c, []string{"", "PUT /hosts/s-0/ma", "PUT /hosts/s-0/maint HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\n\r\nx"}[i%3])
 	}
-	if status, _ := call(t, addr, line("GET", "/healthcheck")); status != 200 {
+	if status, _ := callOperator(t, addr, operatorRequest("GET", "/healthcheck")); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	g.loop.Sync()
@@ -129,15 +129,15 @@
 
 // Nothing new goes to a host once the operator has a yes, not even what waits for a
 // connection to it, and whatever discovery says.
-func TestMaintenanceBindsWhatWaits(t *testing.T) {
+func TestMaintenanceAppliesToWaitingAttempts(t *testing.T) {
 	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good))}
 	cfg := testConfig(hosts...)
 	g := startGateway(t, cfg)
 	g.loop.Sync()
-	addr := g.operate(t.TempDir(), false)
+	addr := g.startOperator(t.TempDir(), false)
 	// An attempt that has chosen its host, but has no connection yet.
 	h := g.loop.hosts[hostID("s-0")]
-	if status, _ := call(t, addr, line("PUT", "/hosts/s-0/maint")); status != 200 {
+	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/maint")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	if result, _ := tryOnce(t, g.loop.pool, h, newExchange("b")); result != lynxspool.NotSent {
@@ -153,7 +153,7 @@
 	if requests, _, _ := hosts[0].counts(); requests != 0 {
 		t.Errorf("the host that is out got %d requests", requests)
 	}
-	if status, _ := call(t, addr, line("PUT", "/hosts/s-0/ready")); status != 200 {
+	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/ready")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	until(t, "the host is in use again", func() bool {
@@ -165,12 +165,12 @@
 
 // A ban outlives its process: the next one reads it before it sends anything. While both
 // run, what one is told the other follows.
-func TestBansAreShared(t *testing.T) {
+func TestMaintenanceIsSharedBetweenProcesses(t *testing.T) {
 	dir := t.TempDir()
-	odd := "../s/0%"
+	unusualID := "../s/0%"
 	start := func() (*testGateway, string) {
 		cfg := testConfig()
-		cfg.Known.Servers = []Member{{ID: odd, Addr: "127.0.0.1:1", State: "ready"}}
+		cfg.Known.Servers = []Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
 		bans, err := NewBans(dir)
 		if err != nil {
@@ -183,18 +183,18 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		go bans.Watch(g.loop, ctx.Done())
-		return g, g.operateWith(bans, true)
+		return g, g.startOperatorWith(bans, true)
 	}
 	old, oldAddr := start()
 	path := "/hosts/..%2Fs%2F0%25/"
-	if status, _ := call(t, oldAddr, line("PUT", path+"maint")); status != 200 {
+	if status, _ := callOperator(t, oldAddr, operatorRequest("PUT", path+"maint")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	next, nextAddr := start()
 	if next.loop.Ready() {
 		t.Error("the next process would use the host")
 	}
-	if status, _ := call(t, nextAddr, line("PUT", path+"ready")); status != 200 {
+	if status, _ := callOperator(t, nextAddr, operatorRequest("PUT", path+"ready")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	until(t, "the old process follows", old.loop.Ready)
@@ -203,7 +203,7 @@
 	if err != nil || len(entries) != 1 || entries[0].Name() != "back-..%2Fs%2F0%25" {
 		t.Errorf("the folder holds %v, %v", entries, err)
 	}
-	if status, _ := call(t, nextAddr, line("PUT", path+"maint")); status != 200 {
+	if status, _ := callOperator(t, nextAddr, operatorRequest("PUT", path+"maint")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	until(t, "the old process follows", func() bool { return !old.loop.Ready() })
@@ -212,10 +212,10 @@
 // Health on the operator's address follows what this process can do.
 func TestHealthcheck(t *testing.T) {
 	g := startGateway(t, testConfig())
-	addr := g.operate("", false)
+	addr := g.startOperator("", false)
 	want := func(status int, why string) {
 		t.Helper()
-		if got, _ := call(t, addr, line("GET", "/healthcheck")); got != status {
+		if got, _ := callOperator(t, addr, operatorRequest("GET", "/healthcheck")); got != status {
 			t.Errorf("%s: status %d, want %d", why, got, status)
 		}
 	}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -75,8 +75,8 @@
 	p := &Pool{
 		dialer:  net.Dialer{Timeout: cfg.DialTimeout},
 		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)),
-		limit:   cfg.Sockets * hostSockets / 100,
-		budget:  cfg.Sockets * hostSockets / 100,
+		limit:   cfg.Sockets * maxHostConnPercent / 100,
+		budget:  cfg.Sockets * maxHostConnPercent / 100,
 		idle:    map[*host][]*conn{},
 		kept:    newBudget(cfg),
 		audit:   &Audit{},
--- a/internal/gateway/resting_test.go
+++ b/internal/gateway/resting_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// openResting returns a client's connection that has had an answer and brings nothing.
-func openResting(g *testGateway) (net.Conn, *bufio.Reader) {
+// openIdleConn returns a client's connection that has had an answer and brings nothing.
+func openIdleConn(g *testGateway) (net.Conn, *bufio.Reader) {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
@@ -20,7 +20,7 @@
 	g.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(c)
-	answered(g, c, in, head("POST /api/first HTTP/1.1", "first", "Content-Length: 0\r\n"))
+	wantServed(g, c, in, head("POST /api/first HTTP/1.1", "first", "Content-Length: 0\r\n"))
 	until(g.T, "the connection rests", func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
@@ -34,17 +34,17 @@
 	return c, in
 }
 
-// answered sends a request and wants it served.
-func answered(g *testGateway, c net.Conn, in *bufio.Reader, request string) {
+// wantServed sends a request and wants it served.
+func wantServed(g *testGateway, c net.Conn, in *bufio.Reader, request string) {
 	g.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
 		g.Fatal(err)
 	}
-	g.served(in)
+	g.wantServedAnswer(in)
 }
 
-// served wants the next answer to be that of a host.
-func (g *testGateway) served(in *bufio.Reader) {
+// wantServedAnswer wants the next answer to be that of a host.
+func (g *testGateway) wantServedAnswer(in *bufio.Reader) {
 	g.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -67,12 +67,12 @@
 // gateway looks for resting connections to close: it has been read, so it is answered.
 // net/http tells that the connection is in use only some steps after it has read; the test
 // holds it up there.
-func TestWhatIsReadFromARestingConnectionIsAnswered(t *testing.T) {
+func TestRequestReadFromIdleConnectionIsAnswered(t *testing.T) {
 	second := head("POST /api/second HTTP/1.1", "second", "Content-Length: 0\r\n")
 	for name, first := range map[string]int{"whole": len(second), "in part": 20} {
 		t.Run(name, func(t *testing.T) {
 			g := startGateway(t, testConfig(newHost(t, says(good))))
-			c, in := openResting(g)
+			c, in := openIdleConn(g)
 			g.server.mu.Lock()
 			if _, err := io.WriteString(c, second[:first]); err != nil {
 				t.Fatal(err)
@@ -81,22 +81,22 @@
 				conn := g.framedConns()[0]
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
-				return conn.head.started || len(conn.heads) > 0 || len(conn.line) > 0
+				return conn.partialHead.hasRequestLine || len(conn.pendingHeads) > 0 || len(conn.line) > 0
 			})
-			g.server.evict()
+			g.server.evictLocked()
 			g.server.mu.Unlock()
 			if _, err := io.WriteString(c, second[first:]); err != nil {
 				t.Fatal(err)
 			}
-			g.served(in)
+			g.wantServedAnswer(in)
 		})
 	}
 }
 
 // The same for what has come in and is not read yet.
-func TestRestingConnectionWithBytesUnreadStays(t *testing.T) {
+func TestIdleConnectionWithUnreadBytesStays(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
-	c, in := openResting(g)
+	c, in := openIdleConn(g)
 	g.server.mu.Lock()
 	conn := g.framedConns()[0]
 	conn.mu.Lock() // nothing can be read and taken in
@@ -104,15 +104,15 @@
 		t.Fatal(err)
 	}
 	time.AfterFunc(100*time.Millisecond, conn.mu.Unlock)
-	g.server.evict()
+	g.server.evictLocked()
 	g.server.mu.Unlock()
-	g.served(in)
+	g.wantServedAnswer(in)
 }
 
 // A body that has come whole keeps its connection, also where its handler has yet to note that.
-func TestConnectionWhoseBodyIsWholeStays(t *testing.T) {
+func TestConnectionWithCompleteBodyStays(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
-	c, in := openResting(g)
+	c, in := openIdleConn(g)
 	if _, err := io.WriteString(c, head("POST /api/second HTTP/1.1", "second", "Content-Length: 4\r\n")+"bo"); err != nil {
 		t.Fatal(err)
 	}
@@ -120,13 +120,13 @@
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
 		for _, cs := range g.server.conns {
-			if cs.reading {
+			if cs.readingBody {
 				return true
 			}
 		}
 		return false
 	})
-	time.Sleep(newLeast) // from now on it would make room
+	time.Sleep(minEvictionAge) // from now on it would make room
 	g.server.mu.Lock()
 	if _, err := io.WriteString(c, "dy"); err != nil {
 		t.Fatal(err)
@@ -135,9 +135,9 @@
 		conn := g.framedConns()[0]
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.at == inHead
+		return conn.state == parsingHead
 	})
-	g.server.evict()
+	g.server.evictLocked()
 	g.server.mu.Unlock()
-	g.served(in)
+	g.wantServedAnswer(in)
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -15,84 +15,84 @@
 	"lynxspool/internal/listener"
 )
 
-// Shares of the descriptors, in hundredths; the rest is for the listener, discovery
-// and what the runtime holds.
+// Shares of the descriptor limit in percent. The rest is left for the listener, discovery and
+// the descriptors of the runtime.
 const (
-	clientSockets = 55 // beyond this, connections without a request make room
-	mostSockets   = 60 // and this is what clients have at the most
-	hostSockets   = 35
+	clientConnBudgetPercent = 55 // above this, connections without a request are closed
+	maxClientConnPercent    = 60 // hard limit on the connections of clients
+	maxHostConnPercent      = 35 // hard limit on the connections to hosts
 )
 
 const (
 	pathHealth = "/_health"
 
-	// answerMargin is how long before the client stops waiting the answer is due. From
-	// a host's answer to the client 0.4 ms pass in 99 of 100 cases, as measured; a
-	// shared core may hold us up a few more.
+	// answerMargin is how long before the client stops waiting the answer is due. In 99 of 100
+	// requests the answer of a host reaches the client within 0.4 ms; contention for a CPU core can
+	// add a few milliseconds.
 	answerMargin = 5 * time.Millisecond
 
-	// Who sends no proper request is owed an answer or a close within 3 s of connecting,
-	// and holds a descriptor until then. A connection is owed 2 s to bring a request.
-	headerTimeout  = 2300 * time.Millisecond // for a client to get a request's head through
-	requestTimeout = 2800 * time.Millisecond // ... all of it, beyond what its body may take
+	// A peer that sends no valid request is answered or disconnected within 3 s of connecting, and
+	// holds a descriptor until then. Every connection gets at least 2 s to send a request.
+	headerTimeout  = 2300 * time.Millisecond // time for a client to send the head of a request
+	requestTimeout = 2800 * time.Millisecond // time for a client to send a whole request; a long body extends it
 
-	writeTimeout = 10 * time.Second // for a client to take its answer
-	idleTimeout  = 3 * time.Minute  // for a client's connection with no request
+	writeTimeout = 10 * time.Second // time for a client to read its answer
+	idleTimeout  = 3 * time.Minute  // time that a client's connection may stay without a request
 )
 
-// Server is the side of the clients.
+// Server accepts the connections of clients and answers their requests.
 type Server struct {
-	cfg    *Config
-	loop   *Loop
-	http   http.Server
-	budget int // client connections beyond which idle ones are closed
+	cfg        *Config
+	loop       *Loop
+	http       http.Server
+	connBudget int // number of client connections above which idle ones are closed
 
-	rejects limitedLog
+	rejectLog rateLimitedLog
 
-	ln        atomic.Pointer[net.Listener]
-	accepting atomic.Bool
-	stopping  atomic.Bool
-	exitAt    time.Time     // set before stopping: all answers are due by then
-	stopped   chan struct{} // closed with stopping
+	ln              atomic.Pointer[net.Listener]
+	accepting       atomic.Bool
+	stopping        atomic.Bool
+	finalAnswerAt   time.Time     // latest time of any answer; set before stopping
+	shutdownStarted chan struct{} // closed when stopping is set
 
-	mu      sync.Mutex
-	conns   map[net.Conn]connState
-	slots   chan struct{} // one for each connection that is open
-	leaving bool          // no connection stays for another request
+	mu          sync.Mutex
+	conns       map[net.Conn]connState
+	connSlots   chan struct{} // holds one element for each open connection
+	closingIdle bool          // connections that become idle are closed
 
-	candidates []candidate // of evict
+	evictionCandidates []evictionCandidate // scratch space of evictLocked
 }
 
-// NewServer returns a Server that hands requests to loop.
+// NewServer returns a Server that submits its requests to loop.
 func NewServer(cfg *Config, loop *Loop) *Server {
 	s := &Server{
-		cfg: cfg, loop: loop, budget: cfg.Sockets * clientSockets / 100,
-		conns: map[net.Conn]connState{}, stopped: make(chan struct{}),
-		slots: make(chan struct{}, cfg.Sockets*mostSockets/100),
+		cfg: cfg, loop: loop, connBudget: cfg.Sockets * clientConnBudgetPercent / 100,
+		conns: map[net.Conn]connState{}, shutdownStarted: make(chan struct{}),
+		connSlots: make(chan struct{}, cfg.Sockets*maxClientConnPercent/100),
 	}
 	s.http = http.Server{
-		Handler:           http.HandlerFunc(s.serve), // no ServeMux: it would clean paths and redirect
-		ConnState:         s.track,
-		ConnContext:       withFraming,
+		Handler:           http.HandlerFunc(s.serve), // no ServeMux, which would clean paths and redirect
+		ConnState:         s.trackConn,
+		ConnContext:       withFramedConn,
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       requestTimeout,
-		WriteTimeout:      writeTimeout, // set anew with the answer
+		WriteTimeout:      writeTimeout, // reset when the answer is written
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead, // a connection's share of the memory limit
+		MaxHeaderBytes:    maxHead, // bounds a connection's share of the memory limit
 
 		DisableGeneralOptionsHandler: true,
 	}
 	return s
 }
 
-// Serve takes requests from ln until Shutdown has closed it.
+// Serve accepts requests from ln until Shutdown closes it.
 func (s *Server) Serve(ln net.Listener) error {
 	backlog := newBacklog(ln)
 	ln = listener.Persist(backlog, "clients")
 	ln = &clientListener{framedListener: framedListener{ln}, backlog: backlog, server: s, done: make(chan struct{})}
 	s.ln.Store(&ln)
 	if s.stopping.Load() {
-		ln.Close() // Shutdown may have come too early to see it
+		ln.Close() // Shutdown may have run before s.ln was set
 	} else {
 		s.accepting.Store(true)
 	}
@@ -104,8 +104,8 @@
 	return err
 }
 
-// Healthy is nil when this process serves: it takes what comes and has a host to send it
-// to.
+// Healthy returns nil if this process can serve: it accepts connections and knows a host that
+// takes requests.
 func (s *Server) Healthy() error {
 	switch {
 	case s.stopping.Load():
@@ -123,114 +123,115 @@
 	errNoHosts  = errors.New("no hosts known")
 )
 
-// serve answers one request.
+// serve handles one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if closed(r) {
-		// It crossed our closing the connection as idle: its client sends it again.
-		count(&s.loop.Audit.closedOwing, "request read from a connection that was closed", "id", r.Header.Get(headRequestID),
+	if connClosed(r) {
+		// The request arrived while its idle connection was being closed. Its client sends it again.
+		recordViolation(&s.loop.Audit.closedOwingAnswer, "request read from a connection that was closed", "id", r.Header.Get(requestIDHeader),
 			"peer", r.RemoteAddr)
 		return
 	}
-	s.mayKeep(w)
-	head, clear := framing(r)
-	if !clear {
-		// What follows on the connection may belong to its body.
+	s.setConnectionClose(w)
+	head, unambiguous := takeRequestHead(r)
+	if !unambiguous {
+		// The bytes that follow on the connection may belong to the body of this request.
 		w.Header().Set("Connection", "close")
 		s.reject(w, r, http.StatusBadRequest, errAmbiguous)
 		return
 	}
 	if r.Method == http.MethodGet && r.URL.Path == pathHealth {
-		s.health(w)
+		s.serveHealth(w)
 		return
 	}
-	x, status, err := s.read(w, r, head)
+	x, status, err := s.readRequest(w, r, head)
 	if err != nil {
 		s.reject(w, r, status, err)
 		return
 	}
-	defer x.give()
+	defer x.releaseBody()
 	s.loop.Submit(x)
-	a, ok := s.await(r, x)
+	a, ok := s.awaitAnswer(r, x)
 	if !ok {
-		panic(http.ErrAbortHandler) // a return would be an empty 200
+		panic(http.ErrAbortHandler) // a return would send an empty 200 response
 	}
-	s.mayKeep(w) // the end may have begun meanwhile
-	s.give(w, r, x, a)
+	s.setConnectionClose(w) // shutdown may have started meanwhile
+	s.writeAnswer(w, r, x, a)
 }
 
-// mayKeep tells the client with its answer if its connection will not stay.
-func (s *Server) mayKeep(w http.ResponseWriter) {
-	if s.stopping.Load() || s.crowded() {
+// setConnectionClose announces the end of the connection in the response if the server is
+// shutting down or has more connections than its budget.
+func (s *Server) setConnectionClose(w http.ResponseWriter) {
+	if s.stopping.Load() || s.overBudget() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// await waits for the answer of an exchange. It says false when nobody wants it any more.
-func (s *Server) await(r *http.Request, x *exchange) (answer, bool) {
-	var whole chan struct{}
-	gone, stopped := r.Context().Done(), s.stopped
+// awaitAnswer waits for the final answer to x. It returns false if the client has left.
+func (s *Server) awaitAnswer(r *http.Request, x *exchange) (answer, bool) {
+	var bodySent chan struct{}
+	clientGone, shutdown := r.Context().Done(), s.shutdownStarted
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	if x.upload != nil {
-		// A body that does not come ends the context too, but whoever reads it answers. Until
-		// it is whole its deadline is the attempt's to set.
-		whole, gone = x.upload.whole, nil
+		// A body that stops arriving also ends the context, but the goroutine that reads the body
+		// answers that case. The attempt sets x.deadline once it has read the whole body.
+		bodySent, clientGone = x.upload.whole, nil
 	}
-	due := func() time.Time {
-		if whole != nil {
-			return s.due(x.dueAt()) // it moves on while the body is known not to be whole
+	deadline := func() time.Time {
+		if bodySent != nil {
+			return s.capDeadline(x.clientDeadline()) // moves on while the body is known to be incomplete
 		}
-		return s.due(x.deadline)
+		return s.capDeadline(x.deadline)
 	}
-	timer.Reset(time.Until(due()))
+	timer.Reset(time.Until(deadline()))
 	for {
 		select {
 		case a := <-x.answer:
 			return a, true
-		case <-whole:
-			whole, gone = nil, r.Context().Done()
-			timer.Reset(time.Until(due()))
-		case <-stopped:
-			// The process ends before some of the requests that it has taken are due.
-			stopped = nil
-			timer.Reset(time.Until(due()))
-		case <-gone:
-			x.leave()
-			if x.close() {
+		case <-bodySent:
+			bodySent, clientGone = nil, r.Context().Done()
+			timer.Reset(time.Until(deadline()))
+		case <-shutdown:
+			// The process exits before some of the requests that it has accepted are due.
+			shutdown = nil
+			timer.Reset(time.Until(deadline()))
+		case <-clientGone:
+			x.markClientGone()
+			if x.claimAnswer() {
 				s.loop.Abandon(x)
 			} else {
 				a := <-x.answer
-				a.drop()
+				a.discard()
 			}
 			return answer{}, false
 		case <-timer.C:
-			if left := time.Until(due()); left > 0 {
-				timer.Reset(left)
+			if remaining := time.Until(deadline()); remaining > 0 {
+				timer.Reset(remaining)
 				continue
 			}
-			// The module should have answered; the client is not kept waiting for it.
-			if x.close() {
+			// The module should have answered by now. The client does not wait for it any longer.
+			if x.claimAnswer() {
 				s.loop.Abandon(x)
-				return answer{kind: failed}, true
+				return answer{kind: answerFailed}, true
 			}
 			return <-x.answer, true
 		}
 	}
 }
 
-// give gives a client its answer.
-func (s *Server) give(w http.ResponseWriter, r *http.Request, x *exchange, a answer) {
-	if a.give != nil {
-		defer a.give()
+// writeAnswer sends a client the final answer to its request.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, x *exchange, a answer) {
+	if a.release != nil {
+		defer a.release()
 	}
 	rc := http.NewResponseController(w)
 	rc.SetWriteDeadline(time.Now().Add(clientStall))
-	early := x.upload != nil && !x.upload.stop()
-	if early {
-		w.Header().Set("Connection", "close") // the rest of the body would follow
+	bodyUnread := x.upload != nil && !x.upload.stop()
+	if bodyUnread {
+		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
 	}
 	if a.stream != nil {
-		setHead(w, a.header, a.stream.length)
+		setHeaders(w, a.header, a.stream.length)
 		err := a.stream.pass(w, r)
 		a.stream.done <- err
 		if err != nil {
@@ -238,16 +239,17 @@
 		}
 		return
 	}
-	write(w, a)
-	if early {
-		drain(w, r)
+	writeBuffered(w, a)
+	if bodyUnread {
+		discardBody(w, r)
 	}
 }
 
-// abort ends a connection within an answer, so that the client can tell that it is not
-// whole. Where only the end of the connection would tell its end, that is a reset.
+// abort closes a connection in the middle of an answer, so that the client can tell that the
+// answer is incomplete. If the end of the connection would mark the end of the answer, the
+// connection is reset instead.
 func abort(r *http.Request, length int64) {
-	if c, ok := r.Context().Value(framedKey{}).(*framedConn); ok && length < 0 && !r.ProtoAtLeast(1, 1) {
+	if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && length < 0 && !r.ProtoAtLeast(1, 1) {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
@@ -255,38 +257,38 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drain reads for a while what the client still sends of a body that has its answer:
-// closing on it would reset the connection, and the answer with it.
-func drain(w http.ResponseWriter, r *http.Request) {
-	c, ok := r.Context().Value(framedKey{}).(*framedConn)
+// discardBody reads for a while what the client still sends of a body whose request has been
+// answered: closing the connection at once would reset it and could destroy the answer.
+func discardBody(w http.ResponseWriter, r *http.Request) {
+	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
 	rc := http.NewResponseController(w)
 	if !ok || r.Header.Get("Expect") != "" || rc.Flush() != nil {
 		return
 	}
 	rc.SetReadDeadline(time.Now().Add(drainTime))
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		io.Copy(io.Discard, c.Conn) // its framing is broken, or its reading was
+		io.Copy(io.Discard, c.Conn) // the framing of the body is broken, or reading it was stopped
 	}
 }
 
 var errAmbiguous = errors.New("it is not clear where the request ends")
 
-// reject answers what is no proper request, and logs some of it: those on call must be
-// able to tell a client that went wrong.
+// reject answers an invalid request with an error and logs it at a limited rate, so that
+// operators can identify a client that misbehaves.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, err error) {
 	if r.ContentLength != 0 {
-		w.Header().Set("Connection", "close") // the rest of the body would follow
+		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
 	}
-	s.rejects.warn("request rejected", "id", r.Header.Get(headRequestID), "peer", r.RemoteAddr,
+	s.rejectLog.warn("request rejected", "id", r.Header.Get(requestIDHeader), "peer", r.RemoteAddr,
 		"status", status, "err", err)
-	say(w, status, err.Error())
+	writeText(w, status, err.Error())
 	if r.ContentLength != 0 {
-		drain(w, r)
+		discardBody(w, r)
 	}
 }
 
-// health tells the front whether requests can be served.
-func (s *Server) health(w http.ResponseWriter) {
+// serveHealth answers a health check with whether requests can be served.
+func (s *Server) serveHealth(w http.ResponseWriter) {
 	if err := s.Healthy(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -294,72 +296,72 @@
 	io.WriteString(w, "ok\n")
 }
 
-// read reads a request whole and looks up what the module needs. An error comes
-// with the status to answer.
-func (s *Server) read(w http.ResponseWriter, r *http.Request, head *requestHead) (*exchange, int, error) {
+// readRequest validates a request, looks up what the module needs to know of it and reads a
+// body that is short enough to be kept. An error comes with the HTTP status of the answer.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *requestHead) (*exchange, int, error) {
 	x := &exchange{
 		method: r.Method, uri: r.RequestURI, host: r.Host, url: r.URL, header: r.Header,
-		repeat: r.Header.Get("X-Retried") == "1", answer: make(chan answer, 1),
-		give: func() {}, due: s.due,
+		clientRetry: r.Header.Get("X-Retried") == "1", answer: make(chan answer, 1),
+		releaseBody: func() {}, capDeadline: s.capDeadline,
 	}
-	if c, ok := r.Context().Value(framedKey{}).(*framedConn); ok {
-		x.gone = c.gone
-		x.from, x.head = c, head
+	if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok {
+		x.clientGone = c.clientGone
+		x.clientConn, x.head = c, head
 	}
-	bad := func(format string, args ...any) (*exchange, int, error) {
+	badRequest := func(format string, args ...any) (*exchange, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
-	if r.Header.Get(headRequestID) == "" {
-		return bad("%s: missing", headRequestID)
+	if r.Header.Get(requestIDHeader) == "" {
+		return badRequest("%s: missing", requestIDHeader)
 	}
 	if err := x.resolve(s.loop.rules.Load()); err != nil {
 		return nil, http.StatusBadRequest, err
 	}
 	class := &x.rules.Settings.Classes[x.class]
-	left := class.Deadline
-	if v := r.Header.Get(headTimeout); v != "" {
+	timeout := class.Deadline
+	if v := r.Header.Get(timeoutHeader); v != "" {
 		seconds, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(seconds >= 0) {
-			return bad("%s: %q is no number of seconds", headTimeout, v)
+			return badRequest("%s: %q is no number of seconds", timeoutHeader, v)
 		}
-		// No client waits longer than the deadline of the class.
-		left = time.Duration(min(seconds, left.Seconds()) * float64(time.Second))
+		// A client cannot extend the deadline of its class.
+		timeout = time.Duration(min(seconds, timeout.Seconds()) * float64(time.Second))
 	}
-	x.left = max(0, left-answerMargin)
+	x.timeout = max(0, timeout-answerMargin)
 	if r.ContentLength != 0 {
-		if status, err := s.readBody(w, r, x, head.began); err != nil {
+		if status, err := s.readBody(w, r, x, head.startedAt); err != nil {
 			return nil, status, err
 		}
 	}
-	x.deadline = s.due(x.dueAt())
+	x.deadline = s.capDeadline(x.clientDeadline())
 	return x, 0, nil
 }
 
-// readBody reads the body if it is to be kept, and else prepares for its coming.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, began time.Time) (int, error) {
+// readBody reads a body that is to be kept, and prepares any other one to be streamed to a host.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) (int, error) {
 	if r.ContentLength > maxBody {
 		return http.StatusRequestEntityTooLarge, errTooLong
 	}
 	rc := http.NewResponseController(w)
-	rc.EnableFullDuplex() // else an early answer would wait for the body
-	body := &clientBody{body: r.Body, rc: rc, start: began}
+	rc.EnableFullDuplex() // otherwise an early answer would wait for the body
+	body := &clientBody{body: r.Body, rc: rc, start: startedAt}
 	size := maxSmall
 	if r.ContentLength > 0 {
 		size = int(min(r.ContentLength, maxSmall))
 	}
 	if r.ContentLength > maxSmall || !s.loop.pool.kept.take(size) {
 		x.upload = &upload{clientBody: body, length: r.ContentLength, whole: make(chan struct{})}
-		if c, ok := r.Context().Value(framedKey{}).(*framedConn); ok && s.loop.pool.kept.take(maxAhead) {
-			c.holdAhead(maxAhead)
-			x.give = func() { s.loop.pool.kept.give(maxAhead) }
+		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.kept.take(maxAhead) {
+			c.setReadBuffer(maxAhead)
+			x.releaseBody = func() { s.loop.pool.kept.give(maxAhead) }
 		}
 		return 0, nil
 	}
-	x.give = func() { s.loop.pool.kept.give(size) }
-	s.reading(r, true)
+	x.releaseBody = func() { s.loop.pool.kept.give(size) }
+	s.setReadingBody(r, true)
 	text, err := io.ReadAll(io.LimitReader(body, maxSmall+1))
-	if there := s.reading(r, false); err != nil || !there {
-		x.give()
+	if stillOpen := s.setReadingBody(r, false); err != nil || !stillOpen {
+		x.releaseBody()
 		return http.StatusBadRequest, errors.New("the body did not arrive")
 	}
 	x.body = text
@@ -369,8 +371,8 @@
 	return 0, nil
 }
 
-// resolve looks up what the module needs under the rules, and keeps them. An error means
-// that the request is no proper one under them.
+// resolve looks up the class and the tenant of the request in rules and stores both and the
+// rules in x. An error means that the request is invalid under these rules.
 func (x *exchange) resolve(rules *Rules) error {
 	var ok bool
 	if x.class, ok = rules.Classes[x.header.Get("X-Priority-Class")]; !ok {
@@ -382,49 +384,51 @@
 		}
 	}
 	if rules.Settings.Classes[x.class].Effect == lynxspool.Keyed && x.header.Get("Idempotency-Key") == "" {
-		// Without it no host would drop the repeat that the module may send.
+		// Without a key no host could discard the duplicate that a retry of the module may be.
 		return errors.New("Idempotency-Key: missing, the class needs one")
 	}
 	x.rules = rules
 	return nil
 }
 
-// setHead sets the headers of a host's answer; length is that of its body, -1 if not known.
-func setHead(w http.ResponseWriter, from http.Header, length int64) {
-	h := w.Header()
-	for name, values := range endToEnd(from) {
-		h[name] = values
+// setHeaders copies the headers of a host's answer. The length is that of the body, or -1 if it
+// is unknown.
+func setHeaders(w http.ResponseWriter, hostHeader http.Header, length int64) {
+	out := w.Header()
+	for name, values := range endToEndHeaders(hostHeader) {
+		out[name] = values
 	}
 	if length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(length, 10))
+		out.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 }
 
-// write gives a client an answer that is kept whole. Its length is always told, so that
-// it is whole by itself though the connection is to end. If it fails the client has gone.
-func write(w http.ResponseWriter, a answer) {
+// writeBuffered sends a client an answer whose body is in memory. It always sets Content-Length,
+// so that the answer is complete by itself even if the connection ends after it. A failed write
+// means that the client has left.
+func writeBuffered(w http.ResponseWriter, a answer) {
 	status, text := http.StatusBadGateway, "failed, it may have been done"
 	switch a.kind {
-	case served:
-		setHead(w, a.header, int64(len(a.body)))
+	case answerServed:
+		setHeaders(w, a.header, int64(len(a.body)))
 		w.Write(a.body)
 		return
-	case refused:
+	case answerRefused:
 		if a.retryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
 		}
 		status, text = http.StatusServiceUnavailable, "turned away, trying again is harmless"
-	case rejected:
+	case answerRejected:
 		status, text = http.StatusBadRequest, a.err.Error()
 		if errors.Is(a.err, errTooLong) {
 			status = http.StatusRequestEntityTooLarge
 		}
 	}
-	say(w, status, text)
+	writeText(w, status, text)
 }
 
-// say answers with a line of our own.
-func say(w http.ResponseWriter, status int, text string) {
+// writeText sends a line of text that the gateway itself has produced.
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
 	w.WriteHeader(status)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	// Clients still come for up to 0.4 s after SIGTERM, and what waits in the
-	// listener's backlog counts as taken: lingerTime is that and room to accept it.
-	lingerTime = 600 * time.Millisecond
-	// At this long after SIGTERM and the longest deadline (exitDeadline at most), the
-	// gateway is killed. The last answers are due stopMargin before that, and the process
-	// stays for writeMargin more, so that they get out.
-	exitTime     = 700 * time.Millisecond
-	exitDeadline = 3 * time.Second
-	stopMargin   = 100 * time.Millisecond
-	writeMargin  = 60 * time.Millisecond
+	// acceptLinger is how long new connections are accepted after SIGTERM: clients still connect
+	// for up to 0.4 s, requests in the listener's backlog count as accepted, and accepting them
+	// takes time.
+	acceptLinger = 600 * time.Millisecond
+	// The gateway is killed killDelay plus the longest deadline (maxShutdownDeadline at most)
+	// after SIGTERM. The last answers are due finalAnswerMargin before that, and the process stays
+	// for another finalWriteTime, so that they are written.
+	killDelay           = 700 * time.Millisecond
+	maxShutdownDeadline = 3 * time.Second
+	finalAnswerMargin   = 100 * time.Millisecond
+	finalWriteTime      = 60 * time.Millisecond
 )
 
-// Shutdown ends service in order. With a listener of its own it goes on taking what still
-// comes, asking clients to leave, then closes the listener and idle connections and
-// waits for what was taken. A shared listener it leaves at once: another process takes
-// what comes. The connections it has it then keeps for as long as a request on them can
-// be answered in time, as closing one may cross a request.
+// Shutdown ends service in order. With a listener of its own it still accepts connections for
+// acceptLinger while it announces the end of each connection to its client. Then it closes the
+// listener and idle connections, and waits for the requests that it has accepted. A shared listener
+// it closes at once, as another process accepts what follows. It then keeps the open connections for
+// as long as a request on them can be answered in time, since closing one may cross a request.
 func (s *Server) Shutdown() {
 	now := time.Now()
-	most := min(s.loop.rules.Load().longest(), exitDeadline)
-	s.exitAt = now.Add(exitTime + most - stopMargin)
+	maxDeadline := min(s.loop.rules.Load().longest(), maxShutdownDeadline)
+	s.finalAnswerAt = now.Add(killDelay + maxDeadline - finalAnswerMargin)
 	s.stopping.Store(true)
-	close(s.stopped)
+	close(s.shutdownStarted)
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	if s.cfg.AcceptFD != 0 {
@@ -36,46 +37,47 @@
 		if ln := s.ln.Load(); ln != nil {
 			(*ln).Close()
 		}
-		// Once Serve has returned, whatever it accepted is counted as connected.
-		leave := s.exitAt.Add(-most / 2)
-		for (s.accepting.Load() || s.connected()) && time.Now().Before(leave) {
+		// Once Serve has returned, all connections that it accepted are in s.conns.
+		leaveAt := s.finalAnswerAt.Add(-maxDeadline / 2)
+		for (s.accepting.Load() || s.hasConns()) && time.Now().Before(leaveAt) {
 			<-tick.C
 		}
 	} else {
-		time.Sleep(lingerTime)
+		time.Sleep(acceptLinger)
 	}
 	if ln := s.ln.Load(); ln != nil {
 		(*ln).Close()
 	}
-	s.closeIdle()
-	// Once Serve has returned, whatever it accepted is counted as connected.
-	for gone := s.exitAt.Add(writeMargin); (s.accepting.Load() || !s.finish()) && time.Now().Before(gone); {
+	s.closeIdleConns()
+	// Once Serve has returned, all connections that it accepted are in s.conns.
+	for exitAt := s.finalAnswerAt.Add(finalWriteTime); (s.accepting.Load() || !s.closeUnused()) && time.Now().Before(exitAt); {
 		<-tick.C
 	}
 }
 
-// connected says whether any client is still connected.
-func (s *Server) connected() bool {
+// hasConns returns whether any client is still connected.
+func (s *Server) hasConns() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > 0
 }
 
-// finish closes what holds no request and may not yet bring its first, and says whether that
-// was all. A request that is read after it finds its connection closed, and is not sent on.
-func (s *Server) finish() bool {
+// closeUnused closes the connections that hold no request and have had time to bring their first,
+// and returns whether none is left. A request that is read after that finds its connection closed
+// and is not sent to a host.
+func (s *Server) closeUnused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, cs := range s.conns {
-		young := time.Since(cs.since) < lingerTime
-		why := roomWithoutHead
+		young := time.Since(cs.since) < acceptLinger
+		class := evictWithoutHead
 		switch {
 		case cs.state == http.StateActive || cs.state == http.StateNew && young:
 			return false
-		case cs.state == http.StateIdle && bringsHead(c, lingerTime):
-			why = roomResting // the rest of it may be on its way
+		case cs.state == http.StateIdle && receivingHead(c, acceptLinger):
+			class = evictIdle // the rest of the head may be on its way
 		}
-		if !closeFor(c, why) {
+		if !evictConn(c, class) {
 			return false
 		}
 		delete(s.conns, c)
@@ -83,24 +85,24 @@
 	return true
 }
 
-// closeIdle closes the connections that hold no request, and has those closed that hold
-// none from now on. http.Server.Shutdown would do it as well, but by what it knows of them,
-// which is behind what was read.
-func (s *Server) closeIdle() {
+// closeIdleConns closes the connections that hold no request, and those that become idle from now
+// on. http.Server.Shutdown would do the same, but by the state that it knows, which is behind what
+// has been read.
+func (s *Server) closeIdleConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.closingIdle = true
 	for c, cs := range s.conns {
-		if cs.state == http.StateIdle && closeFor(c, roomResting) {
+		if cs.state == http.StateIdle && evictConn(c, evictIdle) {
 			delete(s.conns, c)
 		}
 	}
 }
 
-// due is when an answer is due: all are before the process ends.
-func (s *Server) due(t time.Time) time.Time {
-	if s.stopping.Load() && t.After(s.exitAt) {
-		return s.exitAt
+// capDeadline returns t or, if that is earlier, the time by which all answers are due at shutdown.
+func (s *Server) capDeadline(t time.Time) time.Time {
+	if s.stopping.Load() && t.After(s.finalAnswerAt) {
+		return s.finalAnswerAt
 	}
 	return t
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// open dials the gateway and sends what is given.
-func (g *testGateway) open(text string) net.Conn {
+// openConn dials the gateway and sends what is given.
+func (g *testGateway) openConn(text string) net.Conn {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
@@ -28,10 +28,10 @@
 
 // A request that was taken before the end was told, and is due after it, is answered before
 // it: the host hangs, and the client would wait for a minute.
-func TestWhatIsOutIsAnsweredBeforeTheEnd(t *testing.T) {
+func TestInFlightRequestIsAnsweredBeforeExit(t *testing.T) {
 	host := newHost(t, hang)
 	g := startGateway(t, testConfig(host))
-	c := g.open(head("POST /api/1 HTTP/1.1", "i", "X-Priority-Class: book\r\nContent-Length: 0\r\n"))
+	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "X-Priority-Class: book\r\nContent-Length: 0\r\n"))
 	until(t, "the host has the request", func() bool { n, _, _ := host.counts(); return n == 1 })
 	g.server.Shutdown()
 	g.server.http.Close() // as the end of the process does
@@ -45,11 +45,11 @@
 
 // A request that comes on a connection after the end of service is not taken: nobody would
 // answer it, and its host would do the work for nothing.
-func TestNothingIsTakenAfterTheEnd(t *testing.T) {
+func TestRequestAfterShutdownIsNotAccepted(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
-	c := g.open("")
-	until(t, "the connection is there", func() bool { return g.server.connected() })
+	c := g.openConn("")
+	until(t, "the connection is there", func() bool { return g.server.hasConns() })
 	g.server.Shutdown()
 	fmt.Fprint(c, head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
@@ -62,26 +62,26 @@
 
 // A connection that was accepted just before the listener closed may bring its first request
 // after that: it is answered.
-func TestYoungConnectionIsServedThroughTheEnd(t *testing.T) {
+func TestNewConnectionIsServedDuringShutdown(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
-	c := g.open("")
-	until(t, "the connection is there", func() bool { return g.server.connected() })
+	c := g.openConn("")
+	until(t, "the connection is there", func() bool { return g.server.hasConns() })
 	g.server.mu.Lock()
 	for c, cs := range g.server.conns {
 		cs.since = time.Now().Add(patience) // it stays young for as long as this test may take
 		g.server.conns[c] = cs
 	}
 	g.server.mu.Unlock()
-	ended := g.down()
+	ended := g.startShutdown()
 	until(t, "the listener is closed", func() bool { return !g.server.accepting.Load() })
 	fmt.Fprint(c, head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
-	wantLast(t, bufio.NewReader(c))
+	wantFinalAnswer(t, bufio.NewReader(c))
 	<-ended
 }
 
-// wantLast reads a good answer, whole, that ends its connection and says so.
-func wantLast(t *testing.T, in *bufio.Reader) {
+// wantFinalAnswer reads a good answer, whole, that ends its connection and says so.
+func wantFinalAnswer(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
@@ -97,7 +97,7 @@
 
 // An answer that is given while service ends says that its connection does, whenever its
 // request came, and the connection is not kept for another.
-func TestLastAnswerEndsItsConnection(t *testing.T) {
+func TestAnswerDuringShutdownClosesConnection(t *testing.T) {
 	for name, phase := range map[string]func(s *Server) bool{
 		"the end is told":     func(s *Server) bool { return s.stopping.Load() },
 		"the listener closed": func(s *Server) bool { return s.stopping.Load() && !s.accepting.Load() },
@@ -109,18 +109,18 @@
 			return true
 		})
 		g := startGateway(t, testConfig(host))
-		c := g.open(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
+		c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
 		until(t, "the host has the request", func() bool { n, _, _ := host.counts(); return n == 1 })
-		ended := g.down()
+		ended := g.startShutdown()
 		until(t, name, func() bool { return phase(g.server) })
 		close(release)
-		wantLast(t, bufio.NewReader(c))
+		wantFinalAnswer(t, bufio.NewReader(c))
 		<-ended
 	}
 }
 
-// down runs Shutdown beside the test and returns when service has begun to end.
-func (g *testGateway) down() (ended chan struct{}) {
+// startShutdown runs Shutdown beside the test and returns when service has begun to end.
+func (g *testGateway) startShutdown() (ended chan struct{}) {
 	ended = make(chan struct{})
 	go func() {
 		g.server.Shutdown()
@@ -130,8 +130,8 @@
 	return ended
 }
 
-// wantWhole reads a whole answer and returns its status and body.
-func wantWhole(t *testing.T, what string, in *bufio.Reader) (int, string) {
+// readWholeAnswer reads a whole answer and returns its status and body.
+func readWholeAnswer(t *testing.T, what string, in *bufio.Reader) (int, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -147,7 +147,7 @@
 
 // Whatever a request was doing when the end was told, it gets one whole answer: waiting for a
 // host, half sent, whole but for its last byte, or half answered.
-func TestEveryRequestThatIsOutGetsOneWholeAnswer(t *testing.T) {
+func TestEveryInFlightRequestGetsOneWholeAnswer(t *testing.T) {
 	more := make(chan struct{})
 	long := string(text(200_000))
 	host := newHost(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -161,26 +161,26 @@
 		return true
 	})
 	g := startGateway(t, testConfig(host))
-	streamed := g.open(head("POST /api/1 HTTP/1.1", "long", "Content-Length: 0\r\n"))
+	streamed := g.openConn(head("POST /api/1 HTTP/1.1", "long", "Content-Length: 0\r\n"))
 	first := make([]byte, 30)
 	if _, err := io.ReadFull(streamed, first); err != nil {
 		t.Fatal(err)
 	}
-	upload := g.open(head("POST /api/1 HTTP/1.1", "up", fmt.Sprintf("Content-Length: %d\r\n", len(long))) + long[:100_000])
-	almost := g.open(head("POST /api/1 HTTP/1.1", "almost", "Content-Length: 4\r\n") + "bod")
+	upload := g.openConn(head("POST /api/1 HTTP/1.1", "up", fmt.Sprintf("Content-Length: %d\r\n", len(long))) + long[:100_000])
+	almost := g.openConn(head("POST /api/1 HTTP/1.1", "almost", "Content-Length: 4\r\n") + "bod")
 	until(t, "two are with the module", func() bool { return g.openRequests() == 2 })
 
-	ended := g.down()
+	ended := g.startShutdown()
 	fmt.Fprint(upload, long[100_000:])
 	fmt.Fprint(almost, "y")
 	close(more)
 	for what, c := range map[string]net.Conn{"half sent": upload, "but for its last byte": almost} {
-		if status, body := wantWhole(t, what, bufio.NewReader(c)); status != 200 || body != "good" {
+		if status, body := readWholeAnswer(t, what, bufio.NewReader(c)); status != 200 || body != "good" {
 			t.Errorf("%s: answer %d %q", what, status, body)
 		}
 	}
 	in := bufio.NewReader(io.MultiReader(strings.NewReader(string(first)), streamed))
-	if status, body := wantWhole(t, "half answered", in); status != 200 || body != long {
+	if status, body := readWholeAnswer(t, "half answered", in); status != 200 || body != long {
 		t.Errorf("half answered: answer %d, %d bytes", status, len(body))
 	}
 	<-ended
@@ -190,14 +190,14 @@
 }
 
 // What waits for a host when the end is told is refused, as it was never sent on.
-func TestWhatWaitsIsRefusedBeforeTheEnd(t *testing.T) {
+func TestQueuedRequestIsRefusedBeforeExit(t *testing.T) {
 	cfg := testConfig(newHost(t, says(good)))
 	cfg.Known.Servers[0].State = "draining"
 	g := startGateway(t, cfg)
-	c := g.open(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
+	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
 	until(t, "it waits", func() bool { return g.openRequests() == 1 })
-	ended := g.down()
-	if status, _ := wantWhole(t, "waiting", bufio.NewReader(c)); status != http.StatusServiceUnavailable {
+	ended := g.startShutdown()
+	if status, _ := readWholeAnswer(t, "waiting", bufio.NewReader(c)); status != http.StatusServiceUnavailable {
 		t.Errorf("answer %d", status)
 	}
 	<-ended
@@ -206,17 +206,17 @@
 // Clients that rest on connections until these end, or come again at once on every one that
 // stays open, lose nothing: each request has one whole answer, or its connection ended without
 // a byte and the host never saw it.
-func TestClientsThatStayThroughTheEnd(t *testing.T) {
+func TestKeptConnectionsDuringShutdown(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
-	rests := g.open(head("POST /api/1 HTTP/1.1", "first", "Content-Length: 0\r\n"))
-	restsIn := bufio.NewReader(rests)
-	wantWhole(t, "the first of who rests", restsIn)
+	idleConn := g.openConn(head("POST /api/1 HTTP/1.1", "first", "Content-Length: 0\r\n"))
+	idleIn := bufio.NewReader(idleConn)
+	readWholeAnswer(t, "the first of who rests", idleIn)
 	var wg sync.WaitGroup
-	var answered, unread atomic.Int64
-	const greedy = 8
-	for range greedy {
-		c := g.open("")
+	var answered, unanswered atomic.Int64
+	const clients = 8
+	for range clients {
+		c := g.openConn("")
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -226,7 +226,7 @@
 					return
 				}
 				if _, err := in.Peek(1); err != nil {
-					unread.Add(1)
+					unanswered.Add(1)
 					return
 				}
 				resp, err := http.ReadResponse(in, nil)
@@ -241,58 +241,58 @@
 			}
 		}()
 	}
-	until(t, "all have come again", func() bool { return answered.Load() > 10*greedy })
-	ended := g.down()
+	until(t, "all have come again", func() bool { return answered.Load() > 10*clients })
+	ended := g.startShutdown()
 	wg.Wait()
 	<-ended
-	if n, err := restsIn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
+	if n, err := idleIn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		t.Errorf("who rests got %d bytes, %v", n, err)
 	}
 	if n, _, _ := host.counts(); int64(n) != answered.Load()+1 {
-		t.Errorf("the host got %d requests, %d and the first were answered, %d never read", n, answered.Load(), unread.Load())
+		t.Errorf("the host got %d requests, %d and the first were answered, %d never read", n, answered.Load(), unanswered.Load())
 	}
 }
 
-// heldListener hands over a connection only when it is let, as on a core that others hold.
-type heldListener struct {
+// blockingListener hands over a connection only when it is let, as on a core that others hold.
+type blockingListener struct {
 	net.Listener
-	has, let chan struct{}
+	accepted, release chan struct{}
 }
 
-func (l heldListener) Accept() (net.Conn, error) {
+func (l blockingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		close(l.has)
-		<-l.let
+		close(l.accepted)
+		<-l.release
 	}
 	return c, err
 }
 
 // A connection that was taken from the accept queue in the moment in which the listener closed
 // is served, too.
-func TestConnectionAcceptedAsTheListenerCloses(t *testing.T) {
+func TestConnectionAcceptedAsListenerCloses(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
 	until(t, "the first listener is there", func() bool { return g.server.accepting.Load() })
-	held := heldListener{listen(t, "127.0.0.1:0", nil), make(chan struct{}), make(chan struct{})}
+	held := blockingListener{listen(t, "127.0.0.1:0", nil), make(chan struct{}), make(chan struct{})}
 	(*g.server.ln.Load()).Close()
 	until(t, "it has gone", func() bool { return !g.server.accepting.Load() })
 	go g.server.Serve(held)
 	g.url = "http://" + held.Addr().String()
-	c := g.open(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
-	<-held.has
-	ended := g.down()
+	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
+	<-held.accepted
+	ended := g.startShutdown()
 	until(t, "idle connections are closed", func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
-		return g.server.leaving
+		return g.server.closingIdle
 	})
 	select {
 	case <-ended:
 		t.Error("service has ended with a connection in hand")
 	case <-time.After(50 * time.Millisecond): // several looks at what is left
 	}
-	close(held.let)
-	wantLast(t, bufio.NewReader(c))
+	close(held.release)
+	wantFinalAnswer(t, bufio.NewReader(c))
 	<-ended
 }
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -26,20 +26,20 @@
 			if !g.usable("s-0") || !g.usable("s-1023") {
 				t.Fatal("the list is not known whole")
 			}
-			served := func(requests int) (good int) {
+			countServed := func(requests int) (good int) {
 				var xs []*exchange
 				for i := range requests {
 					xs = append(xs, g.send(i))
 					time.Sleep(10 * time.Millisecond)
 				}
 				for _, x := range xs {
-					if a := <-x.answer; a.kind == served {
+					if a := <-x.answer; a.kind == answerServed {
 						good++
 					}
 				}
 				return good
 			}
-			if n := served(200); n != 200 {
+			if n := countServed(200); n != 200 {
 				t.Errorf("asked for %t: %d of 200 requests are served", ask, n)
 			}
 			var peers []lynxspool.Peer
@@ -49,7 +49,7 @@
 			if p := g.loop.Peers(peers); p.Live != count || p.Draws == 0 {
 				t.Errorf("asked for %t: the place in the view is %+v", ask, p)
 			}
-			if n := served(200); n != 200 {
+			if n := countServed(200); n != 200 {
 				t.Errorf("asked for %t: with a view %d of 200 requests are served", ask, n)
 			}
 			for _, h := range hosts[1:] { // one is left
@@ -60,7 +60,7 @@
 			disco.drain("s-1")
 			time.Sleep(time.Second)
 			before := time.Now()
-			served(20)
+			countServed(20)
 			for _, h := range hosts[1:] {
 				if h.between(before, time.Now()) > 0 {
 					t.Fatalf("asked for %t: %s got a request after it was told to drain", ask, h.id)
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -12,17 +12,17 @@
 
 // The wall clock of all machines, or of the gateway's alone, is stepped while it runs, and
 // then a server is started anew. It gets little while it is cold, and its part once it is warm.
-func TestStartedServerIsColdAcrossAStepOfTheClock(t *testing.T) {
+func TestRestartedHostIsColdAcrossClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for _, all := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%v, of all %t", step, all), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { startAfterStep(t, step, all) })
+				synctest.Test(t, func(t *testing.T) { testRestartAfterStep(t, step, all) })
 			})
 		}
 	}
 }
 
-func startAfterStep(t *testing.T, step time.Duration, all bool) {
+func testRestartAfterStep(t *testing.T, step time.Duration, all bool) {
 	const warmAfter = 20 * time.Second
 	n := newBubbleNet()
 	hosts := bubbleHosts(n, 2)
