--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// owedWithin is what a peer that brings no proper request is owed an error or a close within.
-const owedWithin = 3 * time.Second
+// incompleteRequestLimit is what a peer that brings no proper request is owed an error or a close within.
+const incompleteRequestLimit = 3 * time.Second
 
 // pipeListener hands out connections that tests make.
 type pipeListener struct {
-	conns chan net.Conn
-	once  chan struct{}
+	conns  chan net.Conn
+	closed chan struct{}
 }
 
 func newPipeListener() *pipeListener {
-	return &pipeListener{conns: make(chan net.Conn), once: make(chan struct{})}
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
-	case <-l.once:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *pipeListener) Close() error {
 	select {
-	case <-l.once:
+	case <-l.closed:
 	default:
-		close(l.once)
+		close(l.closed)
 	}
 	return nil
 }
@@ -55,10 +55,10 @@
 // bubbleClients starts a gateway with its side of the clients, in the bubble.
 func bubbleClients(t *testing.T, hosts int) (l *pipeListener, end func()) {
 	n := newBubbleNet()
-	servers := bubbleHosts(n, hosts)
-	disco := newBubbleDiscovery(n, "discovery:80", servers)
+	backends := bubbleHosts(n, hosts)
+	disco := newBubbleDiscovery(n, "discovery:80", backends)
 	ctx, cancel := context.WithCancel(t.Context())
-	g := startBubble(t, ctx, n, bubbleConfig(false, 1, 0, disco.addr, servers))
+	g := startBubble(t, ctx, n, bubbleConfig(false, 1, 0, disco.addr, backends))
 	g.cfg.Sockets = 100
 	server := NewServer(g.cfg, g.loop)
 	l = newPipeListener()
@@ -70,32 +70,32 @@
 	}
 }
 
-const bubbleLook = "GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\n\r\n"
+const lookRequest = "GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\n\r\n"
 
 // A client that stops in the middle of a request and stays gets an error or a close in time,
 // wherever it stops, and on a connection that has had an answer too.
-func TestClientThatStopsWithinARequestIsEndedInTime(t *testing.T) {
+func TestIncompleteRequestEndsInTime(t *testing.T) {
 	body := "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\nContent-Length: 65000\r\n\r\n"
 	for name, part := range map[string]string{
 		"a byte":                 "G",
 		"three bytes":            "GET",
 		"a line":                 "GET /api/1 HTTP/1.1\r\n",
-		"most of a head":         strings.TrimSuffix(bubbleLook, "\r\n"),
+		"most of a head":         strings.TrimSuffix(lookRequest, "\r\n"),
 		"a head":                 body,
 		"a byte of a body":       body + "b",
 		"most of a short body":   body + strings.Repeat("b", 64_900),
 		"an empty line, a byte":  "\r\nG",
 		"a head and half a body": body + strings.Repeat("b", 30_000),
 	} {
-		for _, resting := range []bool{false, true} {
-			t.Run(name+map[bool]string{true: ", resting before"}[resting], func(t *testing.T) {
+		for _, afterAnswer := range []bool{false, true} {
+			t.Run(name+map[bool]string{true: ", resting before"}[afterAnswer], func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					l, end := bubbleClients(t, 2)
 					defer end()
 					c := l.dial()
 					defer c.Close()
-					if resting {
-						io.WriteString(c, bubbleLook)
+					if afterAnswer {
+						io.WriteString(c, lookRequest)
 						resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 						if err != nil || resp.StatusCode != http.StatusOK {
 							t.Fatalf("%v, %v", resp, err)
@@ -112,7 +112,7 @@
 					}()
 					select {
 					case took := <-answer:
-						if took > owedWithin {
+						if took > incompleteRequestLimit {
 							t.Errorf("it gets an error or its end after %v", took)
 						}
 					case <-time.After(20 * time.Second):
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -114,7 +114,7 @@
 	if c.raw == nil {
 		return false
 	}
-	if time.Since(c.readAt) < heldUpLeast {
+	if time.Since(c.readAt) < stallThreshold {
 		return true
 	}
 	c.raw.Control(func(fd uintptr) { // an error is that of a closed connection
@@ -130,6 +130,6 @@
 	if n, ok := unreadBytes(fd); !ok || n == 0 {
 		return false
 	}
-	age, ok := dataAge(fd)
-	return ok && age >= heldUpLeast
+	age, ok := lastDataAge(fd)
+	return ok && age >= stallThreshold
 }
