--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -11,8 +11,8 @@
 	"lynxspool/internal/faultnet"
 )
 
-// An accept that fails is a connection less, and no end of service: whatever it fails with,
-// once or in a row, the clients' and the operators' listeners go on.
+// A failed accept costs one connection and does not end service: whatever the error, once or
+// repeatedly, the listeners of clients and operators keep accepting.
 func TestFailedAcceptsDoNotEndService(t *testing.T) {
 	host := newHost(t, says(good))
 	cfg := testConfig(host)
@@ -52,7 +52,7 @@
 				client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
 				return client.Get("http://" + ln.Addr().String() + path)
 			}
-			// The accept that waits now takes this one; the next three fail.
+			// The accept that waits now takes this connection. The next three fail.
 			for range 2 {
 				resp, err := get()
 				if err != nil {
@@ -67,7 +67,7 @@
 			default:
 			}
 			if left := ln.Left(); left > 0 {
-				t.Fatalf("%v: %d failures have not come to pass", errno, left)
+				t.Fatalf("%v: %d failures have not occurred", errno, left)
 			}
 		}
 	}
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// Bounds of the pages: a server may be told 0.15 s more than its client still waits, and an answer
-// that comes more than half a second after a request's time counts as never given.
+// Limits of the checks: the timeout stated to a host may exceed what its client still waits by
+// 0.15 s, and an answer that comes more than 0.5 s after the client's timeout counts as lost.
 const (
 	statedTimeoutSlack = 150 * time.Millisecond
 	answerSlack        = 500 * time.Millisecond
 )
 
-// receivedRequest is a request as a server got it.
+// receivedRequest is a request as a host received it: when, and with which timeout stated.
 type receivedRequest struct {
 	at      time.Time
 	timeout time.Duration
 }
 
-// newReceivedRequest notes a request that a server has got whole.
+// newReceivedRequest records a request that a host has received whole.
 func newReceivedRequest(r *http.Request) receivedRequest {
 	seconds, _ := strconv.ParseFloat(r.Header.Get(timeoutHeader), 64)
 	return receivedRequest{time.Now(), time.Duration(seconds * float64(time.Second))}
 }
 
-// checkStatedTimeout checks what a server was told of a request whose client waits for timeout
-// from sent on.
+// checkStatedTimeout checks the timeout that a host was given for a request whose client waits for
+// timeout from sent on.
 func checkStatedTimeout(t *testing.T, s receivedRequest, sent time.Time, timeout time.Duration) {
 	t.Helper()
 	if left := timeout - s.at.Sub(sent); s.timeout > left+statedTimeoutSlack {
-		t.Errorf("the server is told %v where %v are left", s.timeout, left)
+		t.Errorf("the host was given a timeout of %v where %v were left", s.timeout, left)
 	}
 }
 
@@ -45,10 +45,10 @@
 		method, id, map[string]string{"GET": "look", "POST": "book"}[method], timeout.Seconds(), length)
 }
 
-// A client writes a second request while its first is being answered, as HTTP/1.1 allows. The
-// gateway reads one byte of it and no more until the first has its answer. The time of the second
-// was counted from that later read, though its client counts from its last byte: the server was told
-// 3.995 s where 1.999 s were left, and the answer could come 2 s late.
+// A client pipelines a second request while its first is being answered. The gateway reads one byte
+// of it and no more until the first has its answer. The time of the second must run from its last
+// byte: counted from that later read, the host was given 3.995 s where 1.999 s were left, and the
+// answer could come 2 s late.
 func TestPipelinedRequestTimeRunsFromLastByte(t *testing.T) {
 	const busy, timeout = time.Second, 1800 * time.Millisecond
 	for _, pieces := range []int{1, 3} {
@@ -83,7 +83,7 @@
 			if took := time.Since(sent); took > timeout+answerSlack {
 				t.Errorf("the second request is answered after %v, its client waits for %v", took, timeout)
 			}
-			// Bytes that come in pieces must not take off what came before the last of them did.
+			// Bytes that arrive in pieces must not shorten the client's time.
 			if took := time.Since(sent); took < timeout-answerSlack {
 				t.Errorf("the second request is given up after %v, its client waits for %v", took, timeout)
 			}
@@ -104,13 +104,13 @@
 	return resp.StatusCode
 }
 
-// A client writes a long body whole within milliseconds: what the gateway has not read waits in the
-// buffers of both machines. The server takes nothing for a while, or never. The request's time was
-// counted from when the gateway had read the last byte, so the answer came 5 s after it where 2.5 s
-// were given. Here it came after 2.48 s of 1.5 s where the server takes the body after 1 s (the sum
-// of both), and after 5.01 s where it takes nothing, which is the time after which a write to a server
-// counts as stalled: nothing was due before. The time of a long body now runs from when its client can
-// have written the last byte, and its answer is due by that while it is still coming in.
+// A client writes a long body whole within milliseconds, and what the gateway has not read waits in
+// the buffers of both machines while the host reads nothing for a while, or never. The time must run
+// from when the client can have written the last byte, and the answer is due by that while the body
+// is still being read. Counted from the gateway's read of the last byte, an answer came 5 s after that
+// byte where the client waited for 2.5 s. Here, with 1.5 s, it came after 2.48 s if the host read after
+// 1 s (the sum of both), and after 5.01 s if it never did: that is hostStall, as no deadline applied
+// before.
 func TestLongBodyTimeRunsFromLastByte(t *testing.T) {
 	const timeout = 1500 * time.Millisecond
 	for name, stalls := range map[string]time.Duration{
@@ -134,7 +134,7 @@
 				case <-ended:
 					return
 				}
-				io.Copy(io.Discard, c) // it answers nothing
+				io.Copy(io.Discard, c) // no answer
 			}()
 			g := startGateway(t, testConfig(&testHost{Listener: ln}))
 			body := text(5 << 20)
@@ -151,7 +151,7 @@
 	}
 }
 
-// A client that sends a long body slowly has all its time from the last byte on, though the body
+// A client that sends a long body slowly has its whole time from the last byte on, even if the body
 // takes longer than that.
 func TestSlowUploadKeepsItsTime(t *testing.T) {
 	const timeout = 700 * time.Millisecond
@@ -164,11 +164,11 @@
 		c.Write(body[i*len(body)/5 : (i+1)*len(body)/5])
 	}
 	if status := readAnswer(t, bufio.NewReader(c)); status != http.StatusOK {
-		t.Errorf("it is answered with %d", status)
+		t.Errorf("answer %d", status)
 	}
 }
 
-// So it is with a body of a length that is not told: the bound is then how far a client may have got.
+// A body of unknown length gets the same treatment: its bound is how far the client may have got.
 func TestLongChunkedBodyTimeRunsFromLastByte(t *testing.T) {
 	const timeout, stall = 1500 * time.Millisecond, time.Second
 	ln := listen(t, "127.0.0.1:0", nil)
@@ -180,7 +180,7 @@
 		}
 		defer c.Close()
 		time.Sleep(stall)
-		io.Copy(io.Discard, c) // it answers nothing
+		io.Copy(io.Discard, c) // no answer
 	}()
 	g := startGateway(t, testConfig(&testHost{Listener: ln}))
 	c := g.openConn(chunkedRequest("long", timeout))
@@ -209,8 +209,8 @@
 	io.WriteString(c, "0\r\n\r\n")
 }
 
-// A long body that a server takes at its own pace, for longer than the request's time, is not given
-// up on the way: its client cannot have written the last byte before most of it was taken.
+// A long body that a host reads slowly, for longer than the time of the request, is not given up on
+// the way: its client cannot have written the last byte before most of it was read.
 func TestLongBodyToSlowHostKeepsItsTime(t *testing.T) {
 	const timeout = 4 * time.Second
 	body := text(maxBody)
@@ -239,14 +239,14 @@
 			began := time.Now()
 			write(c)
 			if status := readAnswer(t, bufio.NewReader(c)); status != http.StatusOK {
-				t.Errorf("it is answered with %d after %v", status, time.Since(began))
+				t.Errorf("answer %d after %v", status, time.Since(began))
 			}
 		})
 	}
 }
 
-// A connection may wait before the process accepts at all: a listener that was handed over has a
-// backlog that nobody has looked at.
+// A connection may wait before the process accepts at all: nobody has looked at the backlog of a
+// listener that is inherited from another process.
 func TestTimeRunsInInheritedBacklog(t *testing.T) {
 	const backlogWait, timeout = time.Second, 3 * time.Second
 	seen := make(chan receivedRequest, 1)
@@ -269,9 +269,9 @@
 	checkStatedTimeout(t, <-seen, sent, timeout)
 }
 
-// The audit counts a server that is told too much from the request's last byte, whatever deadline the
-// request was given: it did not move at any of the faults above, as it counted from the same wrong
-// moment as they did.
+// The audit compares the timeout stated to a host with the time since the request's last byte,
+// whatever deadline the gateway gave the request. Counted from the same wrong moment as the deadline,
+// it missed all the faults that the tests above guard against.
 func TestAuditCountsTimeFromLastByte(t *testing.T) {
 	const waited, left = time.Second, 2 * time.Second
 	now := time.Now()
@@ -282,17 +282,18 @@
 		x.clientConn, x.head, x.timeout, x.deadline = &framedConn{}, completeHead, left, now.Add(stated)
 		audit.checkSent(&host{}, x, now, stated, time.Second)
 		if n := audit.Counters().TimeoutsOverLeft; n != violations {
-			t.Errorf("%v stated where %v are left: %d breaks counted, want %d", stated, left-waited, n, violations)
+			t.Errorf("%v stated where %v are left: %d violations counted, want %d", stated, left-waited, n, violations)
 		}
 	}
 }
 
-// unobservableListener is a listener whose socket cannot be looked at.
+// unobservableListener hides the socket of its listener, so that its backlog cannot be looked at.
 type unobservableListener struct{ net.Listener }
 
-// Where the backlog cannot be looked at, the kernel's word on the connection still counts. A gateway of
-// the soak whose accepts fail on purpose told a server 1.195 s where 0.842 s were left (seed 12,
-// q12-020850): its backlog passed for seen empty, which is later than the data and so went before it.
+// If the backlog cannot be looked at, the kernel's age of the data on the connection still applies.
+// A backlog that was taken for empty instead, which is later than the data, made a gateway whose
+// accepts failed on purpose state 1.195 s to a host where 0.842 s were left (soak seed 12,
+// q12-020850).
 func TestTimeRunsInUnobservableBacklog(t *testing.T) {
 	const timeout = 5 * time.Second
 	seen := make(chan receivedRequest, 1)
@@ -310,14 +311,14 @@
 	for range slots {
 		g.openConn("")
 	}
-	until(t, "all places are held", func() bool { return len(g.server.connSlots) == slots })
+	until(t, "all connection slots are taken", func() bool { return len(g.server.connSlots) == slots })
 	sent := time.Now()
 	g.openConn(timedRequest("GET", "hidden", timeout, 0))
 	checkStatedTimeout(t, <-seen, sent, timeout)
 }
 
-// Without the kernel's word, what a connection may have waited for is bounded by looks at the
-// backlog: it came after the last one that found nothing.
+// Without the age of data from the kernel, the looks at the backlog bound how long a connection may
+// have waited: it arrived after the last look that found nothing.
 func TestBacklogBoundsArrivalTime(t *testing.T) {
 	l := newBacklog(listen(t, "127.0.0.1:0", nil))
 	defer l.Close()
@@ -351,17 +352,17 @@
 	}
 	for range 2 {
 		if came := accept(); came.Before(looked) || came.After(dialled) {
-			t.Errorf("it came %v after the look that found nothing, want between 0 and %v", came.Sub(looked), dialled.Sub(looked))
+			t.Errorf("it arrived %v after the look that found nothing, want between 0 and %v", came.Sub(looked), dialled.Sub(looked))
 		}
 	}
 	time.AfterFunc(span, dial)
 	waitStart := time.Now()
 	if came := accept(); came.Sub(waitStart) < span {
-		t.Errorf("a connection that was waited for came %v after the wait began, want %v at least", came.Sub(waitStart), span)
+		t.Errorf("a connection that was waited for arrived %v after the wait began, want %v at least", came.Sub(waitStart), span)
 	}
 }
 
-// The bound on when a byte came, without the kernel's word.
+// arrivalTracker bounds when a byte arrived without the kernel's age of data.
 func TestArrivalBounds(t *testing.T) {
 	zero := time.Now()
 	at := func(seconds int) time.Time { return zero.Add(time.Duration(seconds) * time.Second) }
@@ -372,35 +373,35 @@
 		end  int64
 		want int
 	}{
-		{"nothing was there", func(a *arrivalTracker) { a.noteEmpty(at(3)) }, 100, 3},
+		{"nothing was waiting", func(a *arrivalTracker) { a.noteEmpty(at(3)) }, 100, 3},
 		{"a reader was woken", func(a *arrivalTracker) { a.noteEmpty(at(3)); a.noteWakeup(at(5), at(3)) }, 100, 5},
-		{"bytes were there", func(a *arrivalTracker) { a.noteEmpty(at(3)); a.noteRead(100) }, 100, 3},
+		{"bytes were waiting", func(a *arrivalTracker) { a.noteEmpty(at(3)); a.noteRead(100) }, 100, 3},
 		{"few bytes wait", func(a *arrivalTracker) { a.noteRead(mebibyte); a.noteUnread(at(4), blockedSenderUnread-1) }, 9 * mebibyte, 0},
 		{"the sender may have written all", func(a *arrivalTracker) { a.noteRead(mebibyte); a.noteUnread(at(4), mebibyte) }, 6 * mebibyte, 0},
 		{"the sender cannot have written all", func(a *arrivalTracker) { a.noteRead(mebibyte); a.noteUnread(at(4), mebibyte) }, 6*mebibyte + 1, 4},
-		{"the last note counts that lies before", func(a *arrivalTracker) {
+		{"the last bound before the byte applies", func(a *arrivalTracker) {
 			for i := range 8 {
 				a.noteRead(mebibyte)
 				a.noteUnread(at(i+1), blockedSenderUnread)
 			}
 		}, 8*mebibyte + blockedSenderUnread + 1, 4},
-		{"a wake-up proves nothing while bytes are kept back", func(a *arrivalTracker) {
+		{"a wake-up proves nothing while the sender may be blocked", func(a *arrivalTracker) {
 			a.noteRead(mebibyte)
 			a.noteUnread(at(4), mebibyte)
 			a.noteWakeup(at(5), at(5).Add(-sendBufferTransit+1))
 		}, 5 * mebibyte, 0},
-		{"... but behind a long wait", func(a *arrivalTracker) {
+		{"a wake-up after a long wait proves that the sender is not blocked", func(a *arrivalTracker) {
 			a.noteRead(mebibyte)
 			a.noteUnread(at(4), mebibyte)
 			a.noteWakeup(at(6).Add(sendBufferTransit), at(5))
 		}, 5 * mebibyte, 6},
-		{"... and where all that may be has been read", func(a *arrivalTracker) {
+		{"a wake-up after all possible bytes proves that the sender is not blocked", func(a *arrivalTracker) {
 			a.noteRead(mebibyte)
 			a.noteUnread(at(4), mebibyte)
 			a.noteRead(5 * mebibyte)
 			a.noteWakeup(at(6), at(6))
 		}, 7 * mebibyte, 6},
-		{"the oldest notes go", func(a *arrivalTracker) {
+		{"the oldest bounds are dropped", func(a *arrivalTracker) {
 			for i := range 2 * maxSendBounds {
 				a.noteRead(mebibyte)
 				a.noteUnread(at(i+1), blockedSenderUnread)
@@ -410,12 +411,12 @@
 		a := arrivalTracker{emptyAt: zero, notBefore: zero}
 		c.note(&a)
 		if got := a.arrivedAfter(c.end).Sub(zero); got != time.Duration(c.want)*time.Second {
-			t.Errorf("%s: it came after %v, want %d s", c.name, got, c.want)
+			t.Errorf("%s: it arrived after %v, want %d s", c.name, got, c.want)
 		}
 	}
 }
 
-// delayedConn is a connection whose reader is late: the process is held up.
+// delayedConn delays its reads, as a stalled process does.
 type delayedConn struct {
 	*net.TCPConn
 	delay time.Duration
@@ -426,9 +427,8 @@
 	return c.TCPConn.Read(p)
 }
 
-// An answer waits unread for half a second. What its server is charged with is the time that the
-// answer took to come, not the time that it waited here: that was 0.5 s too much, as an attempt
-// was timed until the loop heard of its end.
+// An answer waits unread for half a second. The host is charged with the time until the answer
+// arrived, not until the loop handled the end of the attempt, which was 0.5 s more.
 func TestUnreadAnswerIsChargedUntilItArrived(t *testing.T) {
 	const delay = 500 * time.Millisecond
 	for name, answer := range map[string]string{"served": good, "an error": errored} {
@@ -446,7 +446,7 @@
 		attempt := newTry()
 		p.attempt(t.Context(), pooled(p, host.addr()), newExchange("b"), attempt)
 		if attempt.took == 0 || attempt.took > delay/2 {
-			t.Errorf("%s: the server is charged with %v (0: the whole attempt), its answer came at once and waited for %v", name, attempt.took, delay)
+			t.Errorf("%s: the host is charged with %v (0: the whole attempt), its answer arrived at once and waited for %v", name, attempt.took, delay)
 		}
 	}
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,8 +11,8 @@
 	"lynxspool"
 )
 
-// BenchmarkRequestRoundTrip is one request's way from a client through the gateway to a server and back, on
-// connections that are kept. Allocations are those of all three.
+// BenchmarkRequestRoundTrip measures one request from a client through the gateway to a host and
+// back, on kept connections. It counts the allocations of all three.
 func BenchmarkRequestRoundTrip(b *testing.B) {
 	host := benchHost(b)
 	cfg := testConfig()
@@ -50,7 +50,7 @@
 	}
 }
 
-// benchHost answers every request on every connection at once.
+// benchHost answers every request on every connection at once and returns its address.
 func benchHost(b *testing.B) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 			}
 			go func() {
 				defer c.Close()
-				buf := make([]byte, 4096) // a request comes in one piece
+				buf := make([]byte, 4096) // a request arrives in one piece
 				for {
 					if _, err := c.Read(buf); err != nil {
 						return
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -14,17 +14,17 @@
 	"lynxspool"
 )
 
-// fakeDiscovery is a discovery service with a list of its own: each call gets the whole list as it
-// is, and then every change, unless the service was told to fall silent.
+// fakeDiscovery is a discovery service with a list of its own: each call gets the whole list and
+// then every change, until the watches are silenced.
 type fakeDiscovery struct {
 	t  *testing.T
 	ln net.Listener
 
 	mu      sync.Mutex
 	version int
-	states  map[string]string // of hosts, by id
+	states  map[string]string // by id of the host
 	addrs   map[string]string
-	watches map[net.Conn]bool // that are told of changes
+	watches map[net.Conn]bool // watches that receive changes
 	calls   int
 }
 
@@ -56,7 +56,7 @@
 	}))
 }
 
-// sendList writes the whole list as one chunk; r.mu is held.
+// sendList writes the whole list as one chunk. The caller holds r.mu.
 func (r *fakeDiscovery) sendList(c net.Conn) {
 	var list []string
 	for id, state := range r.states {
@@ -66,7 +66,7 @@
 	fmt.Fprintf(c, "%x\r\n%s\r\n", len(line), line)
 }
 
-// drain changes the state of a host, and tells those who are told of changes.
+// drain sets a host to draining and sends the list to all watches.
 func (r *fakeDiscovery) drain(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,14 +77,14 @@
 	}
 }
 
-// silenceWatches leaves the open watches open and untold from now on.
+// silenceWatches keeps the open watches open but sends them nothing from now on.
 func (r *fakeDiscovery) silenceWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.watches)
 }
 
-// resetWatches resets the open watches.
+// resetWatches resets the connections of the open watches.
 func (r *fakeDiscovery) resetWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,9 +106,9 @@
 	return r.calls
 }
 
-// Hosts that begin to drain right after all watches fell silent or were reset, after discovery
-// came back, or with a new configuration get nothing new once the gateway could have been told.
-// Each fault comes twice, so that a way out that works once is not taken for enough.
+// Hosts that begin to drain right after all watches fell silent or were reset, after discovery came
+// back, or together with a new configuration receive no new attempts once the gateway can know of
+// it. Each fault occurs twice, so that a recovery that works only once is not enough.
 func TestDrainIsAppliedDespiteDiscoveryFaults(t *testing.T) {
 	for name, fault := range map[string]func(r *fakeDiscovery, d *Discovery) *fakeDiscovery{
 		"silence": func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery { r.silenceWatches(); return r },
@@ -120,7 +120,7 @@
 			return r
 		},
 		"a new configuration": func(r *fakeDiscovery, d *Discovery) *fakeDiscovery {
-			r.silenceWatches() // the old address says no more
+			r.silenceWatches() // the old address sends nothing more
 			moved := &fakeDiscovery{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
 			moved.start("127.0.0.84:0")
 			r.t.Cleanup(moved.stop)
@@ -154,7 +154,7 @@
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	until(t, "the list is heard", func() bool {
+	until(t, "the list is received", func() bool {
 		select {
 		case <-loop.Listed():
 			return true
@@ -186,7 +186,7 @@
 			t.Errorf("%s got %d requests after it was known to drain", id, now-old)
 		}
 		if calls := r.callCount() - before; calls > 40 {
-			t.Errorf("%d calls at discovery for one fault", calls)
+			t.Errorf("%d calls to discovery for one fault", calls)
 		}
 	}
 }
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Peers that connect in great number and say nothing, or never finish a head or a body, get
-// no more descriptors than clients may have, and others are served meanwhile.
+// Peers that connect in great number and send nothing, or never finish a head or a body, get no more
+// descriptors than clients may have, and other clients are served meanwhile.
 func TestFloodLeavesRoomForOthers(t *testing.T) {
 	for name, part := range map[string]string{
 		"nothing":        "",
@@ -34,7 +34,7 @@
 			open := len(g.server.conns)
 			g.server.mu.Unlock()
 			if limit := cfg.Sockets * maxClientConnPercent / 100; open > limit {
-				t.Errorf("%d connections are open, %d at most wanted", open, limit)
+				t.Errorf("%d connections are open, want %d at most", open, limit)
 			}
 			if n, _, _ := host.counts(); n != 1 {
 				t.Errorf("the host got %d requests", n)
@@ -43,12 +43,11 @@
 	}
 }
 
-// A request that waits to be accepted, as peers that say nothing hold all places for a while, has
-// less time left than it says; its server is told no more than that, with the slack of the rule.
-// Its time was counted from the handler's start, so what it had waited in the backlog was told as if
-// it were left: 4.995 s where 4.498 s were, at a connection that was accepted 0.5 s after its request
-// was written. Now it runs from when its data came, by the kernel, or from the last look that found
-// the backlog empty (arrival.go).
+// A request waits to be accepted while silent peers hold all connection slots. The timeout stated to
+// its host must not include that wait, within the slack of the rule. Counted from the start of the
+// handler, 4.995 s were stated where 4.498 s were left, on a connection accepted 0.5 s after its
+// request was written. The time runs from the arrival of the data, as the kernel reports it, or from
+// the last look that found the backlog empty (arrival.go).
 func TestStatedTimeoutCountsWaitInBacklog(t *testing.T) {
 	const timeout, slack = 5 * time.Second, 150 * time.Millisecond
 	type hostRequest struct {
@@ -68,23 +67,23 @@
 	for range slots {
 		g.openConn("")
 	}
-	until(t, "all places are held", func() bool { return len(g.server.connSlots) == slots })
+	until(t, "all connection slots are taken", func() bool { return len(g.server.connSlots) == slots })
 	sent := time.Now()
 	g.openConn("POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: book\r\nX-Timeout: 5\r\nContent-Length: 0\r\n\r\n")
 	select {
 	case a := <-arrived:
 		if left := timeout - a.at.Sub(sent); a.timeout > left+slack {
-			t.Errorf("the server is told %v where %v are left", a.timeout, left)
+			t.Errorf("the host was given a timeout of %v where %v were left", a.timeout, left)
 		}
 	case <-time.After(patience):
-		t.Fatal("the request does not come to the server")
+		t.Fatal("the request does not reach the host")
 	}
 }
 
-// Three hundred peers stop within their second request: they rest, by net/http's word, and none may be
-// closed to make room before its time. To find that none can go costs about as much as to look at
-// each connection. It cost as much for each of the peers again, 20 to 28 ms at 563 connections with the log at
-// debug, under the lock of all and for every connection accepted, so that a crowd waited in the
+// Three hundred peers have stopped within their second request: net/http reports them idle, and none
+// may be closed to make room. An eviction that finds none to close must cost about one look at each
+// connection. Once it cost that for each of these peers, 20 to 28 ms at 563 connections with the log
+// at debug, under the server's lock and for every connection accepted, so that a crowd waited in the
 // backlog for seconds (soak seeds 20, 39 and 41).
 func TestEvictionLooksAtEachConnectionOnce(t *testing.T) {
 	const all, runs = 600, 20
@@ -94,7 +93,7 @@
 			ours, theirs := net.Pipe()
 			t.Cleanup(func() { ours.Close() })
 			c := newFramedConn(theirs)
-			state := connState{state: http.StateNew, since: time.Now().Add(time.Hour)} // it is young
+			state := connState{state: http.StateNew, since: time.Now().Add(time.Hour)} // too young to be evicted
 			if i < stopped {
 				c.parse([]byte("POS"))
 				state.state = http.StateIdle
@@ -113,6 +112,6 @@
 		return least
 	}
 	if none, many := cost(0), cost(all/2); many > 40*none {
-		t.Errorf("with %d peers that stopped it takes %v, without them %v", all/2, many, none)
+		t.Errorf("with %d stopped peers an eviction takes %v, without them %v", all/2, many, none)
 	}
 }
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -15,8 +15,8 @@
 	"lynxspool"
 )
 
-// sendParts sends text to the gateway, cut into parts at each |, and returns the statuses of
-// what it answers until it closes the connection.
+// sendParts sends text to the gateway, in parts that are separated by |, and returns the statuses of
+// the answers until the gateway closes the connection.
 func (g *testGateway) sendParts(text string) (statuses []int) {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -27,7 +27,7 @@
 	c.SetDeadline(time.Now().Add(patience))
 	for part := range strings.SplitSeq(text, "|") {
 		if _, err := io.WriteString(c, part); err != nil {
-			break // closed ahead of the rest
+			break // closed before the rest
 		}
 	}
 	in := bufio.NewReader(c)
@@ -42,7 +42,7 @@
 		statuses = append(statuses, resp.StatusCode)
 		if resp.Close {
 			if n, err := in.Read(make([]byte, 1)); n > 0 || err == nil {
-				g.Error("more came after an answer that was to be the last")
+				g.Error("more data after an answer that announced the end of the connection")
 			}
 			return statuses
 		}
@@ -56,8 +56,8 @@
 		"\r\nX-Priority-Class: book\r\nX-Timeout: 30\r\n" + more + "\r\n"
 }
 
-// What stands in the body of a request must not be taken for a request of its own,
-// however the sender and the gateway may differ on where the body ends.
+// Text in the body of a request must not be taken for a request of its own, however the sender and
+// the gateway may differ on where the body ends.
 func TestRequestInsideBodyReachesNoHost(t *testing.T) {
 	inner := head("POST /api/inner HTTP/1.1", "inner", "Connection: close\r\nContent-Length: 0\r\n")
 	length := func(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
@@ -84,7 +84,7 @@
 	}
 }
 
-// Chunked bodies by themselves are in order, on a connection that is used again too.
+// Chunked bodies are valid, also on a connection that carries several requests.
 func TestChunkedBodyIsServed(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
@@ -117,13 +117,13 @@
 	}
 }
 
-// crossingConn brings a request, and another at the moment when it is closed.
+// crossingConn delivers a request, and another one at the moment when it is closed.
 type crossingConn struct {
 	net.Conn
 	first, second string
-	readTimedOut  chan struct{} // the deadline for reading has passed
-	closing       chan struct{} // closed with the first Close
-	ended         chan struct{} // closed with the second Close, which ends service
+	readTimedOut  chan struct{} // the read deadline has passed
+	closing       chan struct{} // closed by the first Close
+	ended         chan struct{} // closed by the second Close, which ends service
 	mu            sync.Mutex
 	closes        int
 }
@@ -144,7 +144,7 @@
 	return n, nil
 }
 
-// SetReadDeadline makes a Read that waits return where net/http breaks it off.
+// SetReadDeadline makes a waiting Read return when net/http interrupts it.
 func (c *crossingConn) SetReadDeadline(t time.Time) error {
 	select {
 	case <-c.readTimedOut:
@@ -180,18 +180,18 @@
 	return l.Listener.Accept()
 }
 
-// A client sends a request again that crossed the closing of its idle connection. So
-// what was read of it then must not go on too, whichever way the connection is closed.
+// A client repeats a request that crossed the close of its idle connection. The gateway must not
+// process the original too, whichever way the connection is closed.
 func TestRequestCrossingCloseIsNotSent(t *testing.T) {
 	for name, closeIdle := range map[string]func(*testGateway){
-		"crowded": func(g *testGateway) {
+		"over budget": func(g *testGateway) {
 			c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 			if err != nil {
 				g.Fatal(err)
 			}
 			g.Cleanup(func() { c.Close() })
 		},
-		"stopping": func(g *testGateway) { g.server.closeIdleConns() },
+		"shutting down": func(g *testGateway) { g.server.closeIdleConns() },
 	} {
 		host := newHost(t, says(good))
 		g := startGateway(t, testConfig(host))
@@ -225,12 +225,12 @@
 		taken := make(chan lynxspool.RequestID)
 		g.loop.post(func(lynxspool.Time) { taken <- g.loop.lastID })
 		if n := <-taken; n != 1 {
-			t.Errorf("%s: %d requests were taken, want the first alone", name, n)
+			t.Errorf("%s: %d requests were accepted, want only the first", name, n)
 		}
 	}
 }
 
-// deadlineConn notes how long the server means to wait for the next byte, 0 for ever.
+// deadlineConn records how long the server will wait for the next byte, 0 meaning no limit.
 type deadlineConn struct {
 	net.Conn
 	mu   sync.Mutex
@@ -254,8 +254,8 @@
 	return c.wait, c.set
 }
 
-// Whoever sends nothing, or a part of a request, is closed or answered within 3 s of
-// connecting, the handler reading the request or not.
+// A peer that sends nothing, or part of a request, is disconnected or answered within 3 s of
+// connecting, whether or not the handler reads the request.
 func TestReadDeadlinesBoundIncompleteRequests(t *testing.T) {
 	const limit = 3 * time.Second
 	for name, class := range map[string]string{"in order": "book", "unknown": "other"} {
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -15,7 +15,7 @@
 	"lynxspool"
 )
 
-// startOperator puts an operator's address beside a gateway and returns where it is.
+// startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
 	bans, err := NewBans(dir)
@@ -34,8 +34,8 @@
 	return ln.Addr().String()
 }
 
-// callOperator sends text to an operator's address and returns the status of the answer, 0
-// for none, and whether the connection ends behind it.
+// callOperator sends text to an operators' address. It returns the status of the answer, 0 if there
+// is none, and whether the connection ends after it.
 func callOperator(t *testing.T, addr, text string) (status int, ends bool) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -95,17 +95,17 @@
 		}
 	}
 	if g.loop.hosts[hostID("s-1")].banned {
-		t.Error("a call that was refused has been carried out")
+		t.Error("a refused call has been carried out")
 	}
 }
 
-// Callers who send nothing, or half a call, delay nobody and act on nothing.
+// Callers that send nothing, or half a call, do not delay others and change nothing.
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
 	g.loop.Sync()
 	bans, _ := NewBans("")
 	o := NewOperator(g.loop, g.server, bans, false)
-	o.http.ReadTimeout = time.Hour // they stay, so an answer has not waited for them
+	o.http.ReadTimeout = time.Hour // silent callers stay connected, so no answer has waited for their end
 	ln := listen(t, "127.0.0.1:0", nil)
 	go o.Serve(ln)
 	defer o.http.Close()
@@ -127,15 +127,15 @@
 	}
 }
 
-// Nothing new goes to a host once the operator has a yes, not even what waits for a
-// connection to it, and whatever discovery says.
+// No new attempt goes to a host once the operator has the confirmation, not even one that waits for
+// a connection to it, and whatever discovery reports.
 func TestMaintenanceAppliesToWaitingAttempts(t *testing.T) {
 	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good))}
 	cfg := testConfig(hosts...)
 	g := startGateway(t, cfg)
 	g.loop.Sync()
 	addr := g.startOperator(t.TempDir(), false)
-	// An attempt that has chosen its host, but has no connection yet.
+	// This attempt has chosen its host, but has no connection yet.
 	h := g.loop.hosts[hostID("s-0")]
 	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/maint")); status != 200 {
 		t.Fatalf("status %d", status)
@@ -151,7 +151,7 @@
 		}
 	}
 	if requests, _, _ := hosts[0].counts(); requests != 0 {
-		t.Errorf("the host that is out got %d requests", requests)
+		t.Errorf("the host in maintenance got %d requests", requests)
 	}
 	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/ready")); status != 200 {
 		t.Fatalf("status %d", status)
@@ -163,8 +163,8 @@
 	})
 }
 
-// A ban outlives its process: the next one reads it before it sends anything. While both
-// run, what one is told the other follows.
+// Maintenance outlives its process: the next process reads it before it sends anything. While both
+// run, each follows the calls that the other one receives.
 func TestMaintenanceIsSharedBetweenProcesses(t *testing.T) {
 	dir := t.TempDir()
 	unusualID := "../s/0%"
@@ -198,7 +198,7 @@
 		t.Fatalf("status %d", status)
 	}
 	until(t, "the old process follows", old.loop.Ready)
-	// One that starts now knows that the host is cold.
+	// A process that starts now knows that the host is cold.
 	entries, err := os.ReadDir(filepath.Join(dir, bansFolder))
 	if err != nil || len(entries) != 1 || entries[0].Name() != "back-..%2Fs%2F0%25" {
 		t.Errorf("the folder holds %v, %v", entries, err)
@@ -209,7 +209,7 @@
 	until(t, "the old process follows", func() bool { return !old.loop.Ready() })
 }
 
-// Health on the operator's address follows what this process can do.
+// The health check on the operators' address reports whether this process can serve.
 func TestHealthcheck(t *testing.T) {
 	g := startGateway(t, testConfig())
 	addr := g.startOperator("", false)
--- a/internal/gateway/resting_test.go
+++ b/internal/gateway/resting_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// openIdleConn returns a client's connection that has had an answer and brings nothing.
+// openIdleConn returns a client's connection that has had an answer and is idle.
 func openIdleConn(g *testGateway) (net.Conn, *bufio.Reader) {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -21,7 +21,7 @@
 	c.SetDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(c)
 	wantServed(g, c, in, head("POST /api/first HTTP/1.1", "first", "Content-Length: 0\r\n"))
-	until(g.T, "the connection rests", func() bool {
+	until(g.T, "the connection is idle", func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
 		for _, cs := range g.server.conns {
@@ -34,7 +34,7 @@
 	return c, in
 }
 
-// wantServed sends a request and wants it served.
+// wantServed sends a request and expects an answer of a host.
 func wantServed(g *testGateway, c net.Conn, in *bufio.Reader, request string) {
 	g.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
@@ -43,7 +43,7 @@
 	g.wantServedAnswer(in)
 }
 
-// wantServedAnswer wants the next answer to be that of a host.
+// wantServedAnswer expects the next answer to be that of a host.
 func (g *testGateway) wantServedAnswer(in *bufio.Reader) {
 	g.Helper()
 	resp, err := http.ReadResponse(in, nil)
@@ -55,7 +55,7 @@
 	}
 }
 
-// framedConns are the clients' connections; g.server.mu is held.
+// framedConns returns the connections of clients. The caller holds g.server.mu.
 func (g *testGateway) framedConns() (conns []*framedConn) {
 	for c := range g.server.conns {
 		conns = append(conns, c.(*framedConn))
@@ -63,10 +63,9 @@
 	return conns
 }
 
-// A request, whole or in part, is read from a resting connection at the moment in which the
-// gateway looks for resting connections to close: it has been read, so it is answered.
-// net/http tells that the connection is in use only some steps after it has read; the test
-// holds it up there.
+// A request, whole or in part, is read from an idle connection just as the gateway looks for idle
+// connections to close. It has been read, so it must be answered. net/http reports the connection as
+// active only some steps after the read; the test holds net/http up there.
 func TestRequestReadFromIdleConnectionIsAnswered(t *testing.T) {
 	second := head("POST /api/second HTTP/1.1", "second", "Content-Length: 0\r\n")
 	for name, first := range map[string]int{"whole": len(second), "in part": 20} {
@@ -93,13 +92,13 @@
 	}
 }
 
-// The same for what has come in and is not read yet.
+// Bytes that have arrived on an idle connection and are not read yet also keep it open.
 func TestIdleConnectionWithUnreadBytesStays(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
 	c, in := openIdleConn(g)
 	g.server.mu.Lock()
 	conn := g.framedConns()[0]
-	conn.mu.Lock() // nothing can be read and taken in
+	conn.mu.Lock() // nothing can be read and parsed
 	if _, err := io.WriteString(c, head("POST /api/second HTTP/1.1", "second", "Content-Length: 0\r\n")); err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +108,7 @@
 	g.wantServedAnswer(in)
 }
 
-// A body that has come whole keeps its connection, also where its handler has yet to note that.
+// A body that has arrived whole keeps its connection open, even if its handler has yet to record it.
 func TestConnectionWithCompleteBodyStays(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
 	c, in := openIdleConn(g)
@@ -126,12 +125,12 @@
 		}
 		return false
 	})
-	time.Sleep(minEvictionAge) // from now on it would make room
+	time.Sleep(minEvictionAge) // from now on it could be evicted
 	g.server.mu.Lock()
 	if _, err := io.WriteString(c, "dy"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the body has come", func() bool {
+	until(t, "the body has arrived", func() bool {
 		conn := g.framedConns()[0]
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// openConn dials the gateway and sends what is given.
+// openConn dials the gateway and sends text.
 func (g *testGateway) openConn(text string) net.Conn {
 	g.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -26,15 +26,15 @@
 	return c
 }
 
-// A request that was taken before the end was told, and is due after it, is answered before
-// it: the host hangs, and the client would wait for a minute.
+// A request that was accepted before shutdown and is due after it is answered before the process
+// exits: the host hangs, and the client would wait for a minute.
 func TestInFlightRequestIsAnsweredBeforeExit(t *testing.T) {
 	host := newHost(t, hang)
 	g := startGateway(t, testConfig(host))
 	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "X-Priority-Class: book\r\nContent-Length: 0\r\n"))
 	until(t, "the host has the request", func() bool { n, _, _ := host.counts(); return n == 1 })
 	g.server.Shutdown()
-	g.server.http.Close() // as the end of the process does
+	g.server.http.Close() // as the exit of the process does
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("answer %v, %v", resp, err)
 	}
@@ -43,33 +43,33 @@
 	}
 }
 
-// A request that comes on a connection after the end of service is not taken: nobody would
-// answer it, and its host would do the work for nothing.
+// A request that arrives on a connection after the end of service is not accepted: nobody would
+// answer it, and its host would work in vain.
 func TestRequestAfterShutdownIsNotAccepted(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
 	c := g.openConn("")
-	until(t, "the connection is there", func() bool { return g.server.hasConns() })
+	until(t, "the connection is open", func() bool { return g.server.hasConns() })
 	g.server.Shutdown()
 	fmt.Fprint(c, head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
-		t.Errorf("answer %v after the end", resp.Status)
+		t.Errorf("answer %v after the end of service", resp.Status)
 	}
 	if n, _, _ := host.counts(); n != 0 {
 		t.Errorf("the host got %d requests", n)
 	}
 }
 
-// A connection that was accepted just before the listener closed may bring its first request
-// after that: it is answered.
+// A connection that was accepted just before the listener closed may bring its first request after
+// that. The request is answered.
 func TestNewConnectionIsServedDuringShutdown(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
 	c := g.openConn("")
-	until(t, "the connection is there", func() bool { return g.server.hasConns() })
+	until(t, "the connection is open", func() bool { return g.server.hasConns() })
 	g.server.mu.Lock()
 	for c, cs := range g.server.conns {
-		cs.since = time.Now().Add(patience) // it stays young for as long as this test may take
+		cs.since = time.Now().Add(patience) // counts as new for as long as this test may take
 		g.server.conns[c] = cs
 	}
 	g.server.mu.Unlock()
@@ -80,7 +80,8 @@
 	<-ended
 }
 
-// wantFinalAnswer reads a good answer, whole, that ends its connection and says so.
+// wantFinalAnswer reads a good answer, whole, that announces the end of its connection and is
+// followed by it.
 func wantFinalAnswer(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
@@ -91,15 +92,15 @@
 		t.Errorf("answer %q, %v", body, err)
 	}
 	if n, err := in.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the connection stays: %d bytes, %v", n, err)
+		t.Errorf("the connection stays open: %d bytes, %v", n, err)
 	}
 }
 
-// An answer that is given while service ends says that its connection does, whenever its
-// request came, and the connection is not kept for another.
+// An answer during shutdown announces the end of its connection, whenever its request arrived, and
+// the connection is not kept for another request.
 func TestAnswerDuringShutdownClosesConnection(t *testing.T) {
 	for name, phase := range map[string]func(s *Server) bool{
-		"the end is told":     func(s *Server) bool { return s.stopping.Load() },
+		"shutdown has begun":  func(s *Server) bool { return s.stopping.Load() },
 		"the listener closed": func(s *Server) bool { return s.stopping.Load() && !s.accepting.Load() },
 	} {
 		release := make(chan struct{})
@@ -119,14 +120,14 @@
 	}
 }
 
-// startShutdown runs Shutdown beside the test and returns when service has begun to end.
+// startShutdown runs Shutdown in the background and returns when it has begun.
 func (g *testGateway) startShutdown() (ended chan struct{}) {
 	ended = make(chan struct{})
 	go func() {
 		g.server.Shutdown()
 		close(ended)
 	}()
-	until(g.T, "the end is told", func() bool { return g.server.stopping.Load() })
+	until(g.T, "shutdown has begun", func() bool { return g.server.stopping.Load() })
 	return ended
 }
 
@@ -145,8 +146,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// Whatever a request was doing when the end was told, it gets one whole answer: waiting for a
-// host, half sent, whole but for its last byte, or half answered.
+// Whatever state a request is in when shutdown begins, it gets one whole answer: waiting for a host,
+// half received, received but for its last byte, or half answered.
 func TestEveryInFlightRequestGetsOneWholeAnswer(t *testing.T) {
 	more := make(chan struct{})
 	long := string(text(200_000))
@@ -168,13 +169,13 @@
 	}
 	upload := g.openConn(head("POST /api/1 HTTP/1.1", "up", fmt.Sprintf("Content-Length: %d\r\n", len(long))) + long[:100_000])
 	almost := g.openConn(head("POST /api/1 HTTP/1.1", "almost", "Content-Length: 4\r\n") + "bod")
-	until(t, "two are with the module", func() bool { return g.openRequests() == 2 })
+	until(t, "two requests are with the module", func() bool { return g.openRequests() == 2 })
 
 	ended := g.startShutdown()
 	fmt.Fprint(upload, long[100_000:])
 	fmt.Fprint(almost, "y")
 	close(more)
-	for what, c := range map[string]net.Conn{"half sent": upload, "but for its last byte": almost} {
+	for what, c := range map[string]net.Conn{"half received": upload, "received but for its last byte": almost} {
 		if status, body := readWholeAnswer(t, what, bufio.NewReader(c)); status != 200 || body != "good" {
 			t.Errorf("%s: answer %d %q", what, status, body)
 		}
@@ -189,13 +190,13 @@
 	}
 }
 
-// What waits for a host when the end is told is refused, as it was never sent on.
+// A request that waits for a host when shutdown begins is refused, as it was never sent to one.
 func TestQueuedRequestIsRefusedBeforeExit(t *testing.T) {
 	cfg := testConfig(newHost(t, says(good)))
 	cfg.Known.Servers[0].State = "draining"
 	g := startGateway(t, cfg)
 	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
-	until(t, "it waits", func() bool { return g.openRequests() == 1 })
+	until(t, "the request waits", func() bool { return g.openRequests() == 1 })
 	ended := g.startShutdown()
 	if status, _ := readWholeAnswer(t, "waiting", bufio.NewReader(c)); status != http.StatusServiceUnavailable {
 		t.Errorf("answer %d", status)
@@ -203,9 +204,9 @@
 	<-ended
 }
 
-// Clients that rest on connections until these end, or come again at once on every one that
-// stays open, lose nothing: each request has one whole answer, or its connection ended without
-// a byte and the host never saw it.
+// Clients that keep idle connections until these are closed, or send another request at once on
+// every connection that stays open, lose nothing: each request gets one whole answer, or its
+// connection ends without a byte and the host never saw the request.
 func TestKeptConnectionsDuringShutdown(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
@@ -241,19 +242,19 @@
 			}
 		}()
 	}
-	until(t, "all have come again", func() bool { return answered.Load() > 10*clients })
+	until(t, "all clients have sent several requests", func() bool { return answered.Load() > 10*clients })
 	ended := g.startShutdown()
 	wg.Wait()
 	<-ended
 	if n, err := idleIn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-		t.Errorf("who rests got %d bytes, %v", n, err)
+		t.Errorf("the idle connection got %d bytes, %v", n, err)
 	}
 	if n, _, _ := host.counts(); int64(n) != answered.Load()+1 {
-		t.Errorf("the host got %d requests, %d and the first were answered, %d never read", n, answered.Load(), unanswered.Load())
+		t.Errorf("the host got %d requests, %d and the first were answered, %d went unanswered", n, answered.Load(), unanswered.Load())
 	}
 }
 
-// blockingListener hands over a connection only when it is let, as on a core that others hold.
+// blockingListener hands over a connection only after its release, as on a busy CPU core.
 type blockingListener struct {
 	net.Listener
 	accepted, release chan struct{}
@@ -268,15 +269,14 @@
 	return c, err
 }
 
-// A connection that was taken from the accept queue in the moment in which the listener closed
-// is served, too.
+// A connection that was taken from the accept queue just as the listener closed is served too.
 func TestConnectionAcceptedAsListenerCloses(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
-	until(t, "the first listener is there", func() bool { return g.server.accepting.Load() })
+	until(t, "the first listener accepts", func() bool { return g.server.accepting.Load() })
 	held := blockingListener{listen(t, "127.0.0.1:0", nil), make(chan struct{}), make(chan struct{})}
 	(*g.server.ln.Load()).Close()
-	until(t, "it has gone", func() bool { return !g.server.accepting.Load() })
+	until(t, "the first listener is closed", func() bool { return !g.server.accepting.Load() })
 	go g.server.Serve(held)
 	g.url = "http://" + held.Addr().String()
 	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
@@ -289,8 +289,8 @@
 	})
 	select {
 	case <-ended:
-		t.Error("service has ended with a connection in hand")
-	case <-time.After(50 * time.Millisecond): // several looks at what is left
+		t.Error("service has ended with a connection not yet handed over")
+	case <-time.After(50 * time.Millisecond): // several polls of the remaining connections
 	}
 	close(held.release)
 	wantFinalAnswer(t, bufio.NewReader(c))
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -9,8 +9,8 @@
 	"lynxspool"
 )
 
-// A bank of 1,024 that knows 1,024 hosts: a gateway of it takes the whole list and each change,
-// uses what is ready and nothing else, with a view of the bank or without.
+// A gateway of a fleet of 1,024 with 1,024 hosts applies the whole list and each change, and uses
+// the ready hosts and no others, with or without a view of the fleet.
 func TestThousandHostsAndGateways(t *testing.T) {
 	const count = 1024
 	for _, ask := range []bool{true, false} {
@@ -20,11 +20,11 @@
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer settle(cancel, disco)
-			cfg := bubbleConfig(ask, count, count-1, disco.addr, nil) // the list is all it has
+			cfg := bubbleConfig(ask, count, count-1, disco.addr, nil) // no saved list: the list of discovery is all it has
 			g := startBubble(t, ctx, n, cfg)
 			time.Sleep(5 * time.Second)
 			if !g.usable("s-0") || !g.usable("s-1023") {
-				t.Fatal("the list is not known whole")
+				t.Fatal("the list is not known completely")
 			}
 			countServed := func(requests int) (good int) {
 				var xs []*exchange
@@ -47,12 +47,12 @@
 				peers = append(peers, lynxspool.Peer{Rank: rank, Rate: 20})
 			}
 			if p := g.loop.Peers(peers); p.Live != count || p.Draws == 0 {
-				t.Errorf("asked for %t: the place in the view is %+v", ask, p)
+				t.Errorf("asked for %t: the place in the fleet is %+v", ask, p)
 			}
 			if n := countServed(200); n != 200 {
 				t.Errorf("asked for %t: with a view %d of 200 requests are served", ask, n)
 			}
-			for _, h := range hosts[1:] { // one is left
+			for _, h := range hosts[1:] { // one host is left
 				disco.mu.Lock()
 				disco.states[h.id] = "draining"
 				disco.mu.Unlock()
@@ -63,7 +63,7 @@
 			countServed(20)
 			for _, h := range hosts[1:] {
 				if h.between(before, time.Now()) > 0 {
-					t.Fatalf("asked for %t: %s got a request after it was told to drain", ask, h.id)
+					t.Fatalf("asked for %t: %s got a request after it began to drain", ask, h.id)
 				}
 			}
 			if hosts[0].between(before, time.Now()) == 0 {
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -10,12 +10,13 @@
 	"lynxspool"
 )
 
-// The wall clock of all machines, or of the gateway's alone, is stepped while it runs, and
-// then a server is started anew. It gets little while it is cold, and its part once it is warm.
+// The wall clock of all machines, or only of the gateway's, is stepped while the gateway runs, and
+// then a host is restarted. The host gets few requests while it is cold, and its full share once it
+// is warm.
 func TestRestartedHostIsColdAcrossClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for _, all := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%v, of all %t", step, all), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v, on all machines %t", step, all), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { testRestartAfterStep(t, step, all) })
 			})
 		}
@@ -27,7 +28,7 @@
 	n := newBubbleNet()
 	hosts := bubbleHosts(n, 2)
 	for _, h := range hosts {
-		h.work = 400 * time.Millisecond // 2.5 a second one after the other, so a cold one may get 5
+		h.work = 400 * time.Millisecond // a host serves 2.5 requests a second one after the other, so a cold one may get 5
 	}
 	cfg := bubbleConfig(false, 1, 0, "discovery:80", hosts)
 	cfg.Settings.ColdFrom, cfg.Settings.WarmAfter = 0.1, warmAfter
@@ -50,11 +51,11 @@
 	g.loop.Members(lynxspool.ListChanges, MemberList{Version: 60, Servers: []Member{
 		{ID: hosts[0].id, Addr: hosts[0].addr, State: "ready", StartedMS: started.UnixMilli()}}})
 	time.Sleep(warmAfter + 10*time.Second)
-	// 40 requests a second: a warm server gets half of them.
+	// At 40 requests a second a warm host gets half of them.
 	if got := hosts[0].between(began, began.Add(time.Second)); got > 6 {
-		t.Errorf("the server gets %d requests in the first second after its start", got)
+		t.Errorf("the host gets %d requests in the first second after its start", got)
 	}
 	if got := hosts[0].between(began.Add(warmAfter+5*time.Second), time.Now()); got < 50 {
-		t.Errorf("once it is warm the server gets %d requests in 5 s", got)
+		t.Errorf("once it is warm the host gets %d requests in 5 s", got)
 	}
 }
--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// incompleteRequestLimit is what a peer that brings no proper request is owed an error or a close within.
+// incompleteRequestLimit is the time within which a peer that sends no valid request gets an error
+// or a close.
 const incompleteRequestLimit = 3 * time.Second
 
-// pipeListener hands out connections that tests make.
+// pipeListener accepts connections that tests create by dial.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -45,14 +46,14 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial is a client's connection.
+// dial returns the client's side of a new connection.
 func (l *pipeListener) dial() net.Conn {
 	ours, theirs := net.Pipe()
 	l.conns <- theirs
 	return ours
 }
 
-// bubbleClients starts a gateway with its side of the clients, in the bubble.
+// bubbleClients starts a gateway and its server for clients in the synctest bubble.
 func bubbleClients(t *testing.T, hosts int) (l *pipeListener, end func()) {
 	n := newBubbleNet()
 	backends := bubbleHosts(n, hosts)
@@ -72,8 +73,8 @@
 
 const lookRequest = "GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\n\r\n"
 
-// A client that stops in the middle of a request and stays gets an error or a close in time,
-// wherever it stops, and on a connection that has had an answer too.
+// A client that stops in the middle of a request and stays connected gets an error or a close in
+// time, wherever it stops, also on a connection that has carried a request before.
 func TestIncompleteRequestEndsInTime(t *testing.T) {
 	body := "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\nContent-Length: 65000\r\n\r\n"
 	for name, part := range map[string]string{
@@ -88,7 +89,7 @@
 		"a head and half a body": body + strings.Repeat("b", 30_000),
 	} {
 		for _, afterAnswer := range []bool{false, true} {
-			t.Run(name+map[bool]string{true: ", resting before"}[afterAnswer], func(t *testing.T) {
+			t.Run(name+map[bool]string{true: ", after an answer"}[afterAnswer], func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					l, end := bubbleClients(t, 2)
 					defer end()
@@ -107,7 +108,7 @@
 					go io.WriteString(c, part)
 					answer := make(chan time.Duration, 1)
 					go func() {
-						bufio.NewReader(c).ReadByte() // an error's first byte, or the end
+						bufio.NewReader(c).ReadByte() // the first byte of an error, or the end
 						answer <- time.Since(began)
 					}()
 					select {
