--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -329,7 +329,7 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	accept := func() (came time.Time) {
+	accept := func() (notBefore time.Time) {
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -351,14 +351,14 @@
 		t.Fatal("a backlog of two is seen as empty")
 	}
 	for range 2 {
-		if came := accept(); came.Before(looked) || came.After(dialled) {
-			t.Errorf("it arrived %v after the look that found nothing, want between 0 and %v", came.Sub(looked), dialled.Sub(looked))
+		if notBefore := accept(); notBefore.Before(looked) || notBefore.After(dialled) {
+			t.Errorf("it arrived %v after the look that found nothing, want between 0 and %v", notBefore.Sub(looked), dialled.Sub(looked))
 		}
 	}
 	time.AfterFunc(span, dial)
 	waitStart := time.Now()
-	if came := accept(); came.Sub(waitStart) < span {
-		t.Errorf("a connection that was waited for arrived %v after the wait began, want %v at least", came.Sub(waitStart), span)
+	if notBefore := accept(); notBefore.Sub(waitStart) < span {
+		t.Errorf("a connection that was waited for arrived %v after the wait began, want %v at least", notBefore.Sub(waitStart), span)
 	}
 }
 
@@ -429,7 +429,7 @@
 
 // An answer waits unread for half a second. The host is charged with the time until the answer
 // arrived, not until the loop handled the end of the attempt, which was 0.5 s more.
-func TestUnreadAnswerIsChargedUntilItArrived(t *testing.T) {
+func TestHostIsChargedUntilAnswerArrived(t *testing.T) {
 	const delay = 500 * time.Millisecond
 	for name, answer := range map[string]string{"served": good, "an error": errored} {
 		host := newHost(t, says(answer))
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -48,7 +48,7 @@
 // handler, 4.995 s were stated where 4.498 s were left, on a connection accepted 0.5 s after its
 // request was written. The time runs from the arrival of the data, as the kernel reports it, or from
 // the last look that found the backlog empty (arrival.go).
-func TestStatedTimeoutCountsWaitInBacklog(t *testing.T) {
+func TestStatedTimeoutExcludesBacklogWait(t *testing.T) {
 	const timeout, slack = 5 * time.Second, 150 * time.Millisecond
 	type hostRequest struct {
 		at      time.Time
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -26,9 +26,9 @@
 const (
 	pathHealth = "/_health"
 
-	// answerMargin is how long before the client stops waiting the answer is due. In 99 of 100
-	// requests the answer of a host reaches the client within 0.4 ms; contention for a CPU core can
-	// add a few milliseconds.
+	// answerMargin is the time from the deadline of an answer to the moment at which its client
+	// stops waiting. In 99 of 100 requests the answer of a host reaches the client within 0.4 ms;
+	// contention for a CPU core can add a few milliseconds.
 	answerMargin = 5 * time.Millisecond
 
 	// A peer that sends no valid request is answered or disconnected within 3 s of connecting, and
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -212,7 +212,7 @@
 	g := startGateway(t, testConfig(host))
 	idleConn := g.openConn(head("POST /api/1 HTTP/1.1", "first", "Content-Length: 0\r\n"))
 	idleIn := bufio.NewReader(idleConn)
-	readWholeAnswer(t, "the first of who rests", idleIn)
+	readWholeAnswer(t, "the first request of the idle connection", idleIn)
 	var wg sync.WaitGroup
 	var answered, unanswered atomic.Int64
 	const clients = 8
