--- a/cmd/catalog/cluster_test.go
+++ b/cmd/catalog/cluster_test.go
@@ -54,25 +54,25 @@
 		t.Skip("starts processes")
 	}
 	c := testCluster(t, 3)
-	first := c.Leader()
+	first := c.WaitForLeader()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ws := make([]*catalogfleet.Watcher, 50)
 	for i := range ws {
-		ws[i] = &catalogfleet.Watcher{Addrs: c.Addrs(c.IDs...)}
+		ws[i] = &catalogfleet.Watcher{Addrs: c.HTTPAddrs(c.IDs...)}
 		go ws[i].Run(ctx)
 	}
 	acked := map[string]bool{}
 	live := c.IDs
 	for i := 0; i < 120; i++ {
 		if i == 40 {
-			c.Procs[first].Kill()
+			c.Processes[first].Kill()
 			live = catalogfleet.Without(c.IDs, first)
 		}
 		id := fmt.Sprintf("s-%03d", i)
 		body := fmt.Sprintf(`{"addr":"127.0.0.1:%d","zone":"a"}`, 10000+i)
 		for try := 0; try < 100 && !acked[id]; try++ {
-			if catalogfleet.Put(c.HTTP[live[rand.N(len(live))]], id, body) == 200 {
+			if catalogfleet.PutMember(c.HTTPAddr[live[rand.N(len(live))]], id, body) == 200 {
 				acked[id] = true
 			} else {
 				time.Sleep(50 * time.Millisecond)
@@ -82,14 +82,14 @@
 			t.Fatalf("write %s not acknowledged after 100 tries", id)
 		}
 	}
-	final, code := catalogfleet.ListOf(c.HTTP[c.Leader(live...)])
+	final, code := catalogfleet.FetchList(c.HTTPAddr[c.WaitForLeader(live...)])
 	if code != 200 || len(final.Servers) != len(acked) {
 		t.Fatalf("leader's list: %d, %d entries, want %d", code, len(final.Servers), len(acked))
 	}
 	for i := 0; i < 300; i++ {
 		behind := 0
 		for _, w := range ws {
-			if v, n := w.At(); v != final.Version || n != len(acked) {
+			if v, n := w.VersionAndCount(); v != final.Version || n != len(acked) {
 				behind++
 			}
 		}
@@ -99,12 +99,12 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	for i, w := range ws {
-		v, n := w.At()
+		v, n := w.VersionAndCount()
 		if v != final.Version || n != len(acked) {
 			t.Errorf("watcher %d at version %d with %d entries, want %d with %d", i, v, n, final.Version, len(acked))
 		}
-		if len(w.Back()) > 0 {
-			t.Errorf("watcher %d saw versions go back: %v", i, w.Back())
+		if len(w.VersionRegressions()) > 0 {
+			t.Errorf("watcher %d saw versions go back: %v", i, w.VersionRegressions())
 		}
 	}
 }
@@ -117,35 +117,35 @@
 		t.Skip("starts processes")
 	}
 	c := testCluster(t, 3)
-	old := c.Leader()
+	old := c.WaitForLeader()
 	for i := 0; i < 5; i++ {
-		if code := catalogfleet.Put(c.HTTP[old], fmt.Sprintf("s-%d", i), `{"addr":"127.0.0.1:9000"}`); code != 200 {
+		if code := catalogfleet.PutMember(c.HTTPAddr[old], fmt.Sprintf("s-%d", i), `{"addr":"127.0.0.1:9000"}`); code != 200 {
 			t.Fatalf("write before the cut: %d", code)
 		}
 	}
 	c.Mesh.Partition(old)
 	rest := catalogfleet.Without(c.IDs, old)
-	if code := catalogfleet.Put(c.HTTP[old], "s-cut", `{"addr":"127.0.0.1:9001"}`); code == 200 {
+	if code := catalogfleet.PutMember(c.HTTPAddr[old], "s-cut", `{"addr":"127.0.0.1:9001"}`); code == 200 {
 		t.Fatal("a leader cut off in a minority acknowledged a write")
 	}
 	okStale := false
 	for i := 0; i < 100 && !okStale; i++ {
-		_, code := catalogfleet.ListOf(c.HTTP[old])
+		_, code := catalogfleet.FetchList(c.HTTPAddr[old])
 		okStale = code == http.StatusServiceUnavailable
 		time.Sleep(50 * time.Millisecond)
 	}
 	if !okStale {
 		t.Fatal("the cut-off side still serves its list as current")
 	}
-	next := c.Leader(rest...)
-	if code := catalogfleet.Put(c.HTTP[next], "s-major", `{"addr":"127.0.0.1:9002"}`); code != 200 {
+	next := c.WaitForLeader(rest...)
+	if code := catalogfleet.PutMember(c.HTTPAddr[next], "s-major", `{"addr":"127.0.0.1:9002"}`); code != 200 {
 		t.Fatalf("write to the majority: %d", code)
 	}
 	c.Mesh.Heal()
-	want, _ := catalogfleet.ListOf(c.HTTP[c.Leader()])
+	want, _ := catalogfleet.FetchList(c.HTTPAddr[c.WaitForLeader()])
 	converged := func() bool {
 		for _, id := range c.IDs {
-			if l, code := catalogfleet.ListOf(c.HTTP[id]); code != 200 || l.Version != want.Version {
+			if l, code := catalogfleet.FetchList(c.HTTPAddr[id]); code != 200 || l.Version != want.Version {
 				return false
 			}
 		}
@@ -158,18 +158,18 @@
 		t.Fatalf("instances do not agree on version %d after healing", want.Version)
 	}
 	for _, id := range c.IDs {
-		if err := c.Procs[id].Term(5 * time.Second); err != nil {
+		if err := c.Processes[id].Term(5 * time.Second); err != nil {
 			t.Fatalf("%s ended with %v at SIGTERM", id, err)
 		}
 	}
 	for _, id := range c.IDs {
 		c.Start(id)
 	}
-	c.Leader()
+	c.WaitForLeader()
 	for i := 0; i < 200 && !converged(); i++ {
 		time.Sleep(50 * time.Millisecond)
 	}
-	got, _ := catalogfleet.ListOf(c.HTTP[c.Leader()])
+	got, _ := catalogfleet.FetchList(c.HTTPAddr[c.WaitForLeader()])
 	a, _ := json.Marshal(want)
 	b, _ := json.Marshal(got)
 	if string(a) != string(b) {
@@ -184,7 +184,7 @@
 		t.Skip("starts processes")
 	}
 	c := testCluster(t, 1, "-watch-write", "1s")
-	addr := c.HTTP[c.Leader()]
+	addr := c.HTTPAddr[c.WaitForLeader()]
 	// A list far larger than what the socket buffers of one watch hold.
 	zone := strings.Repeat("z", 200)
 	var wg sync.WaitGroup
@@ -193,7 +193,7 @@
 		go func() {
 			defer wg.Done()
 			for i := g; i < 1600; i += 16 {
-				catalogfleet.Put(addr, fmt.Sprintf("s-%04d", i), `{"addr":"127.0.0.1:9000","zone":"`+zone+`"}`)
+				catalogfleet.PutMember(addr, fmt.Sprintf("s-%04d", i), `{"addr":"127.0.0.1:9000","zone":"`+zone+`"}`)
 			}
 		}()
 	}
@@ -210,7 +210,7 @@
 	good := &catalogfleet.Watcher{Addrs: []string{addr}}
 	go good.Run(ctx)
 	watches := func() int {
-		st, err := catalogfleet.StatusOf(addr)
+		st, err := catalogfleet.FetchStatus(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,17 +224,17 @@
 	if !ended {
 		t.Fatalf("the watch that never reads is still open: %d watches", watches())
 	}
-	if catalogfleet.Put(addr, "s-last", `{"addr":"127.0.0.1:9001"}`) != 200 {
+	if catalogfleet.PutMember(addr, "s-last", `{"addr":"127.0.0.1:9001"}`) != 200 {
 		t.Fatal("write failed")
 	}
-	want, _ := catalogfleet.ListOf(addr)
+	want, _ := catalogfleet.FetchList(addr)
 	for i := 0; i < 200; i++ {
-		if v, _ := good.At(); v == want.Version {
+		if v, _ := good.VersionAndCount(); v == want.Version {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	v, n := good.At()
+	v, n := good.VersionAndCount()
 	t.Fatalf("the reading watcher is at %d (%d entries), want %d", v, n, want.Version)
 }
 
@@ -255,13 +255,13 @@
 		t.Skip("starts processes")
 	}
 	c := testCluster(t, 3)
-	leader := c.Leader()
-	if catalogfleet.Put(c.HTTP[leader], "s-1", `{"addr":"127.0.0.1:9001"}`) != 200 {
+	leader := c.WaitForLeader()
+	if catalogfleet.PutMember(c.HTTPAddr[leader], "s-1", `{"addr":"127.0.0.1:9001"}`) != 200 {
 		t.Fatal("valid write failed")
 	}
-	before, _ := catalogfleet.ListOf(c.HTTP[leader])
+	before, _ := catalogfleet.FetchList(c.HTTPAddr[leader])
 	for _, at := range c.IDs {
-		base := "http://" + c.HTTP[at] + "/catalog/members/"
+		base := "http://" + c.HTTPAddr[at] + "/catalog/members/"
 		for _, w := range []struct{ method, id, body string }{
 			{"PUT", "s-1", `{"addr":`},
 			{"PUT", "s-1", `{"state":"sleeping"}`},
@@ -272,8 +272,8 @@
 			{"PUT", "s-1", `{"addr":"127.0.0.1:1","extra":1}`},
 			{"PUT", "s-2", `{"zone":"a"}`}, // a new entry without addr
 			{"PUT", "s%2F1", `{"addr":"127.0.0.1:1"}`},
-			{"PUT", strings.Repeat("x", catalog.MaxID+1), `{"addr":"127.0.0.1:1"}`},
-			{"PUT", "s-1", `{"zone":"` + strings.Repeat("a", catalog.MaxBody) + `"}`},
+			{"PUT", strings.Repeat("x", catalog.MaxIDBytes+1), `{"addr":"127.0.0.1:1"}`},
+			{"PUT", "s-1", `{"zone":"` + strings.Repeat("a", catalog.MaxBodyBytes) + `"}`},
 			{"DELETE", "s-9", ``},
 		} {
 			if code := do(w.method, base+w.id, w.body); code < 400 || code > 499 {
@@ -281,7 +281,7 @@
 			}
 		}
 	}
-	after, _ := catalogfleet.ListOf(c.HTTP[leader])
+	after, _ := catalogfleet.FetchList(c.HTTPAddr[leader])
 	a, _ := json.Marshal(before)
 	b, _ := json.Marshal(after)
 	if string(a) != string(b) {
--- a/cmd/catalog/gateway_test.go
+++ b/cmd/catalog/gateway_test.go
@@ -79,13 +79,13 @@
 	}))
 	defer host.Close()
 	c := testCluster(t, 3)
-	if catalogfleet.Put(c.HTTP[c.Leader()], "s-1", `{"addr":"`+strings.TrimPrefix(host.URL, "http://")+`"}`) != 200 {
+	if catalogfleet.PutMember(c.HTTPAddr[c.WaitForLeader()], "s-1", `{"addr":"`+strings.TrimPrefix(host.URL, "http://")+`"}`) != 200 {
 		t.Fatal("register failed")
 	}
 	var links []*faultnet.Link
 	var addrs []string
 	for _, id := range c.IDs {
-		l, err := faultnet.NewLink(c.HTTP[id])
+		l, err := faultnet.NewLink(c.HTTPAddr[id])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,7 +96,7 @@
 	var gws []string
 	var procs []*faultnet.Proc
 	for i := 0; i < gateways; i++ {
-		gws = append(gws, catalogfleet.Free(t))
+		gws = append(gws, catalogfleet.FreeAddr(t))
 		procs = append(procs, startGateway(t, dir, fmt.Sprintf("g%d", i), gws[i], addrs))
 	}
 	for _, gw := range gws {
@@ -111,7 +111,7 @@
 		}
 	}
 	for _, id := range c.IDs {
-		c.Procs[id].Kill()
+		c.Processes[id].Kill()
 	}
 	down, before := time.Now(), calls(links)
 	failed := 0
@@ -141,7 +141,7 @@
 		io.WriteString(w, "done")
 	}))
 	defer host2.Close()
-	for i := 0; i < 100 && catalogfleet.Put(c.HTTP[c.Leader()], "s-2", `{"addr":"`+strings.TrimPrefix(host2.URL, "http://")+`"}`) != 200; i++ {
+	for i := 0; i < 100 && catalogfleet.PutMember(c.HTTPAddr[c.WaitForLeader()], "s-2", `{"addr":"`+strings.TrimPrefix(host2.URL, "http://")+`"}`) != 200; i++ {
 		time.Sleep(50 * time.Millisecond)
 	}
 	synced := func() int {
--- a/cmd/catalog/main.go
+++ b/cmd/catalog/main.go
@@ -48,21 +48,21 @@
 func run(args []string, log io.Writer) error {
 	fs := flag.NewFlagSet("catalog", flag.ContinueOnError)
 	fs.SetOutput(log)
-	opt := catalog.Options{Log: log}
+	opt := catalog.Options{LogOutput: log}
 	fs.StringVar(&opt.ID, "id", "c1", "raft id of this instance")
 	fs.StringVar(&opt.DataDir, "data", "catalog-data", "data folder: raft log, stable store and snapshots")
-	fs.StringVar(&opt.Raft, "raft", "127.0.0.1:7500", "address raft listens on and peers know it by")
-	fs.StringVar(&opt.HTTP, "http", "127.0.0.1:8500", "address of the discovery and write API")
+	fs.StringVar(&opt.RaftAddr, "raft", "127.0.0.1:7500", "address raft listens on and peers know it by")
+	fs.StringVar(&opt.HTTPAddr, "http", "127.0.0.1:8500", "address of the discovery and write API")
 	peers := fs.String("peers", "", "the whole cluster as id=raftaddr/httpaddr,...; empty for one instance")
 	via := fs.String("via", "", "raftaddr=dialaddr,...: dial a peer at another address (a proxy)")
 	fs.DurationVar(&opt.StaleAfter, "stale-after", 2*time.Second, "a follower without a leader this long answers 503")
-	fs.DurationVar(&opt.WatchWrite, "watch-write", 5*time.Second, "a watcher that takes longer for one write is ended")
+	fs.DurationVar(&opt.WatchWriteTimeout, "watch-write", 5*time.Second, "a watcher that takes longer for one write is ended")
 	fs.IntVar(&opt.MaxWatches, "max-watches", maxWatches(), "open watches at most (default: the descriptor limit less 64)")
-	opt.Calls = catalog.DefaultCalls
-	fs.IntVar(&opt.Calls.Work, "calls-work", opt.Calls.Work, "calls for lists in work at most")
-	fs.IntVar(&opt.Calls.Queue, "calls-queue", opt.Calls.Queue, "calls for lists that wait at most; more are answered 503")
-	fs.DurationVar(&opt.Calls.Wait, "calls-wait", opt.Calls.Wait, "a call for a list that waited this long is answered 503")
-	fs.DurationVar(&opt.Heartbeat, "heartbeat", 500*time.Millisecond, "raft heartbeat and election timeout")
+	opt.CallLimits = catalog.DefaultCallLimits
+	fs.IntVar(&opt.CallLimits.Work, "calls-work", opt.CallLimits.Work, "calls for lists in work at most")
+	fs.IntVar(&opt.CallLimits.Queue, "calls-queue", opt.CallLimits.Queue, "calls for lists that wait at most; more are answered 503")
+	fs.DurationVar(&opt.CallLimits.Wait, "calls-wait", opt.CallLimits.Wait, "a call for a list that waited this long is answered 503")
+	fs.DurationVar(&opt.HeartbeatTimeout, "heartbeat", 500*time.Millisecond, "raft heartbeat and election timeout")
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
@@ -74,11 +74,11 @@
 		return err
 	}
 	for _, p := range opt.Peers {
-		if p.ID == opt.ID && (p.Raft != opt.Raft || p.HTTP != opt.HTTP) {
+		if p.ID == opt.ID && (p.RaftAddr != opt.RaftAddr || p.HTTPAddr != opt.HTTPAddr) {
 			return fmt.Errorf("-peers gives %s other addresses than -raft and -http", p.ID)
 		}
 	}
-	opt.Via = map[string]string{}
+	opt.DialOverrides = map[string]string{}
 	for _, f := range strings.Split(*via, ",") {
 		if f == "" {
 			continue
@@ -87,9 +87,9 @@
 		if !ok {
 			return fmt.Errorf("-via %q: want raftaddr=dialaddr", f)
 		}
-		opt.Via[k] = v
+		opt.DialOverrides[k] = v
 	}
-	ln, err := net.Listen("tcp", opt.HTTP)
+	ln, err := net.Listen("tcp", opt.HTTPAddr)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, ConnContext: catalog.ConnContext}
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(listener.Persist(ln, "callers")) }()
-	slog.Info("catalog serving", "id", opt.ID, "http", opt.HTTP, "raft", opt.Raft, "peers", max(1, len(opt.Peers)))
+	slog.Info("catalog serving", "id", opt.ID, "http", opt.HTTPAddr, "raft", opt.RaftAddr, "peers", max(1, len(opt.Peers)))
 
 	sig := make(chan os.Signal, 1)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/catalog/stopped_test.go
+++ b/cmd/catalog/stopped_test.go
@@ -17,8 +17,8 @@
 		t.Skip("starts processes")
 	}
 	c := testCluster(t, 1)
-	c.Leader()
-	conn, err := net.Dial("tcp", c.HTTP["c1"])
+	c.WaitForLeader()
+	conn, err := net.Dial("tcp", c.HTTPAddr["c1"])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -42,11 +42,11 @@
 	}
 	const watchers = 300
 	c := testCluster(t, 1)
-	addr := c.HTTP[c.Leader()]
+	addr := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 200; i++ {
-		catalogfleet.Put(addr, fmt.Sprintf("s-%03d", i), fmt.Sprintf(`{"addr":"127.0.0.1:%d","zone":"a"}`, 20000+i))
+		catalogfleet.PutMember(addr, fmt.Sprintf("s-%03d", i), fmt.Sprintf(`{"addr":"127.0.0.1:%d","zone":"a"}`, 20000+i))
 	}
-	want, _ := catalogfleet.ListOf(addr)
+	want, _ := catalogfleet.FetchList(addr)
 	link, err := faultnet.NewLink(addr)
 	if err != nil {
 		t.Fatal(err)
@@ -74,10 +74,10 @@
 	if !all(want.Version) {
 		t.Fatal("the watchers do not all have the list")
 	}
-	c.Procs["c1"].Kill()
+	c.Processes["c1"].Kill()
 	time.Sleep(3 * time.Second) // every client is in its backoff by now
 	c.Start("c1")
-	c.Leader()
+	c.WaitForLeader()
 	start := link.Accepted()
 	// Calls at the catalog in each 100 ms until all are back on a watch.
 	var buckets []int64
@@ -87,7 +87,7 @@
 		now := link.Accepted()
 		buckets = append(buckets, now-prev)
 		prev = now
-		if st, err := catalogfleet.StatusOf(addr); err == nil && st.Watches >= watchers {
+		if st, err := catalogfleet.FetchStatus(addr); err == nil && st.Watches >= watchers {
 			break
 		}
 	}
@@ -95,9 +95,9 @@
 	for _, b := range buckets {
 		most = max(most, b)
 	}
-	rss, fds := catalogfleet.ProcFigures(c.Procs["c1"].Pid())
+	rss, fds := catalogfleet.ProcessUsage(c.Processes["c1"].Pid())
 	t.Logf("calls a 100 ms after the restart: %v (most %d); catalog %d kB, %d descriptors", buckets, most, rss, fds)
-	if st, err := catalogfleet.StatusOf(addr); err != nil || st.Watches < watchers {
+	if st, err := catalogfleet.FetchStatus(addr); err != nil || st.Watches < watchers {
 		t.Fatalf("watches open after the restart: %+v %v", st, err)
 	}
 	if most > watchers/2 {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -162,7 +162,7 @@
 				return err
 			}
 			defer os.RemoveAll(tmp)
-			f, err := catalogfleet.Experiment(filepath.Join(bin, "catalog"), tmp, watchers, writes, kills)
+			f, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), tmp, watchers, writes, kills)
 			if err != nil {
 				return err
 			}
--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -67,7 +67,7 @@
 func openLone(t *testing.T, dir, addr string) *loneCatalog {
 	t.Helper()
 	c := &loneCatalog{t: t}
-	node, err := Open(Options{ID: "c1", DataDir: dir, Raft: addr, Heartbeat: 50 * time.Millisecond, Log: io.Discard,
+	node, err := Open(Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond, LogOutput: io.Discard,
 		openDisk: func(path string) (disk, error) {
 			store, err := raftboltdb.New(raftboltdb.Options{Path: path})
 			c.disk = &failingDisk{BoltStore: store}
@@ -153,7 +153,7 @@
 	check := func(when string) {
 		t.Helper()
 		for id := range acknowledged {
-			if _, there := c.node.store.Has(id); !there {
+			if _, there := c.node.store.Get(id); !there {
 				t.Errorf("%s: %s was acknowledged and is gone", when, id)
 			}
 		}
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -92,7 +92,7 @@
 // classOf says in which class a call for a list waits.
 func (n *Node) classOf(r *http.Request, after uint64) admit.Class {
 	switch {
-	case after > 0 && n.store.Resumes(after):
+	case after > 0 && n.store.CanResume(after):
 		return admit.Resume
 	case after > 0 || r.Header.Get(headHave) != "":
 		return admit.Whole
--- a/internal/catalog/gate_test.go
+++ b/internal/catalog/gate_test.go
@@ -17,7 +17,7 @@
 // listing is a handler over a store of n hosts, with no raft behind it: calls for lists
 // need none while the instance is not stale.
 func listing(n int, opt admit.Options) *Node {
-	node := &Node{opt: Options{WatchWrite: time.Second}, store: NewStore(), watch: make(chan struct{}, 8), gate: newGate(opt)}
+	node := &Node{opt: Options{WatchWriteTimeout: time.Second}, store: NewStore(), watch: make(chan struct{}, 8), gate: newGate(opt)}
 	for i := range n {
 		node.store.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(fmt.Sprintf(
 			`{"op":"put","id":"s-%04d","patch":{"addr":"127.0.0.1:9000","zone":"a"}}`, i))})
@@ -84,7 +84,7 @@
 		name string
 		opt  admit.Options
 	}{
-		{"served", DefaultCalls},
+		{"served", DefaultCallLimits},
 		{"shed", admit.Options{Work: 1, Queue: 1, Wait: time.Hour, Least: time.Millisecond, Most: time.Minute}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -20,7 +20,7 @@
 // Peer is one instance of a catalog: its raft id, the address raft listens on, and
 // the address its HTTP server listens on.
 type Peer struct {
-	ID, Raft, HTTP string
+	ID, RaftAddr, HTTPAddr string
 }
 
 // ParsePeers reads "id=raftaddr/httpaddr,..." as the -peers flag gives it.
@@ -35,37 +35,37 @@
 		if !ok1 || !ok2 || id == "" || r == "" || h == "" {
 			return nil, fmt.Errorf("peer %q: want id=raftaddr/httpaddr", f)
 		}
-		out = append(out, Peer{ID: id, Raft: r, HTTP: h})
+		out = append(out, Peer{ID: id, RaftAddr: r, HTTPAddr: h})
 	}
 	return out, nil
 }
 
 // Options configure one instance. Times are wall-clock durations.
 type Options struct {
-	ID      string
-	DataDir string
-	Raft    string            // address raft listens on and peers know it by
-	HTTP    string            // address of the HTTP server
-	Peers   []Peer            // the whole cluster, this instance included; none for one alone
-	Via     map[string]string // a peer's raft address -> the address to dial for it
+	ID            string
+	DataDir       string
+	RaftAddr      string            // address raft listens on and peers know it by
+	HTTPAddr      string            // address of the HTTP server
+	Peers         []Peer            // the whole cluster, this instance included; none for one alone
+	DialOverrides map[string]string // a peer's raft address -> the address to dial for it
 	// StaleAfter is how long a follower serves without hearing from a leader.
 	StaleAfter time.Duration
-	// WatchWrite bounds one write to a watcher; a watcher that takes longer is ended.
-	WatchWrite time.Duration
+	// WatchWriteTimeout bounds one write to a watcher; a watcher that takes longer is ended.
+	WatchWriteTimeout time.Duration
 	// MaxWatches bounds the open watches; more are answered 503.
 	MaxWatches int
-	// Heartbeat is raft's heartbeat and election timeout; the lease is half of it.
-	Heartbeat time.Duration
-	Log       io.Writer
-	// Calls bounds the calls for lists in work and waiting; the zero value takes DefaultCalls.
-	Calls admit.Options
+	// HeartbeatTimeout is raft's heartbeat and election timeout; the lease is half of it.
+	HeartbeatTimeout time.Duration
+	LogOutput        io.Writer
+	// CallLimits bounds the calls for lists in work and waiting; the zero value takes DefaultCallLimits.
+	CallLimits admit.Options
 
 	openDisk func(path string) (disk, error) // of raft's log and stable store; nil: bbolt's
 }
 
-// DefaultCalls lets 32 calls be in work and 1,024 wait for a second; callers beyond that
+// DefaultCallLimits lets 32 calls be in work and 1,024 wait for a second; callers beyond that
 // come back 2 ms apart at least (500 a second) and within 10 s.
-var DefaultCalls = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
+var DefaultCallLimits = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
 
 // Node is one running instance.
 type Node struct {
@@ -86,31 +86,31 @@
 		opt.ID = "c1"
 	}
 	if len(opt.Peers) == 0 {
-		opt.Peers = []Peer{{ID: opt.ID, Raft: opt.Raft, HTTP: opt.HTTP}}
+		opt.Peers = []Peer{{ID: opt.ID, RaftAddr: opt.RaftAddr, HTTPAddr: opt.HTTPAddr}}
 	}
-	if opt.Heartbeat <= 0 {
-		opt.Heartbeat = 500 * time.Millisecond
+	if opt.HeartbeatTimeout <= 0 {
+		opt.HeartbeatTimeout = 500 * time.Millisecond
 	}
 	if opt.StaleAfter <= 0 {
 		opt.StaleAfter = 2 * time.Second
 	}
-	if opt.WatchWrite <= 0 {
-		opt.WatchWrite = 5 * time.Second
+	if opt.WatchWriteTimeout <= 0 {
+		opt.WatchWriteTimeout = 5 * time.Second
 	}
 	if opt.MaxWatches <= 0 {
 		opt.MaxWatches = 8192
 	}
-	if opt.Calls == (admit.Options{}) {
-		opt.Calls = DefaultCalls
+	if opt.CallLimits == (admit.Options{}) {
+		opt.CallLimits = DefaultCallLimits
 	}
-	if c := opt.Calls; c.Work < 1 || c.Queue < 1 || c.Wait <= 0 || c.Least <= 0 || c.Most <= 0 {
+	if c := opt.CallLimits; c.Work < 1 || c.Queue < 1 || c.Wait <= 0 || c.Least <= 0 || c.Most <= 0 {
 		return nil, fmt.Errorf("catalog: calls: %+v: each bound must be above 0", c)
 	}
-	if opt.Log == nil {
-		opt.Log = os.Stderr
+	if opt.LogOutput == nil {
+		opt.LogOutput = os.Stderr
 	}
 	n := &Node{opt: opt, store: NewStore(), peers: map[raft.ServerID]Peer{},
-		watch: make(chan struct{}, opt.MaxWatches), gate: newGate(opt.Calls)}
+		watch: make(chan struct{}, opt.MaxWatches), gate: newGate(opt.CallLimits)}
 	self := false
 	for _, p := range opt.Peers {
 		n.peers[raft.ServerID(p.ID)] = p
@@ -131,24 +131,24 @@
 	}
 	logs := newEnduringDisk(file)
 	n.logs = logs
-	snaps, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.Log)
+	snaps, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
 	if err != nil {
 		logs.Close()
 		return nil, fmt.Errorf("catalog: snapshot store: %w", err)
 	}
-	ln, err := net.Listen("tcp", opt.Raft)
+	ln, err := net.Listen("tcp", opt.RaftAddr)
 	if err != nil {
 		logs.Close()
 		return nil, fmt.Errorf("catalog: raft address: %w", err)
 	}
-	n.trans = raft.NewNetworkTransport(&stream{Listener: ln, via: opt.Via}, 3, 2*time.Second, opt.Log)
+	n.trans = raft.NewNetworkTransport(&stream{Listener: ln, via: opt.DialOverrides}, 3, 2*time.Second, opt.LogOutput)
 	cfg := raft.DefaultConfig()
 	cfg.LocalID = raft.ServerID(opt.ID)
-	cfg.HeartbeatTimeout, cfg.ElectionTimeout = opt.Heartbeat, opt.Heartbeat
-	cfg.LeaderLeaseTimeout = opt.Heartbeat / 2
+	cfg.HeartbeatTimeout, cfg.ElectionTimeout = opt.HeartbeatTimeout, opt.HeartbeatTimeout
+	cfg.LeaderLeaseTimeout = opt.HeartbeatTimeout / 2
 	cfg.CommitTimeout = 20 * time.Millisecond
 	cfg.SnapshotThreshold = 1024
-	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.Log})
+	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.LogOutput})
 	has, err := raft.HasExistingState(logs, logs, snaps)
 	if err != nil {
 		n.close()
@@ -157,7 +157,7 @@
 	if !has {
 		var c raft.Configuration
 		for _, p := range opt.Peers {
-			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.RaftAddr)})
 		}
 		if err := raft.BootstrapCluster(cfg, logs, logs, snaps, n.trans, c); err != nil {
 			n.close()
@@ -200,9 +200,9 @@
 	}
 }
 
-// Stale says why reads here would not be current, or "" where they are: a follower
+// StaleReason says why reads here would not be current, or "" where they are: a follower
 // that has not heard from a leader for StaleAfter.
-func (n *Node) Stale() string {
+func (n *Node) StaleReason() string {
 	if n.raft.State() == raft.Leader {
 		return ""
 	}
@@ -223,20 +223,20 @@
 		return true
 	}
 	leader, _ := n.raft.LeaderWithID() // none where a vote was given just now, which is a contact too
-	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.Heartbeat/2
+	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.HeartbeatTimeout/2
 }
 
 // leaderHTTP returns the HTTP address of the leader, or "" if none is known.
 func (n *Node) leaderHTTP() string {
 	_, id := n.raft.LeaderWithID()
-	return n.peers[id].HTTP
+	return n.peers[id].HTTPAddr
 }
 
 // write commits one command on the leader and returns the list's version after it.
 // Errors: ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (the
 // entry may yet commit), or a time-out.
 func (n *Node) write(c command, timeout time.Duration) (uint64, error) {
-	if n.store.Base() == 0 {
+	if n.store.VersionBase() == 0 {
 		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog begins beyond all that the old one counted
 	}
 	data, err := json.Marshal(c)
@@ -259,19 +259,19 @@
 	Version       uint64 `json:"version"`
 	Applied       uint64 `json:"applied"`
 	LastContactMS int64  `json:"last_contact_ms"` // -1: never, or this is the leader
-	Stale         string `json:"stale,omitempty"`
+	StaleReason   string `json:"stale,omitempty"`
 	Watches       int    `json:"watches"`
-	Working       int    `json:"calls_in_work"`
-	Waiting       int    `json:"calls_waiting"`
-	Shed          int64  `json:"calls_shed"` // since the start
+	CallsInFlight int    `json:"calls_in_work"`
+	CallsWaiting  int    `json:"calls_waiting"`
+	CallsShed     int64  `json:"calls_shed"` // since the start
 }
 
 func (n *Node) status() Status {
 	_, leader := n.raft.LeaderWithID()
 	st := Status{ID: n.opt.ID, State: n.raft.State().String(), Leader: string(leader),
 		Version: n.store.Version(), Applied: n.raft.AppliedIndex(), LastContactMS: -1,
-		Stale: n.Stale(), Watches: len(n.watch)}
-	st.Working, st.Waiting, st.Shed = n.gate.figures()
+		StaleReason: n.StaleReason(), Watches: len(n.watch)}
+	st.CallsInFlight, st.CallsWaiting, st.CallsShed = n.gate.figures()
 	if last := n.raft.LastContact(); !last.IsZero() && n.raft.State() != raft.Leader {
 		st.LastContactMS = time.Since(last).Milliseconds()
 	}
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -53,7 +53,7 @@
 }
 
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
-	if why := n.Stale(); why != "" {
+	if why := n.StaleReason(); why != "" {
 		refuse(w, "stale: "+why, 0)
 		return
 	}
@@ -92,8 +92,8 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	line, _ := n.store.Full()
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(n.opt.WatchWrite))
+	line, _ := n.store.FullList()
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
 	w.Write(line)
 }
 
@@ -109,7 +109,7 @@
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	send := func(b []byte) bool {
-		rc.SetWriteDeadline(time.Now().Add(n.opt.WatchWrite))
+		rc.SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return false
 		}
@@ -126,7 +126,7 @@
 	tick := time.NewTicker(keepAlive)
 	defer tick.Stop()
 	for {
-		line, version, moved := n.store.Since(after)
+		line, version, moved := n.store.ChangesSince(after)
 		if line != nil {
 			if !send(line) {
 				return
@@ -140,7 +140,7 @@
 			return
 		case <-moved:
 		case <-tick.C:
-			if n.Stale() != "" || !send([]byte("\n")) {
+			if n.StaleReason() != "" || !send([]byte("\n")) {
 				return
 			}
 		}
@@ -159,7 +159,7 @@
 	late := time.NewTimer(catchUp)
 	defer late.Stop()
 	for after > 0 {
-		line, version, moved := n.store.Since(after)
+		line, version, moved := n.store.ChangesSince(after)
 		if line != nil {
 			return line, version
 		}
@@ -171,26 +171,26 @@
 			continue
 		case <-ctx.Done():
 		case <-late.C:
-			if !n.led() || n.store.Base()+n.raft.LastIndex() >= after {
+			if !n.led() || n.store.VersionBase()+n.raft.LastIndex() >= after {
 				return nil, 0 // it will come to that version, or cannot tell
 			}
 		}
 		break
 	}
-	return n.store.Full()
+	return n.store.FullList()
 }
 
 func (n *Node) serveWrite(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if err := ValidID(id); err != nil {
+	if err := ValidateID(id); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
 		var tooBig *http.MaxBytesError
 		if errors.As(err, &tooBig) {
-			http.Error(w, fmt.Sprintf("body over %d bytes", MaxBody), http.StatusRequestEntityTooLarge)
+			http.Error(w, fmt.Sprintf("body over %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge)
 			return
 		}
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
@@ -204,7 +204,7 @@
 			return
 		}
 		// Checked here too, so that a bad write does not reach the log.
-		old, exists := n.store.Has(id)
+		old, exists := n.store.Get(id)
 		if _, err := c.Patch.apply(old, exists); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -260,5 +260,5 @@
 		}
 	}
 	w.WriteHeader(resp.StatusCode)
-	io.Copy(w, io.LimitReader(resp.Body, MaxBody))
+	io.Copy(w, io.LimitReader(resp.Body, MaxBodyBytes))
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -50,10 +50,10 @@
 
 // Limits of what a write may carry.
 const (
-	MaxBody  = 64 << 10 // bytes of a write's body
-	MaxID    = 128      // bytes of an id
-	MaxField = 256      // bytes of addr, zone or kind
-	ringSize = 4096     // changes kept for watches that resume
+	MaxBodyBytes  = 64 << 10 // bytes of a write's body
+	MaxIDBytes    = 128      // bytes of an id
+	MaxFieldBytes = 256      // bytes of addr, zone or kind
+	ringSize      = 4096     // changes kept for watches that resume
 )
 
 // ErrInvalid marks a write that is refused for what it says; nothing of it is applied.
@@ -63,10 +63,10 @@
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// ValidID checks an id: 1 to MaxID bytes of letters, digits and ".-_:".
-func ValidID(id string) error {
-	if id == "" || len(id) > MaxID {
-		return invalid("id must have 1 to %d bytes", MaxID)
+// ValidateID checks an id: 1 to MaxIDBytes bytes of letters, digits and ".-_:".
+func ValidateID(id string) error {
+	if id == "" || len(id) > MaxIDBytes {
+		return invalid("id must have 1 to %d bytes", MaxIDBytes)
 	}
 	for _, c := range []byte(id) {
 		ok := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
@@ -106,8 +106,8 @@
 		if src == nil {
 			return nil
 		}
-		if len(*src) > MaxField {
-			return invalid("%s is longer than %d bytes", name, MaxField)
+		if len(*src) > MaxFieldBytes {
+			return invalid("%s is longer than %d bytes", name, MaxFieldBytes)
 		}
 		*dst = *src
 		return nil
@@ -242,8 +242,8 @@
 	s.version = s.base + index
 }
 
-// Base is what versions are counted from; 0: no change has given it yet.
-func (s *Store) Base() uint64 {
+// VersionBase is what versions are counted from; 0: no change has given it yet.
+func (s *Store) VersionBase() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.base
@@ -259,18 +259,18 @@
 	return s.version
 }
 
-// Has says whether id is in the list.
-func (s *Store) Has(id string) (Member, bool) {
+// Get says whether id is in the list.
+func (s *Store) Get(id string) (Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, ok := s.members[id]
 	return m, ok
 }
 
-// Since returns one line of the protocol with what changed after version after,
+// ChangesSince returns one line of the protocol with what changed after version after,
 // the whole list where the ring no longer holds that, or nothing where after is the
 // version or newer. moved is closed at the next change.
-func (s *Store) Since(after uint64) (line []byte, version uint64, moved <-chan struct{}) {
+func (s *Store) ChangesSince(after uint64) (line []byte, version uint64, moved <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after >= s.version {
@@ -307,15 +307,15 @@
 	return fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[]}`+"\n", version)
 }
 
-// Resumes says whether a watch after a version gets changes, not the whole list.
-func (s *Store) Resumes(after uint64) bool {
+// CanResume says whether a watch after a version gets changes, not the whole list.
+func (s *Store) CanResume(after uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return after >= s.floor
 }
 
-// Full returns the whole list as one line of the protocol, and its version.
-func (s *Store) Full() ([]byte, uint64) {
+// FullList returns the whole list as one line of the protocol, and its version.
+func (s *Store) FullList() ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fullLocked(), s.version
@@ -354,7 +354,7 @@
 	}
 	members := make(map[string]Member, len(snap.Servers))
 	for _, m := range snap.Servers {
-		if err := ValidID(m.ID); err != nil {
+		if err := ValidateID(m.ID); err != nil {
 			return fmt.Errorf("catalog snapshot: %w", err)
 		}
 		members[m.ID] = m
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -21,36 +21,36 @@
 	"lynxspool/internal/faultnet"
 )
 
-// Failer is what a Cluster reports a failure to; a test is one. Fatalf does not return.
-type Failer interface {
+// FailureReporter is what a Cluster reports a failure to; a test is one. Fatalf does not return.
+type FailureReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
 // Cluster is n catalog processes whose raft links each go through a faultnet link.
 type Cluster struct {
-	t     Failer
-	bin   string // of catalog
-	dir   string
-	IDs   []string // c1, c2, ...
-	raft  map[string]string
-	HTTP  map[string]string // address by id
-	Mesh  *faultnet.Mesh    // between them
-	Procs map[string]*faultnet.Proc
-	extra []string
+	t         FailureReporter
+	bin       string // of catalog
+	dir       string
+	IDs       []string // c1, c2, ...
+	raft      map[string]string
+	HTTPAddr  map[string]string // address by id
+	Mesh      *faultnet.Mesh    // between them
+	Processes map[string]*faultnet.Proc
+	extra     []string
 }
 
 // NewCluster starts n instances of bin with their data below dir.
-func NewCluster(t Failer, bin, dir string, n int, extra ...string) *Cluster {
-	c := &Cluster{t: t, bin: bin, dir: dir, raft: map[string]string{}, HTTP: map[string]string{},
-		Procs: map[string]*faultnet.Proc{}, extra: extra}
+func NewCluster(t FailureReporter, bin, dir string, n int, extra ...string) *Cluster {
+	c := &Cluster{t: t, bin: bin, dir: dir, raft: map[string]string{}, HTTPAddr: map[string]string{},
+		Processes: map[string]*faultnet.Proc{}, extra: extra}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatalf("%v", err)
 	}
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprintf("c%d", i)
 		c.IDs = append(c.IDs, id)
-		c.raft[id], c.HTTP[id] = Free(t), Free(t)
+		c.raft[id], c.HTTPAddr[id] = FreeAddr(t), FreeAddr(t)
 	}
 	var err error
 	if c.Mesh, err = faultnet.NewMesh(c.raft); err != nil {
@@ -64,11 +64,11 @@
 
 // Close kills the instances and ends the links; logf, if given, gets each one's log.
 func (c *Cluster) Close(logf func(string, ...any)) {
-	for _, p := range c.Procs {
+	for _, p := range c.Processes {
 		p.Kill()
 	}
 	c.Mesh.Close()
-	for id, p := range c.Procs {
+	for id, p := range c.Processes {
 		if logf != nil {
 			b, _ := os.ReadFile(p.Log)
 			logf("log of %s:\n%s", id, tail(string(b), 3000))
@@ -83,8 +83,8 @@
 	return s
 }
 
-// Free is a loopback address that was free a moment ago.
-func Free(t Failer) string {
+// FreeAddr is a loopback address that was free a moment ago.
+func FreeAddr(t FailureReporter) string {
 	a, err := faultnet.FreeAddr()
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -96,23 +96,23 @@
 func (c *Cluster) Start(id string) {
 	var peers, via []string
 	for _, o := range c.IDs {
-		peers = append(peers, o+"="+c.raft[o]+"/"+c.HTTP[o])
+		peers = append(peers, o+"="+c.raft[o]+"/"+c.HTTPAddr[o])
 		if o != id {
 			via = append(via, c.raft[o]+"="+c.Mesh.From(id, o).Addr)
 		}
 	}
-	args := append([]string{"-id", id, "-data", c.dir + "/" + id, "-raft", c.raft[id], "-http", c.HTTP[id],
+	args := append([]string{"-id", id, "-data", c.dir + "/" + id, "-raft", c.raft[id], "-http", c.HTTPAddr[id],
 		"-peers", strings.Join(peers, ","), "-via", strings.Join(via, ","),
 		"-heartbeat", "200ms", "-stale-after", "1s"}, c.extra...)
 	p, err := faultnet.Start(c.dir, id, c.bin, args)
 	if err != nil {
 		c.t.Fatalf("%v", err)
 	}
-	c.Procs[id] = p
+	c.Processes[id] = p
 }
 
-// StatusOf asks an instance for its status.
-func StatusOf(addr string) (catalog.Status, error) {
+// FetchStatus asks an instance for its status.
+func FetchStatus(addr string) (catalog.Status, error) {
 	var st catalog.Status
 	cl := http.Client{Timeout: time.Second}
 	resp, err := cl.Get("http://" + addr + "/catalog/status")
@@ -123,15 +123,15 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st)
 }
 
-// Leader waits for one of ids to say it leads, and returns it.
-func (c *Cluster) Leader(ids ...string) string {
+// WaitForLeader waits for one of ids to say it leads, and returns it.
+func (c *Cluster) WaitForLeader(ids ...string) string {
 	c.t.Helper()
 	if len(ids) == 0 {
 		ids = c.IDs
 	}
 	for i := 0; i < 300; i++ {
 		for _, id := range ids {
-			if st, err := StatusOf(c.HTTP[id]); err == nil && st.State == "Leader" {
+			if st, err := FetchStatus(c.HTTPAddr[id]); err == nil && st.State == "Leader" {
 				return id
 			}
 		}
@@ -143,8 +143,8 @@
 
 var client = &http.Client{Timeout: 10 * time.Second}
 
-// Put writes one entry at addr and returns the status code.
-func Put(addr, id, body string) int {
+// PutMember writes one entry at addr and returns the status code.
+func PutMember(addr, id, body string) int {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
 	resp, err := client.Do(req)
 	if err != nil {
@@ -155,8 +155,8 @@
 	return resp.StatusCode
 }
 
-// ListOf asks an instance for its list; the code is 0 with no answer.
-func ListOf(addr string) (catalog.List, int) {
+// FetchList asks an instance for its list; the code is 0 with no answer.
+func FetchList(addr string) (catalog.List, int) {
 	var l catalog.List
 	resp, err := client.Get("http://" + addr + "/catalog/members")
 	if err != nil {
@@ -237,8 +237,8 @@
 	at      time.Time
 }
 
-// When returns when the Watcher first had version v or a later one.
-func (w *Watcher) When(v uint64) (time.Time, bool) {
+// ReceivedAt returns when the Watcher first had version v or a later one.
+func (w *Watcher) ReceivedAt(v uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.seen {
@@ -249,18 +249,18 @@
 	return time.Time{}, false
 }
 
-// At is the version and the number of hosts that the watcher has.
-func (w *Watcher) At() (uint64, int) {
+// VersionAndCount is the version and the number of hosts that the watcher has.
+func (w *Watcher) VersionAndCount() (uint64, int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version, len(w.members)
 }
 
-// Addrs are the addresses of some instances.
-func (c *Cluster) Addrs(ids ...string) []string {
+// HTTPAddrs are the addresses of some instances.
+func (c *Cluster) HTTPAddrs(ids ...string) []string {
 	var out []string
 	for _, id := range ids {
-		out = append(out, c.HTTP[id])
+		out = append(out, c.HTTPAddr[id])
 	}
 	return out
 }
@@ -276,8 +276,8 @@
 	return out
 }
 
-// ProcFigures reads the resident memory of a process in kB and its open descriptors.
-func ProcFigures(pid int) (rssKB int, fds int) {
+// ProcessUsage reads the resident memory of a process in kB and its open descriptors.
+func ProcessUsage(pid int) (rssKB int, fds int) {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(b), "\n") {
 		if f := strings.Fields(line); len(f) >= 2 && f[0] == "VmRSS:" {
@@ -288,8 +288,8 @@
 	return rssKB, len(ents)
 }
 
-// Commit writes one entry at addr and returns the version it was committed at.
-func Commit(addr, id, body string) (uint64, bool) {
+// CommitMember writes one entry at addr and returns the version it was committed at.
+func CommitMember(addr, id, body string) (uint64, bool) {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
 	resp, err := client.Do(req)
 	if err != nil {
@@ -301,8 +301,8 @@
 	return v.Version, resp.StatusCode == 200 && json.Unmarshal(b, &v) == nil && v.Version > 0
 }
 
-// Back is the versions that the watcher saw go back; there should be none.
-func (w *Watcher) Back() []string {
+// VersionRegressions is the versions that the watcher saw go back; there should be none.
+func (w *Watcher) VersionRegressions() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.back
--- a/internal/catalogfleet/experiment.go
+++ b/internal/catalogfleet/experiment.go
@@ -17,21 +17,21 @@
 
 func (broken) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
 
-// Figures are those of an Experiment. Times are in milliseconds.
-type Figures struct {
-	Watchers  int     `json:"watchers"`
-	FanoutP50 float64 `json:"fanout_p50_ms"` // commit to the last watcher, over 3 instances
-	FanoutP99 float64 `json:"fanout_p99_ms"`
-	MB        float64 `json:"mb"` // of one instance with all the watches
-	FDs       int     `json:"descriptors"`
-	KBWatch   float64 `json:"kb_a_watch"`
-	KillP50   float64 `json:"leader_kill_p50_ms"` // SIGKILL to the next committed write
-	KillP99   float64 `json:"leader_kill_p99_ms"`
+// ExperimentResult are those of an Experiment. Times are in milliseconds.
+type ExperimentResult struct {
+	Watchers        int     `json:"watchers"`
+	FanoutP50MS     float64 `json:"fanout_p50_ms"` // commit to the last watcher, over 3 instances
+	FanoutP99MS     float64 `json:"fanout_p99_ms"`
+	InstanceMB      float64 `json:"mb"` // of one instance with all the watches
+	Descriptors     int     `json:"descriptors"`
+	KBPerWatch      float64 `json:"kb_a_watch"`
+	LeaderKillP50MS float64 `json:"leader_kill_p50_ms"` // SIGKILL to the next committed write
+	LeaderKillP99MS float64 `json:"leader_kill_p99_ms"`
 }
 
-// Experiment measures fan-out, memory of watches and failover of clusters of the catalog
+// RunExperiment measures fan-out, memory of watches and failover of clusters of the catalog
 // binary bin, with data below dir. Kills of 0 leaves the failover out.
-func Experiment(bin, dir string, watchers, writes, kills int) (f Figures, err error) {
+func RunExperiment(bin, dir string, watchers, writes, kills int) (f ExperimentResult, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			e, ok := p.(error)
@@ -42,10 +42,10 @@
 		}
 	}()
 	f.Watchers = watchers
-	f.FanoutP50, f.FanoutP99 = fanout(bin, filepath.Join(dir, "fanout"), watchers, writes)
-	f.MB, f.FDs, f.KBWatch = memory(bin, filepath.Join(dir, "memory"), watchers)
+	f.FanoutP50MS, f.FanoutP99MS = fanout(bin, filepath.Join(dir, "fanout"), watchers, writes)
+	f.InstanceMB, f.Descriptors, f.KBPerWatch = memory(bin, filepath.Join(dir, "memory"), watchers)
 	if kills > 0 {
-		f.KillP50, f.KillP99 = failover(bin, filepath.Join(dir, "failover"), kills)
+		f.LeaderKillP50MS, f.LeaderKillP99MS = failover(bin, filepath.Join(dir, "failover"), kills)
 	}
 	return f, nil
 }
@@ -55,20 +55,20 @@
 func fanout(bin, dir string, n, writes int) (float64, float64) {
 	c := NewCluster(broken{}, bin, dir, 3)
 	defer c.Close(nil)
-	leader := c.HTTP[c.Leader()]
+	leader := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
-		Put(leader, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
+		PutMember(leader, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ws := make([]*Watcher, n)
 	for i := range ws {
-		ws[i] = &Watcher{Addrs: []string{c.HTTP[c.IDs[i%3]]}}
+		ws[i] = &Watcher{Addrs: []string{c.HTTPAddr[c.IDs[i%3]]}}
 		go ws[i].Run(ctx)
 	}
-	base, _ := ListOf(leader)
+	base, _ := FetchList(leader)
 	for i := 0; i < 600; i++ {
-		if _, ok := ws[n-1].When(base.Version); ok {
+		if _, ok := ws[n-1].ReceivedAt(base.Version); ok {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -76,7 +76,7 @@
 	time.Sleep(time.Second)
 	var lags []time.Duration
 	for i := 0; i < writes; i++ {
-		v, ok := Commit(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
+		v, ok := CommitMember(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
 		done := time.Now()
 		if !ok {
 			broken{}.Fatalf("a write failed")
@@ -85,7 +85,7 @@
 		for _, w := range ws {
 			var at time.Time
 			for j := 0; j < 1000; j++ {
-				if at, ok = w.When(v); ok {
+				if at, ok = w.ReceivedAt(v); ok {
 					break
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -106,25 +106,25 @@
 func memory(bin, dir string, n int) (float64, int, float64) {
 	c := NewCluster(broken{}, bin, dir, 1)
 	defer c.Close(nil)
-	addr := c.HTTP[c.Leader()]
+	addr := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
-		Put(addr, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
+		PutMember(addr, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
 	}
-	pid := c.Procs["c1"].Pid()
-	rss0, _ := ProcFigures(pid)
+	pid := c.Processes["c1"].Pid()
+	rss0, _ := ProcessUsage(pid)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := 0; i < n; i++ {
 		go (&Watcher{Addrs: []string{addr}}).Run(ctx)
 	}
 	for i := 0; i < 600; i++ {
-		if st, err := StatusOf(addr); err == nil && st.Watches >= n {
+		if st, err := FetchStatus(addr); err == nil && st.Watches >= n {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	time.Sleep(2 * time.Second)
-	rss, fds := ProcFigures(pid)
+	rss, fds := ProcessUsage(pid)
 	return float64(rss) / 1024, fds, float64(rss-rss0) / float64(n)
 }
 
@@ -135,12 +135,12 @@
 	defer c.Close(nil)
 	var gaps []time.Duration
 	for trial := 0; trial < trials; trial++ {
-		old := c.Leader()
+		old := c.WaitForLeader()
 		rest := Without(c.IDs, old)
-		c.Procs[old].Kill()
+		c.Processes[old].Kill()
 		killed := time.Now()
 		for i := 0; ; i++ {
-			if _, ok := Commit(c.HTTP[rest[rand.N(len(rest))]], "s-f", fmt.Sprintf(`{"addr":"127.0.0.1:9000","cell":%d}`, trial)); ok {
+			if _, ok := CommitMember(c.HTTPAddr[rest[rand.N(len(rest))]], "s-f", fmt.Sprintf(`{"addr":"127.0.0.1:9000","cell":%d}`, trial)); ok {
 				break
 			}
 			if i > 2000 {
@@ -150,9 +150,9 @@
 		}
 		gaps = append(gaps, time.Since(killed))
 		c.Start(old)
-		want, _ := ListOf(c.HTTP[c.Leader(rest...)])
+		want, _ := FetchList(c.HTTPAddr[c.WaitForLeader(rest...)])
 		for i := 0; i < 400; i++ {
-			if l, code := ListOf(c.HTTP[old]); code == 200 && l.Version >= want.Version {
+			if l, code := FetchList(c.HTTPAddr[old]); code == 200 && l.Version >= want.Version {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
