--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	c := &loneCatalog{t: t}
 	node, err := Open(Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond, LogOutput: io.Discard,
-		openDisk: func(path string) (disk, error) {
+		openStorage: func(path string) (raftStorage, error) {
 			store, err := raftboltdb.New(raftboltdb.Options{Path: path})
 			c.disk = &failingDisk{BoltStore: store}
 			return c.disk, err
@@ -89,7 +89,7 @@
 
 // put writes a host and says how that was answered.
 func (c *loneCatalog) put(id string) int {
-	r, err := http.NewRequest(http.MethodPut, c.http.URL+pathMembers+"/"+id, strings.NewReader(`{"addr":"127.0.0.1:80"}`))
+	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(`{"addr":"127.0.0.1:80"}`))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -11,46 +11,46 @@
 	"lynxspool/internal/admit"
 )
 
-// headHave says that a caller which wants the whole list has one to go on with.
-const headHave = "X-Catalog-Have"
+// headerHaveList says that a caller which wants the whole list has one to go on with.
+const headerHaveList = "X-Catalog-Have"
 
-// gate lets calls for lists in by an admit.Gate: it keeps the clock and the callers that
+// admissionController lets calls for lists in by an admit.Gate: it keeps the clock and the callers that
 // wait.
-type gate struct {
+type admissionController struct {
 	opt   admit.Options
 	start time.Time
 
-	mu    sync.Mutex
-	g     *admit.Gate
-	next  uint64
-	waits map[uint64]chan admit.Verdict
-	shed  int64 // calls turned away since the start
+	mu       sync.Mutex
+	gate     *admit.Gate
+	lastID   uint64
+	verdicts map[uint64]chan admit.Verdict
+	shed     int64 // calls turned away since the start
 }
 
-func newGate(opt admit.Options) *gate {
-	return &gate{opt: opt, start: time.Now(), g: admit.New(opt), waits: map[uint64]chan admit.Verdict{}}
+func newAdmissionController(opt admit.Options) *admissionController {
+	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), verdicts: map[uint64]chan admit.Verdict{}}
 }
 
-// tell hands out verdicts; g.mu is held.
-func (g *gate) tell(due []admit.Verdict) {
-	for _, v := range due {
+// deliverVerdicts hands out verdicts; g.mu is held.
+func (g *admissionController) deliverVerdicts(verdicts []admit.Verdict) {
+	for _, v := range verdicts {
 		if !v.Admit {
 			g.shed++
 		}
-		g.waits[v.ID] <- v // it holds one, and each call has one
-		delete(g.waits, v.ID)
+		g.verdicts[v.ID] <- v // it holds one, and each call has one
+		delete(g.verdicts, v.ID)
 	}
 }
 
-// enter waits for a call to be let in. It returns false with the time to come back after,
+// acquire waits for a call to be let in. It returns false with the time to come back after,
 // or with 0 if the caller has gone. A call that was let in ends with leave.
-func (g *gate) enter(ctx context.Context, class admit.Class) (after time.Duration, ok bool) {
+func (g *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
 	verdict := make(chan admit.Verdict, 1)
 	g.mu.Lock()
-	g.next++
-	id := g.next
-	g.waits[id] = verdict
-	g.tell(g.g.Arrive(time.Since(g.start), id, class))
+	g.lastID++
+	id := g.lastID
+	g.verdicts[id] = verdict
+	g.deliverVerdicts(g.gate.Arrive(time.Since(g.start), id, class))
 	g.mu.Unlock()
 	timer := time.NewTimer(g.opt.Wait)
 	defer timer.Stop()
@@ -60,14 +60,14 @@
 			return v.After, v.Admit
 		case <-timer.C:
 			g.mu.Lock()
-			g.tell(g.g.Expire(time.Since(g.start)))
+			g.deliverVerdicts(g.gate.Expire(time.Since(g.start)))
 			g.mu.Unlock()
 			timer.Reset(time.Millisecond) // should the clocks differ by a little
 		case <-ctx.Done():
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			if g.g.Leave(id) {
-				delete(g.waits, id)
+			if g.gate.Leave(id) {
+				delete(g.verdicts, id)
 				return 0, false
 			}
 			v := <-verdict // it was told in the same moment
@@ -76,36 +76,36 @@
 	}
 }
 
-// leave ends a call's work, begun at a time.
-func (g *gate) leave(began time.Time) {
+// release ends a call's work, begun at a time.
+func (g *admissionController) release(admittedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tell(g.g.Done(time.Since(g.start), time.Since(began)))
+	g.deliverVerdicts(g.gate.Done(time.Since(g.start), time.Since(admittedAt)))
 }
 
-func (g *gate) figures() (working, waiting int, shed int64) {
+func (g *admissionController) counts() (inFlight, waiting int, shed int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.g.Working(), g.g.Waiting(), g.shed
+	return g.gate.Working(), g.gate.Waiting(), g.shed
 }
 
-// classOf says in which class a call for a list waits.
-func (n *Node) classOf(r *http.Request, after uint64) admit.Class {
+// admissionClass says in which class a call for a list waits.
+func (n *Node) admissionClass(r *http.Request, after uint64) admit.Class {
 	switch {
 	case after > 0 && n.store.CanResume(after):
 		return admit.Resume
-	case after > 0 || r.Header.Get(headHave) != "":
+	case after > 0 || r.Header.Get(headerHaveList) != "":
 		return admit.Whole
 	}
 	return admit.Empty
 }
 
-// refuse answers 503 with a time to come back after; 0 draws one, so that callers that
+// writeUnavailable answers 503 with a time to come back after; 0 draws one, so that callers that
 // are refused together do not return together.
-func refuse(w http.ResponseWriter, why string, after time.Duration) {
-	if after <= 0 {
-		after = time.Second/2 + rand.N(time.Second)
+func writeUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
+	if retryAfter <= 0 {
+		retryAfter = time.Second/2 + rand.N(time.Second)
 	}
-	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
-	http.Error(w, why, http.StatusServiceUnavailable)
+	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	http.Error(w, reason, http.StatusServiceUnavailable)
 }
--- a/internal/catalog/gate_test.go
+++ b/internal/catalog/gate_test.go
@@ -17,7 +17,7 @@
 // listing is a handler over a store of n hosts, with no raft behind it: calls for lists
 // need none while the instance is not stale.
 func listing(n int, opt admit.Options) *Node {
-	node := &Node{opt: Options{WatchWriteTimeout: time.Second}, store: NewStore(), watch: make(chan struct{}, 8), gate: newGate(opt)}
+	node := &Node{opt: Options{WatchWriteTimeout: time.Second}, store: NewStore(), watchSlots: make(chan struct{}, 8), admission: newAdmissionController(opt)}
 	for i := range n {
 		node.store.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(fmt.Sprintf(
 			`{"op":"put","id":"s-%04d","patch":{"addr":"127.0.0.1:9000","zone":"a"}}`, i))})
@@ -27,12 +27,12 @@
 
 // call asks for the whole list as serveList does past the check on age.
 func (n *Node) call(have string) *httptest.ResponseRecorder {
-	r := httptest.NewRequest("GET", pathMembers, nil)
+	r := httptest.NewRequest("GET", membersPath, nil)
 	if have != "" {
-		r.Header.Set(headHave, have)
+		r.Header.Set(headerHaveList, have)
 	}
 	w := httptest.NewRecorder()
-	n.serveCall(w, r, 0, false)
+	n.serveListCall(w, r, 0, false)
 	return w
 }
 
@@ -41,7 +41,7 @@
 // is answered.
 func TestCatalogShedsCalls(t *testing.T) {
 	n := listing(3, admit.Options{Work: 1, Queue: 1, Wait: time.Minute, Least: 10 * time.Millisecond, Most: time.Minute})
-	if _, ok := n.gate.enter(t.Context(), admit.Empty); !ok { // holds the one place
+	if _, ok := n.admission.acquire(t.Context(), admit.Empty); !ok { // holds the one place
 		t.Fatal("an idle catalog did not let a call in")
 	}
 	began := time.Now()
@@ -49,7 +49,7 @@
 	answers := make([]*httptest.ResponseRecorder, 2)
 	waiting := func(want string) {
 		for i := 0; ; i++ {
-			if _, waits, shed := n.gate.figures(); fmt.Sprint(waits, shed) == want {
+			if _, waits, shed := n.admission.counts(); fmt.Sprint(waits, shed) == want {
 				return
 			} else if i > 5000 {
 				t.Fatalf("waiting and shed are %d %d, want %s", waits, shed, want)
@@ -71,7 +71,7 @@
 		}
 		told[after] = true
 	}
-	n.gate.leave(began)
+	n.admission.release(began)
 	wg.Wait()
 	if answers[0].Code != http.StatusServiceUnavailable || answers[1].Code != http.StatusOK || answers[1].Body.Len() == 0 {
 		t.Errorf("with a list %d, with none %d", answers[0].Code, answers[1].Code)
@@ -90,9 +90,9 @@
 		b.Run(c.name, func(b *testing.B) {
 			n := listing(2000, c.opt)
 			if c.name == "shed" {
-				n.gate.enter(b.Context(), admit.Empty)
-				go n.gate.enter(b.Context(), admit.Empty)
-				for _, waits, _ := n.gate.figures(); waits == 0; _, waits, _ = n.gate.figures() {
+				n.admission.acquire(b.Context(), admit.Empty)
+				go n.admission.acquire(b.Context(), admit.Empty)
+				for _, waits, _ := n.admission.counts(); waits == 0; _, waits, _ = n.admission.counts() {
 				}
 			}
 			b.ReportAllocs()
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -25,7 +25,7 @@
 
 // ParsePeers reads "id=raftaddr/httpaddr,..." as the -peers flag gives it.
 func ParsePeers(s string) ([]Peer, error) {
-	var out []Peer
+	var peers []Peer
 	for _, f := range strings.Split(s, ",") {
 		if f = strings.TrimSpace(f); f == "" {
 			continue
@@ -35,9 +35,9 @@
 		if !ok1 || !ok2 || id == "" || r == "" || h == "" {
 			return nil, fmt.Errorf("peer %q: want id=raftaddr/httpaddr", f)
 		}
-		out = append(out, Peer{ID: id, RaftAddr: r, HTTPAddr: h})
+		peers = append(peers, Peer{ID: id, RaftAddr: r, HTTPAddr: h})
 	}
-	return out, nil
+	return peers, nil
 }
 
 // Options configure one instance. Times are wall-clock durations.
@@ -60,7 +60,7 @@
 	// CallLimits bounds the calls for lists in work and waiting; the zero value takes DefaultCallLimits.
 	CallLimits admit.Options
 
-	openDisk func(path string) (disk, error) // of raft's log and stable store; nil: bbolt's
+	openStorage func(path string) (raftStorage, error) // of raft's log and stable store; nil: bbolt's
 }
 
 // DefaultCallLimits lets 32 calls be in work and 1,024 wait for a second; callers beyond that
@@ -69,14 +69,14 @@
 
 // Node is one running instance.
 type Node struct {
-	opt   Options
-	raft  *raft.Raft
-	store *Store
-	logs  *enduringDisk
-	trans *raft.NetworkTransport
-	peers map[raft.ServerID]Peer
-	watch chan struct{} // one token an open watch
-	gate  *gate
+	opt        Options
+	raft       *raft.Raft
+	store      *Store
+	storage    *retryingStorage
+	transport  *raft.NetworkTransport
+	peers      map[raft.ServerID]Peer
+	watchSlots chan struct{} // one token an open watch
+	admission  *admissionController
 }
 
 // Open starts an instance from its data folder; a folder without state is
@@ -110,38 +110,38 @@
 		opt.LogOutput = os.Stderr
 	}
 	n := &Node{opt: opt, store: NewStore(), peers: map[raft.ServerID]Peer{},
-		watch: make(chan struct{}, opt.MaxWatches), gate: newGate(opt.CallLimits)}
-	self := false
+		watchSlots: make(chan struct{}, opt.MaxWatches), admission: newAdmissionController(opt.CallLimits)}
+	selfListed := false
 	for _, p := range opt.Peers {
 		n.peers[raft.ServerID(p.ID)] = p
-		self = self || p.ID == opt.ID
+		selfListed = selfListed || p.ID == opt.ID
 	}
-	if !self {
+	if !selfListed {
 		return nil, fmt.Errorf("catalog: id %q is not among the peers", opt.ID)
 	}
 	if err := os.MkdirAll(opt.DataDir, 0o755); err != nil {
 		return nil, fmt.Errorf("catalog: data folder: %w", err)
 	}
-	if opt.openDisk == nil {
-		opt.openDisk = openBolt
+	if opt.openStorage == nil {
+		opt.openStorage = openBoltStorage
 	}
-	file, err := opt.openDisk(filepath.Join(opt.DataDir, "raft.db"))
+	boltStorage, err := opt.openStorage(filepath.Join(opt.DataDir, "raft.db"))
 	if err != nil {
 		return nil, fmt.Errorf("catalog: log store: %w", err)
 	}
-	logs := newEnduringDisk(file)
-	n.logs = logs
-	snaps, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
+	storage := newRetryingStorage(boltStorage)
+	n.storage = storage
+	snapshots, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
 	if err != nil {
-		logs.Close()
+		storage.Close()
 		return nil, fmt.Errorf("catalog: snapshot store: %w", err)
 	}
 	ln, err := net.Listen("tcp", opt.RaftAddr)
 	if err != nil {
-		logs.Close()
+		storage.Close()
 		return nil, fmt.Errorf("catalog: raft address: %w", err)
 	}
-	n.trans = raft.NewNetworkTransport(&stream{Listener: ln, via: opt.DialOverrides}, 3, 2*time.Second, opt.LogOutput)
+	n.transport = raft.NewNetworkTransport(&streamLayer{Listener: ln, dialOverrides: opt.DialOverrides}, 3, 2*time.Second, opt.LogOutput)
 	cfg := raft.DefaultConfig()
 	cfg.LocalID = raft.ServerID(opt.ID)
 	cfg.HeartbeatTimeout, cfg.ElectionTimeout = opt.HeartbeatTimeout, opt.HeartbeatTimeout
@@ -149,54 +149,54 @@
 	cfg.CommitTimeout = 20 * time.Millisecond
 	cfg.SnapshotThreshold = 1024
 	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.LogOutput})
-	has, err := raft.HasExistingState(logs, logs, snaps)
+	hasState, err := raft.HasExistingState(storage, storage, snapshots)
 	if err != nil {
-		n.close()
+		n.closeTransportAndStorage()
 		return nil, fmt.Errorf("catalog: data folder: %w", err)
 	}
-	if !has {
+	if !hasState {
 		var c raft.Configuration
 		for _, p := range opt.Peers {
 			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.RaftAddr)})
 		}
-		if err := raft.BootstrapCluster(cfg, logs, logs, snaps, n.trans, c); err != nil {
-			n.close()
+		if err := raft.BootstrapCluster(cfg, storage, storage, snapshots, n.transport, c); err != nil {
+			n.closeTransportAndStorage()
 			return nil, fmt.Errorf("catalog: bootstrap: %w", err)
 		}
 	}
-	n.raft, err = raft.NewRaft(cfg, n.store, logs, logs, snaps, n.trans)
+	n.raft, err = raft.NewRaft(cfg, n.store, storage, storage, snapshots, n.transport)
 	if err != nil {
-		n.close()
+		n.closeTransportAndStorage()
 		return nil, fmt.Errorf("catalog: raft: %w", err)
 	}
 	return n, nil
 }
 
-func (n *Node) close() {
-	if n.trans != nil {
-		n.trans.Close()
+func (n *Node) closeTransportAndStorage() {
+	if n.transport != nil {
+		n.transport.Close()
 	}
-	n.logs.Close()
+	n.storage.Close()
 }
 
-// closeTime is what raft has to end; it has nothing to write then, so only a data folder that
+// shutdownTimeout is what raft has to end; it has nothing to write then, so only a data folder that
 // takes no writes holds it up for longer.
-const closeTime = 2 * time.Second
+const shutdownTimeout = 2 * time.Second
 
-var errNotEnded = errors.New("catalog: ended while the data folder takes no writes")
+var errShutdownTimeout = errors.New("catalog: ended while the data folder takes no writes")
 
 // Close stops raft and closes the data folder.
 func (n *Node) Close() error {
-	ended := make(chan error, 1)
-	go func() { ended <- n.raft.Shutdown().Error() }()
+	shutdownDone := make(chan error, 1)
+	go func() { shutdownDone <- n.raft.Shutdown().Error() }()
 	select {
-	case err := <-ended:
-		n.close()
+	case err := <-shutdownDone:
+		n.closeTransportAndStorage()
 		return err
-	case <-time.After(closeTime):
-		n.logs.giveUp()
-		n.trans.Close()
-		return errNotEnded
+	case <-time.After(shutdownTimeout):
+		n.storage.stopRetries()
+		n.transport.Close()
+		return errShutdownTimeout
 	}
 }
 
@@ -216,9 +216,9 @@
 	return ""
 }
 
-// led says whether this instance leads or has just heard from its leader, which writes to it
+// hasLiveLeader says whether this instance leads or has just heard from its leader, which writes to it
 // several times in each heartbeat.
-func (n *Node) led() bool {
+func (n *Node) hasLiveLeader() bool {
 	if n.raft.State() == raft.Leader {
 		return true
 	}
@@ -243,11 +243,11 @@
 	if err != nil {
 		return 0, err
 	}
-	f := n.raft.Apply(data, timeout)
-	if err := f.Error(); err != nil {
+	future := n.raft.Apply(data, timeout)
+	if err := future.Error(); err != nil {
 		return 0, err
 	}
-	r, _ := f.Response().(result)
+	r, _ := future.Response().(applyResult)
 	return r.Version, r.Err
 }
 
@@ -270,24 +270,24 @@
 	_, leader := n.raft.LeaderWithID()
 	st := Status{ID: n.opt.ID, State: n.raft.State().String(), Leader: string(leader),
 		Version: n.store.Version(), Applied: n.raft.AppliedIndex(), LastContactMS: -1,
-		StaleReason: n.StaleReason(), Watches: len(n.watch)}
-	st.CallsInFlight, st.CallsWaiting, st.CallsShed = n.gate.figures()
+		StaleReason: n.StaleReason(), Watches: len(n.watchSlots)}
+	st.CallsInFlight, st.CallsWaiting, st.CallsShed = n.admission.counts()
 	if last := n.raft.LastContact(); !last.IsZero() && n.raft.State() != raft.Leader {
 		st.LastContactMS = time.Since(last).Milliseconds()
 	}
 	return st
 }
 
-// stream is raft's transport over TCP, where a peer may be dialled at another address
+// streamLayer is raft's transport over TCP, where a peer may be dialled at another address
 // than it is known by (a proxy of the fault tests, or a translated address).
-type stream struct {
+type streamLayer struct {
 	net.Listener
-	via map[string]string
+	dialOverrides map[string]string
 }
 
-func (s *stream) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	a := string(addr)
-	if v, ok := s.via[a]; ok {
+	if v, ok := s.dialOverrides[a]; ok {
 		a = v
 	}
 	return net.DialTimeout("tcp", a, timeout)
--- a/internal/catalog/resume_test.go
+++ b/internal/catalog/resume_test.go
@@ -13,7 +13,7 @@
 func (c *loneCatalog) firstLine(index uint64) (list List) {
 	c.t.Helper()
 	client := http.Client{Timeout: 10 * time.Second}
-	resp, err := client.Get(fmt.Sprintf("%s%s?stream=1&index=%d", c.http.URL, pathMembers, index))
+	resp, err := client.Get(fmt.Sprintf("%s%s?stream=1&index=%d", c.http.URL, membersPath, index))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	pathMembers = "/catalog/members"
-	keepAlive   = 2 * time.Second // an empty line while nothing changes, as the protocol says
-	applyWait   = 5 * time.Second // for a write to commit
-	forwarded   = "X-Catalog-Forwarded"
-	// watchBuffer is the socket send buffer of a watch: what a watcher that does not
+	membersPath       = "/catalog/members"
+	keepAliveInterval = 2 * time.Second // an empty line while nothing changes, as the protocol says
+	commitTimeout     = 5 * time.Second // for a write to commit
+	headerForwarded   = "X-Catalog-Forwarded"
+	// watchSendBufferBytes is the socket send buffer of a watch: what a watcher that does not
 	// read can hold of this instance's memory (the kernel doubles it).
-	watchBuffer = 64 << 10
+	watchSendBufferBytes = 64 << 10
 )
 
 type connKey struct{}
@@ -42,9 +42,9 @@
 //	GET    /catalog/status                      this instance's raft state, as JSON
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathMembers, n.serveList)
-	mux.HandleFunc("PUT "+pathMembers+"/{id}", n.serveWrite)
-	mux.HandleFunc("DELETE "+pathMembers+"/{id}", n.serveWrite)
+	mux.HandleFunc("GET "+membersPath, n.serveList)
+	mux.HandleFunc("PUT "+membersPath+"/{id}", n.serveWrite)
+	mux.HandleFunc("DELETE "+membersPath+"/{id}", n.serveWrite)
 	mux.HandleFunc("GET /catalog/status", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(n.status())
@@ -54,7 +54,7 @@
 
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	if why := n.StaleReason(); why != "" {
-		refuse(w, "stale: "+why, 0)
+		writeUnavailable(w, "stale: "+why, 0)
 		return
 	}
 	q := r.URL.Query()
@@ -66,29 +66,29 @@
 			return
 		}
 	}
-	n.serveCall(w, r, after, q.Get("stream") == "1")
+	n.serveListCall(w, r, after, q.Get("stream") == "1")
 }
 
-// serveCall lets a call for a list in and answers it, or says when to come back.
-func (n *Node) serveCall(w http.ResponseWriter, r *http.Request, after uint64, stream bool) {
+// serveListCall lets a call for a list in and answers it, or says when to come back.
+func (n *Node) serveListCall(w http.ResponseWriter, r *http.Request, after uint64, stream bool) {
 	if stream {
 		select {
-		case n.watch <- struct{}{}:
-			defer func() { <-n.watch }()
+		case n.watchSlots <- struct{}{}:
+			defer func() { <-n.watchSlots }()
 		default:
-			refuse(w, "too many watches", 0)
+			writeUnavailable(w, "too many watches", 0)
 			return
 		}
 	}
-	if wait, ok := n.gate.enter(r.Context(), n.classOf(r, after)); !ok {
-		refuse(w, "too many calls", wait)
+	if wait, ok := n.admission.acquire(r.Context(), n.admissionClass(r, after)); !ok {
+		writeUnavailable(w, "too many calls", wait)
 		return
 	}
-	began := time.Now()
-	leave := sync.OnceFunc(func() { n.gate.leave(began) })
-	defer leave()
+	admittedAt := time.Now()
+	release := sync.OnceFunc(func() { n.admission.release(admittedAt) })
+	defer release()
 	if stream {
-		n.serveWatch(w, r, after, leave)
+		n.serveWatch(w, r, after, release)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -102,9 +102,9 @@
 // write takes longer than WatchWrite, or when this instance turns stale. after==0
 // gets the whole list first. begun is called when the first of it is out: from there on
 // a watch is no work until something changes.
-func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, after uint64, begun func()) {
+func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, after uint64, releaseSlot func()) {
 	if c, ok := r.Context().Value(connKey{}).(*net.TCPConn); ok {
-		c.SetWriteBuffer(watchBuffer)
+		c.SetWriteBuffer(watchSendBufferBytes)
 	}
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -115,15 +115,15 @@
 		}
 		return rc.Flush() == nil
 	}
-	line, after := n.firstLine(r.Context(), after)
+	line, after := n.initialLine(r.Context(), after)
 	if line == nil {
-		refuse(w, "behind, without a leader", 0)
+		writeUnavailable(w, "behind, without a leader", 0)
 		return
 	}
 	if !send(line) {
 		return
 	}
-	tick := time.NewTicker(keepAlive)
+	tick := time.NewTicker(keepAliveInterval)
 	defer tick.Stop()
 	for {
 		line, version, moved := n.store.ChangesSince(after)
@@ -134,7 +134,7 @@
 			after = version
 			continue
 		}
-		begun()
+		releaseSlot()
 		select {
 		case <-r.Context().Done():
 			return
@@ -147,31 +147,31 @@
 	}
 }
 
-// catchUp is how long a watch that resumes from a later version than there is here waits for
+// catchUpTimeout is how long a watch that resumes from a later version than there is here waits for
 // that: this instance may have entries to apply.
-const catchUp = 250 * time.Millisecond
+const catchUpTimeout = 250 * time.Millisecond
 
-// firstLine is what a watch after a version begins with, and the version that it brings the
+// initialLine is what a watch after a version begins with, and the version that it brings the
 // watcher to: the changes since, of which there may be none, or the whole list, also where that
 // version is not come to: another catalog has counted it. nil: this instance is behind, as its
 // leader has gone.
-func (n *Node) firstLine(ctx context.Context, after uint64) ([]byte, uint64) {
-	late := time.NewTimer(catchUp)
-	defer late.Stop()
+func (n *Node) initialLine(ctx context.Context, after uint64) ([]byte, uint64) {
+	catchUpTimer := time.NewTimer(catchUpTimeout)
+	defer catchUpTimer.Stop()
 	for after > 0 {
 		line, version, moved := n.store.ChangesSince(after)
 		if line != nil {
 			return line, version
 		}
 		if version == after {
-			return noChanges(version), version
+			return encodeNoChanges(version), version
 		}
 		select {
 		case <-moved:
 			continue
 		case <-ctx.Done():
-		case <-late.C:
-			if !n.led() || n.store.VersionBase()+n.raft.LastIndex() >= after {
+		case <-catchUpTimer.C:
+			if !n.hasLiveLeader() || n.store.VersionBase()+n.raft.LastIndex() >= after {
 				return nil, 0 // it will come to that version, or cannot tell
 			}
 		}
@@ -214,7 +214,7 @@
 		n.forward(w, r, body)
 		return
 	}
-	version, err := n.write(c, applyWait)
+	version, err := n.write(c, commitTimeout)
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -226,31 +226,31 @@
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipLost),
 		errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrRaftShutdown):
 		// Lost leadership leaves the outcome open: the entry may yet commit.
-		refuse(w, "not committed here: "+err.Error(), 0)
+		writeUnavailable(w, "not committed here: "+err.Error(), 0)
 	default:
-		refuse(w, err.Error(), 0)
+		writeUnavailable(w, err.Error(), 0)
 	}
 }
 
-var forwardClient = &http.Client{Timeout: applyWait + time.Second}
+var forwardClient = &http.Client{Timeout: commitTimeout + time.Second}
 
 // forward sends a write on to the leader and passes its answer back; a write that
 // was forwarded once is not forwarded again.
 func (n *Node) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	leader := n.leaderHTTP()
-	if leader == "" || r.Header.Get(forwarded) != "" {
-		refuse(w, "no leader", 0)
+	if leader == "" || r.Header.Get(headerForwarded) != "" {
+		writeUnavailable(w, "no leader", 0)
 		return
 	}
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+leader+r.URL.Path, bytes.NewReader(body))
 	if err != nil {
-		refuse(w, err.Error(), 0)
+		writeUnavailable(w, err.Error(), 0)
 		return
 	}
-	req.Header.Set(forwarded, n.opt.ID)
+	req.Header.Set(headerForwarded, n.opt.ID)
 	resp, err := forwardClient.Do(req)
 	if err != nil {
-		refuse(w, "leader: "+err.Error(), 0)
+		writeUnavailable(w, "leader: "+err.Error(), 0)
 		return
 	}
 	defer resp.Body.Close()
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -50,29 +50,29 @@
 
 // Limits of what a write may carry.
 const (
-	MaxBodyBytes  = 64 << 10 // bytes of a write's body
-	MaxIDBytes    = 128      // bytes of an id
-	MaxFieldBytes = 256      // bytes of addr, zone or kind
-	ringSize      = 4096     // changes kept for watches that resume
+	MaxBodyBytes       = 64 << 10 // bytes of a write's body
+	MaxIDBytes         = 128      // bytes of an id
+	MaxFieldBytes      = 256      // bytes of addr, zone or kind
+	maxRetainedChanges = 4096     // changes kept for watches that resume
 )
 
 // ErrInvalid marks a write that is refused for what it says; nothing of it is applied.
 var ErrInvalid = errors.New("invalid write")
 
-func invalid(format string, args ...any) error {
+func invalidf(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
 // ValidateID checks an id: 1 to MaxIDBytes bytes of letters, digits and ".-_:".
 func ValidateID(id string) error {
 	if id == "" || len(id) > MaxIDBytes {
-		return invalid("id must have 1 to %d bytes", MaxIDBytes)
+		return invalidf("id must have 1 to %d bytes", MaxIDBytes)
 	}
 	for _, c := range []byte(id) {
 		ok := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 			c == '.' || c == '-' || c == '_' || c == ':'
 		if !ok {
-			return invalid("id may hold only letters, digits and .-_:")
+			return invalidf("id may hold only letters, digits and .-_:")
 		}
 	}
 	return nil
@@ -85,10 +85,10 @@
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&p); err != nil {
-		return p, invalid("body: %v", err)
+		return p, invalidf("body: %v", err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return p, invalid("body: data after the object")
+		return p, invalidf("body: data after the object")
 	}
 	return p, nil
 }
@@ -98,7 +98,7 @@
 func (p *Patch) apply(m Member, exists bool) (Member, error) {
 	if !exists {
 		if p.Addr == nil {
-			return m, invalid("a new entry needs addr")
+			return m, invalidf("a new entry needs addr")
 		}
 		m.State, m.Weight = "ready", 1
 	}
@@ -107,7 +107,7 @@
 			return nil
 		}
 		if len(*src) > MaxFieldBytes {
-			return invalid("%s is longer than %d bytes", name, MaxFieldBytes)
+			return invalidf("%s is longer than %d bytes", name, MaxFieldBytes)
 		}
 		*dst = *src
 		return nil
@@ -122,30 +122,30 @@
 		return m, err
 	}
 	if _, port, err := net.SplitHostPort(m.Addr); err != nil || port == "" {
-		return m, invalid("addr must be host:port")
+		return m, invalidf("addr must be host:port")
 	}
 	if p.State != nil {
 		if *p.State != "ready" && *p.State != "draining" {
-			return m, invalid("state must be ready or draining (gone is DELETE)")
+			return m, invalidf("state must be ready or draining (gone is DELETE)")
 		}
 		m.State = *p.State
 	}
 	if p.Cell != nil {
 		if *p.Cell < 0 {
-			return m, invalid("cell must not be negative")
+			return m, invalidf("cell must not be negative")
 		}
 		m.Cell = *p.Cell
 	}
 	if p.Weight != nil {
 		w := *p.Weight
 		if math.IsNaN(w) || w < 0 || w > 1e6 {
-			return m, invalid("weight must be from 0 to 1e6")
+			return m, invalidf("weight must be from 0 to 1e6")
 		}
 		m.Weight = w
 	}
 	if p.StartedMS != nil {
 		if *p.StartedMS < 0 {
-			return m, invalid("started_ms must not be negative")
+			return m, invalidf("started_ms must not be negative")
 		}
 		m.StartedMS = *p.StartedMS
 	}
@@ -162,39 +162,39 @@
 
 // change is one applied change, kept for watches; Line is the member encoded once.
 type change struct {
-	Index uint64
-	ID    string
-	Line  []byte
+	Version uint64
+	ID      string
+	Encoded []byte
 }
 
 // Store is the replicated list: raft's FSM, and what watches read.
 type Store struct {
-	mu      sync.Mutex
-	members map[string]Member
-	base    uint64        // added to raft's index, so that no other catalog has counted the same
-	version uint64        // base and raft index of the entry that last changed the list
-	ring    []change      // the last changes, oldest first
-	floor   uint64        // every change after floor is in ring
-	moved   chan struct{} // closed at the next change
-	full    []byte        // the whole list as of version, encoded once; nil: not yet
+	mu            sync.Mutex
+	members       map[string]Member
+	versionBase   uint64        // added to raft's index, so that no other catalog has counted the same
+	version       uint64        // base and raft index of the entry that last changed the list
+	changes       []change      // the last changes, oldest first
+	resumableFrom uint64        // every change after floor is in ring
+	changed       chan struct{} // closed at the next change
+	encodedList   []byte        // the whole list as of version, encoded once; nil: not yet
 }
 
 // NewStore returns an empty list.
 func NewStore() *Store {
-	return &Store{members: map[string]Member{}, moved: make(chan struct{})}
+	return &Store{members: map[string]Member{}, changed: make(chan struct{})}
 }
 
-// result is what Apply returns for a command.
-type result struct {
+// applyResult is what Apply returns for a command.
+type applyResult struct {
 	Version uint64
 	Err     error
 }
 
 // Apply applies one committed entry; it is raft's to call.
-func (s *Store) Apply(l *raft.Log) any {
+func (s *Store) Apply(entry *raft.Log) any {
 	var c command
-	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return result{Err: invalid("entry: %v", err)}
+	if err := json.Unmarshal(entry.Data, &c); err != nil {
+		return applyResult{Err: invalidf("entry: %v", err)}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,49 +204,49 @@
 	case "put":
 		var err error
 		if m, err = c.Patch.apply(old, exists); err != nil {
-			return result{Version: s.version, Err: err}
+			return applyResult{Version: s.version, Err: err}
 		}
 		m.ID = c.ID
 		s.members[c.ID] = m
 	case "del":
 		if !exists {
-			return result{Version: s.version, Err: ErrNotFound}
+			return applyResult{Version: s.version, Err: ErrNotFound}
 		}
 		m = old
 		m.State = "gone"
 		delete(s.members, c.ID)
 	default:
-		return result{Version: s.version, Err: invalid("op %q", c.Op)}
+		return applyResult{Version: s.version, Err: invalidf("op %q", c.Op)}
 	}
 	line, _ := json.Marshal(m)
-	s.count(c.Base, l.Index)
-	s.ring = append(s.ring, change{Index: s.version, ID: c.ID, Line: line})
-	if len(s.ring) > ringSize {
-		s.floor = s.ring[len(s.ring)-ringSize-1].Index
-		s.ring = append(s.ring[:0:0], s.ring[len(s.ring)-ringSize:]...)
+	s.setVersion(c.Base, entry.Index)
+	s.changes = append(s.changes, change{Version: s.version, ID: c.ID, Encoded: line})
+	if len(s.changes) > maxRetainedChanges {
+		s.resumableFrom = s.changes[len(s.changes)-maxRetainedChanges-1].Version
+		s.changes = append(s.changes[:0:0], s.changes[len(s.changes)-maxRetainedChanges:]...)
 	}
-	close(s.moved)
-	s.moved, s.full = make(chan struct{}), nil
-	return result{Version: s.version}
+	close(s.changed)
+	s.changed, s.encodedList = make(chan struct{}), nil
+	return applyResult{Version: s.version}
 }
 
-// count takes the version of a change at a raft index; s.mu is held. The first change gives the
+// setVersion takes the version of a change at a raft index; s.mu is held. The first change gives the
 // base: what was counted before it was counted by another catalog.
-func (s *Store) count(base, index uint64) {
-	if s.base == 0 {
-		s.base = base
+func (s *Store) setVersion(base, index uint64) {
+	if s.versionBase == 0 {
+		s.versionBase = base
 		if s.version == 0 {
-			s.floor = base + index - 1
+			s.resumableFrom = base + index - 1
 		}
 	}
-	s.version = s.base + index
+	s.version = s.versionBase + index
 }
 
 // VersionBase is what versions are counted from; 0: no change has given it yet.
 func (s *Store) VersionBase() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.base
+	return s.versionBase
 }
 
 // ErrNotFound is the answer to a change of an entry that is not in the list.
@@ -270,40 +270,40 @@
 // ChangesSince returns one line of the protocol with what changed after version after,
 // the whole list where the ring no longer holds that, or nothing where after is the
 // version or newer. moved is closed at the next change.
-func (s *Store) ChangesSince(after uint64) (line []byte, version uint64, moved <-chan struct{}) {
+func (s *Store) ChangesSince(after uint64) (line []byte, version uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after >= s.version {
-		return nil, s.version, s.moved
+		return nil, s.version, s.changed
 	}
-	if after < s.floor {
-		return s.fullLocked(), s.version, s.moved
+	if after < s.resumableFrom {
+		return s.encodedListLocked(), s.version, s.changed
 	}
-	i := sort.Search(len(s.ring), func(i int) bool { return s.ring[i].Index > after })
+	start := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > after })
 	// The newest change of an entry says all; older ones of it are left out.
-	last := map[string]int{}
-	for j := i; j < len(s.ring); j++ {
-		last[s.ring[j].ID] = j
+	newest := map[string]int{}
+	for j := start; j < len(s.changes); j++ {
+		newest[s.changes[j].ID] = j
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"full":false,"servers":[`, s.version)
-	first := true
-	for j := i; j < len(s.ring); j++ {
-		if last[s.ring[j].ID] != j {
+	firstChange := true
+	for j := start; j < len(s.changes); j++ {
+		if newest[s.changes[j].ID] != j {
 			continue
 		}
-		if !first {
+		if !firstChange {
 			b.WriteByte(',')
 		}
-		first = false
-		b.Write(s.ring[j].Line)
+		firstChange = false
+		b.Write(s.changes[j].Encoded)
 	}
 	b.WriteString("]}\n")
-	return b.Bytes(), s.version, s.moved
+	return b.Bytes(), s.version, s.changed
 }
 
-// noChanges is one line of the protocol that says that nothing has changed since a version.
-func noChanges(version uint64) []byte {
+// encodeNoChanges is one line of the protocol that says that nothing has changed since a version.
+func encodeNoChanges(version uint64) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[]}`+"\n", version)
 }
 
@@ -311,25 +311,25 @@
 func (s *Store) CanResume(after uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return after >= s.floor
+	return after >= s.resumableFrom
 }
 
 // FullList returns the whole list as one line of the protocol, and its version.
 func (s *Store) FullList() ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fullLocked(), s.version
+	return s.encodedListLocked(), s.version
 }
 
-func (s *Store) fullLocked() []byte {
-	if s.full == nil {
-		b, _ := json.Marshal(List{Version: s.version, Full: true, Servers: s.sortedLocked()})
-		s.full = append(b, '\n')
+func (s *Store) encodedListLocked() []byte {
+	if s.encodedList == nil {
+		b, _ := json.Marshal(List{Version: s.version, Full: true, Servers: s.sortedMembersLocked()})
+		s.encodedList = append(b, '\n')
 	}
-	return s.full
+	return s.encodedList
 }
 
-func (s *Store) sortedLocked() []Member {
+func (s *Store) sortedMembersLocked() []Member {
 	out := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
 		out = append(out, m)
@@ -342,7 +342,7 @@
 func (s *Store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return snapshot{Base: s.base, Version: s.version, Servers: s.sortedLocked()}, nil
+	return snapshot{Base: s.versionBase, Version: s.version, Servers: s.sortedMembersLocked()}, nil
 }
 
 // Restore replaces the list with a snapshot's; watches then get the whole list.
@@ -361,9 +361,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members, s.base, s.version, s.floor, s.ring = members, snap.Base, snap.Version, snap.Version, nil
-	close(s.moved)
-	s.moved, s.full = make(chan struct{}), nil
+	s.members, s.versionBase, s.version, s.resumableFrom, s.changes = members, snap.Base, snap.Version, snap.Version, nil
+	close(s.changed)
+	s.changed, s.encodedList = make(chan struct{}), nil
 	return nil
 }
 
