--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -17,61 +17,61 @@
 	"lynxspool/internal/faultnet"
 )
 
-// failingDisk is a data folder whose next writes fail on cue: as a sync that fails behind
+// failingStorage is a data folder whose next writes fail on cue: as a sync that fails behind
 // what was written, or as a write for which there is no space.
-type failingDisk struct {
+type failingStorage struct {
 	*raftboltdb.BoltStore
-	syncs, writes atomic.Int32 // that are still to fail
+	failingSyncs, failingWrites atomic.Int32 // that are still to fail
 }
 
-// do carries out a write, or fails it.
-func (d *failingDisk) do(write func() error) error {
-	if d.writes.Add(-1) >= 0 {
+// runWrite carries out a write, or fails it.
+func (d *failingStorage) runWrite(write func() error) error {
+	if d.failingWrites.Add(-1) >= 0 {
 		return syscall.ENOSPC
 	}
 	if err := write(); err != nil {
 		return err
 	}
-	if d.syncs.Add(-1) >= 0 {
+	if d.failingSyncs.Add(-1) >= 0 {
 		return syscall.EIO
 	}
 	return nil
 }
 
-func (d *failingDisk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+func (d *failingStorage) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-func (d *failingDisk) StoreLogs(logs []*raft.Log) error {
-	return d.do(func() error { return d.BoltStore.StoreLogs(logs) })
+func (d *failingStorage) StoreLogs(logs []*raft.Log) error {
+	return d.runWrite(func() error { return d.BoltStore.StoreLogs(logs) })
 }
 
-func (d *failingDisk) Set(key, value []byte) error {
-	return d.do(func() error { return d.BoltStore.Set(key, value) })
+func (d *failingStorage) Set(key, value []byte) error {
+	return d.runWrite(func() error { return d.BoltStore.Set(key, value) })
 }
 
-func (d *failingDisk) SetUint64(key []byte, value uint64) error {
-	return d.do(func() error { return d.BoltStore.SetUint64(key, value) })
+func (d *failingStorage) SetUint64(key []byte, value uint64) error {
+	return d.runWrite(func() error { return d.BoltStore.SetUint64(key, value) })
 }
 
-func (d *failingDisk) DeleteRange(from, to uint64) error {
-	return d.do(func() error { return d.BoltStore.DeleteRange(from, to) })
+func (d *failingStorage) DeleteRange(from, to uint64) error {
+	return d.runWrite(func() error { return d.BoltStore.DeleteRange(from, to) })
 }
 
-// loneCatalog is an instance that is alone, on a failing disk.
-type loneCatalog struct {
-	t    *testing.T
-	node *Node
-	disk *failingDisk
-	http *httptest.Server
+// singleNodeCatalog is an instance that is alone, on a failing disk.
+type singleNodeCatalog struct {
+	t       *testing.T
+	node    *Node
+	storage *failingStorage
+	http    *httptest.Server
 }
 
-func openLone(t *testing.T, dir, addr string) *loneCatalog {
+func openSingleNode(t *testing.T, dir, addr string) *singleNodeCatalog {
 	t.Helper()
-	c := &loneCatalog{t: t}
+	c := &singleNodeCatalog{t: t}
 	node, err := Open(Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond, LogOutput: io.Discard,
 		openStorage: func(path string) (raftStorage, error) {
 			store, err := raftboltdb.New(raftboltdb.Options{Path: path})
-			c.disk = &failingDisk{BoltStore: store}
-			return c.disk, err
+			c.storage = &failingStorage{BoltStore: store}
+			return c.storage, err
 		}})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	return c
 }
 
-func (c *loneCatalog) close() {
+func (c *singleNodeCatalog) close() {
 	c.http.Close()
 	if err := c.node.Close(); err != nil {
 		c.t.Error(err)
@@ -88,7 +88,7 @@
 }
 
 // put writes a host and says how that was answered.
-func (c *loneCatalog) put(id string) int {
+func (c *singleNodeCatalog) put(id string) int {
 	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(`{"addr":"127.0.0.1:80"}`))
 	if err != nil {
 		c.t.Fatal(err)
@@ -102,11 +102,11 @@
 }
 
 // mustPut writes hosts, each until it is taken.
-func (c *loneCatalog) mustPut(ids ...string) {
+func (c *singleNodeCatalog) mustPut(ids ...string) {
 	c.t.Helper()
-	const patience = 30 * time.Second
+	const timeout = 30 * time.Second
 	for _, id := range ids {
-		for end := time.Now().Add(patience); c.put(id) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(timeout); c.put(id) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				c.t.Fatalf("%s is not taken", id)
 			}
@@ -127,44 +127,44 @@
 // A lone instance outlives a disk that fails some syncs or writes in a row, and takes writes
 // again by itself; all that it has acknowledged is there after that and after a restart, and
 // what failed leaves no entry of an older term behind one of a newer.
-func TestLoneInstanceOutlivesAFailingDisk(t *testing.T) {
+func TestSingleInstanceSurvivesStorageFailures(t *testing.T) {
 	addr, dir := freeAddr(t), t.TempDir()
-	c := openLone(t, dir, addr)
+	c := openSingleNode(t, dir, addr)
 	acknowledged := map[string]bool{}
-	writeUntilTaken := func(id string) {
+	mustPutAndRecord := func(id string) {
 		t.Helper()
 		c.mustPut(id)
 		acknowledged[id] = true
 	}
-	writeUntilTaken("s-first")
+	mustPutAndRecord("s-first")
 	for i := range 24 {
 		failures := int32(i%6 + 1)
 		if i%2 == 0 {
-			c.disk.syncs.Store(failures)
+			c.storage.failingSyncs.Store(failures)
 		} else {
-			c.disk.writes.Store(failures)
+			c.storage.failingWrites.Store(failures)
 		}
 		// This one fails, and so may the steps that follow: a term, a vote, an entry of its own.
 		if id := fmt.Sprint("s-failed-", i); c.put(id) == http.StatusOK {
 			t.Fatalf("%s is acknowledged, though the disk failed", id)
 		}
-		writeUntilTaken(fmt.Sprint("s-", i))
+		mustPutAndRecord(fmt.Sprint("s-", i))
 	}
 	check := func(when string) {
 		t.Helper()
 		for id := range acknowledged {
-			if _, there := c.node.store.Get(id); !there {
+			if _, found := c.node.store.Get(id); !found {
 				t.Errorf("%s: %s was acknowledged and is gone", when, id)
 			}
 		}
-		first, _ := c.disk.FirstIndex()
-		last, err := c.disk.LastIndex()
+		first, _ := c.storage.FirstIndex()
+		last, err := c.storage.LastIndex()
 		if err != nil {
 			t.Fatal(err)
 		}
 		var entry raft.Log
 		for index, term := first, uint64(0); index <= last; index++ {
-			if err := c.disk.GetLog(index, &entry); err != nil {
+			if err := c.storage.GetLog(index, &entry); err != nil {
 				t.Fatalf("%s: entry %d: %v", when, index, err)
 			}
 			if entry.Term < term {
@@ -175,8 +175,8 @@
 	}
 	check("after the failures")
 	c.close()
-	c = openLone(t, dir, addr)
+	c = openSingleNode(t, dir, addr)
 	defer c.close()
-	writeUntilTaken("s-last")
+	mustPutAndRecord("s-last")
 	check("after the restart")
 }
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -90,11 +90,11 @@
 }
 
 // admissionClass says in which class a call for a list waits.
-func (n *Node) admissionClass(r *http.Request, after uint64) admit.Class {
+func (n *Node) admissionClass(r *http.Request, afterVersion uint64) admit.Class {
 	switch {
-	case after > 0 && n.store.CanResume(after):
+	case afterVersion > 0 && n.store.CanResume(afterVersion):
 		return admit.Resume
-	case after > 0 || r.Header.Get(headerHaveList) != "":
+	case afterVersion > 0 || r.Header.Get(headerHaveList) != "":
 		return admit.Whole
 	}
 	return admit.Empty
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -286,9 +286,9 @@
 }
 
 func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	a := string(addr)
-	if v, ok := s.dialOverrides[a]; ok {
-		a = v
+	dialAddr := string(addr)
+	if v, ok := s.dialOverrides[dialAddr]; ok {
+		dialAddr = v
 	}
-	return net.DialTimeout("tcp", a, timeout)
+	return net.DialTimeout("tcp", dialAddr, timeout)
 }
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -58,19 +58,19 @@
 		return
 	}
 	q := r.URL.Query()
-	after := uint64(0)
+	afterVersion := uint64(0)
 	if s := q.Get("index"); s != "" {
 		var err error
-		if after, err = strconv.ParseUint(s, 10, 64); err != nil {
+		if afterVersion, err = strconv.ParseUint(s, 10, 64); err != nil {
 			http.Error(w, "index must be a whole number", http.StatusBadRequest)
 			return
 		}
 	}
-	n.serveListCall(w, r, after, q.Get("stream") == "1")
+	n.serveListCall(w, r, afterVersion, q.Get("stream") == "1")
 }
 
 // serveListCall lets a call for a list in and answers it, or says when to come back.
-func (n *Node) serveListCall(w http.ResponseWriter, r *http.Request, after uint64, stream bool) {
+func (n *Node) serveListCall(w http.ResponseWriter, r *http.Request, afterVersion uint64, stream bool) {
 	if stream {
 		select {
 		case n.watchSlots <- struct{}{}:
@@ -80,15 +80,15 @@
 			return
 		}
 	}
-	if wait, ok := n.admission.acquire(r.Context(), n.admissionClass(r, after)); !ok {
-		writeUnavailable(w, "too many calls", wait)
+	if retryAfter, ok := n.admission.acquire(r.Context(), n.admissionClass(r, afterVersion)); !ok {
+		writeUnavailable(w, "too many calls", retryAfter)
 		return
 	}
 	admittedAt := time.Now()
 	release := sync.OnceFunc(func() { n.admission.release(admittedAt) })
 	defer release()
 	if stream {
-		n.serveWatch(w, r, after, release)
+		n.serveWatch(w, r, afterVersion, release)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -102,7 +102,7 @@
 // write takes longer than WatchWrite, or when this instance turns stale. after==0
 // gets the whole list first. begun is called when the first of it is out: from there on
 // a watch is no work until something changes.
-func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, after uint64, releaseSlot func()) {
+func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, afterVersion uint64, releaseSlot func()) {
 	if c, ok := r.Context().Value(connKey{}).(*net.TCPConn); ok {
 		c.SetWriteBuffer(watchSendBufferBytes)
 	}
@@ -115,7 +115,7 @@
 		}
 		return rc.Flush() == nil
 	}
-	line, after := n.initialLine(r.Context(), after)
+	line, afterVersion := n.initialLine(r.Context(), afterVersion)
 	if line == nil {
 		writeUnavailable(w, "behind, without a leader", 0)
 		return
@@ -126,12 +126,12 @@
 	tick := time.NewTicker(keepAliveInterval)
 	defer tick.Stop()
 	for {
-		line, version, moved := n.store.ChangesSince(after)
+		line, version, moved := n.store.ChangesSince(afterVersion)
 		if line != nil {
 			if !send(line) {
 				return
 			}
-			after = version
+			afterVersion = version
 			continue
 		}
 		releaseSlot()
@@ -155,15 +155,15 @@
 // watcher to: the changes since, of which there may be none, or the whole list, also where that
 // version is not come to: another catalog has counted it. nil: this instance is behind, as its
 // leader has gone.
-func (n *Node) initialLine(ctx context.Context, after uint64) ([]byte, uint64) {
+func (n *Node) initialLine(ctx context.Context, afterVersion uint64) ([]byte, uint64) {
 	catchUpTimer := time.NewTimer(catchUpTimeout)
 	defer catchUpTimer.Stop()
-	for after > 0 {
-		line, version, moved := n.store.ChangesSince(after)
+	for afterVersion > 0 {
+		line, version, moved := n.store.ChangesSince(afterVersion)
 		if line != nil {
 			return line, version
 		}
-		if version == after {
+		if version == afterVersion {
 			return encodeNoChanges(version), version
 		}
 		select {
@@ -171,7 +171,7 @@
 			continue
 		case <-ctx.Done():
 		case <-catchUpTimer.C:
-			if !n.hasLiveLeader() || n.store.VersionBase()+n.raft.LastIndex() >= after {
+			if !n.hasLiveLeader() || n.store.VersionBase()+n.raft.LastIndex() >= afterVersion {
 				return nil, 0 // it will come to that version, or cannot tell
 			}
 		}
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -270,36 +270,36 @@
 // ChangesSince returns one line of the protocol with what changed after version after,
 // the whole list where the ring no longer holds that, or nothing where after is the
 // version or newer. moved is closed at the next change.
-func (s *Store) ChangesSince(after uint64) (line []byte, version uint64, changed <-chan struct{}) {
+func (s *Store) ChangesSince(afterVersion uint64) (line []byte, version uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after >= s.version {
+	if afterVersion >= s.version {
 		return nil, s.version, s.changed
 	}
-	if after < s.resumableFrom {
+	if afterVersion < s.resumableFrom {
 		return s.encodedListLocked(), s.version, s.changed
 	}
-	start := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > after })
+	start := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > afterVersion })
 	// The newest change of an entry says all; older ones of it are left out.
 	newest := map[string]int{}
 	for j := start; j < len(s.changes); j++ {
 		newest[s.changes[j].ID] = j
 	}
-	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"version":%d,"full":false,"servers":[`, s.version)
+	var buf bytes.Buffer
+	fmt.Fprintf(&buf, `{"version":%d,"full":false,"servers":[`, s.version)
 	firstChange := true
 	for j := start; j < len(s.changes); j++ {
 		if newest[s.changes[j].ID] != j {
 			continue
 		}
 		if !firstChange {
-			b.WriteByte(',')
+			buf.WriteByte(',')
 		}
 		firstChange = false
-		b.Write(s.changes[j].Encoded)
+		buf.Write(s.changes[j].Encoded)
 	}
-	b.WriteString("]}\n")
-	return b.Bytes(), s.version, s.changed
+	buf.WriteString("]}\n")
+	return buf.Bytes(), s.version, s.changed
 }
 
 // encodeNoChanges is one line of the protocol that says that nothing has changed since a version.
@@ -308,10 +308,10 @@
 }
 
 // CanResume says whether a watch after a version gets changes, not the whole list.
-func (s *Store) CanResume(after uint64) bool {
+func (s *Store) CanResume(afterVersion uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return after >= s.resumableFrom
+	return afterVersion >= s.resumableFrom
 }
 
 // FullList returns the whole list as one line of the protocol, and its version.
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -29,32 +29,32 @@
 
 // Cluster is n catalog processes whose raft links each go through a faultnet link.
 type Cluster struct {
-	t         FailureReporter
-	bin       string // of catalog
-	dir       string
+	reporter  FailureReporter
+	binary    string // of catalog
+	dataDir   string
 	IDs       []string // c1, c2, ...
-	raft      map[string]string
+	raftAddr  map[string]string
 	HTTPAddr  map[string]string // address by id
 	Mesh      *faultnet.Mesh    // between them
 	Processes map[string]*faultnet.Proc
-	extra     []string
+	extraArgs []string
 }
 
 // NewCluster starts n instances of bin with their data below dir.
-func NewCluster(t FailureReporter, bin, dir string, n int, extra ...string) *Cluster {
-	c := &Cluster{t: t, bin: bin, dir: dir, raft: map[string]string{}, HTTPAddr: map[string]string{},
-		Processes: map[string]*faultnet.Proc{}, extra: extra}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		t.Fatalf("%v", err)
+func NewCluster(reporter FailureReporter, binary, dataDir string, n int, extraArgs ...string) *Cluster {
+	c := &Cluster{reporter: reporter, binary: binary, dataDir: dataDir, raftAddr: map[string]string{}, HTTPAddr: map[string]string{},
+		Processes: map[string]*faultnet.Proc{}, extraArgs: extraArgs}
+	if err := os.MkdirAll(dataDir, 0o755); err != nil {
+		reporter.Fatalf("%v", err)
 	}
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprintf("c%d", i)
 		c.IDs = append(c.IDs, id)
-		c.raft[id], c.HTTPAddr[id] = FreeAddr(t), FreeAddr(t)
+		c.raftAddr[id], c.HTTPAddr[id] = FreeAddr(reporter), FreeAddr(reporter)
 	}
 	var err error
-	if c.Mesh, err = faultnet.NewMesh(c.raft); err != nil {
-		t.Fatalf("%v", err)
+	if c.Mesh, err = faultnet.NewMesh(c.raftAddr); err != nil {
+		reporter.Fatalf("%v", err)
 	}
 	for _, id := range c.IDs {
 		c.Start(id)
@@ -84,10 +84,10 @@
 }
 
 // FreeAddr is a loopback address that was free a moment ago.
-func FreeAddr(t FailureReporter) string {
+func FreeAddr(reporter FailureReporter) string {
 	a, err := faultnet.FreeAddr()
 	if err != nil {
-		t.Fatalf("%v", err)
+		reporter.Fatalf("%v", err)
 	}
 	return a
 }
@@ -95,18 +95,18 @@
 // Start starts one instance, anew on its data if it ran before.
 func (c *Cluster) Start(id string) {
 	var peers, via []string
-	for _, o := range c.IDs {
-		peers = append(peers, o+"="+c.raft[o]+"/"+c.HTTPAddr[o])
-		if o != id {
-			via = append(via, c.raft[o]+"="+c.Mesh.From(id, o).Addr)
+	for _, peerID := range c.IDs {
+		peers = append(peers, peerID+"="+c.raftAddr[peerID]+"/"+c.HTTPAddr[peerID])
+		if peerID != id {
+			via = append(via, c.raftAddr[peerID]+"="+c.Mesh.From(id, peerID).Addr)
 		}
 	}
-	args := append([]string{"-id", id, "-data", c.dir + "/" + id, "-raft", c.raft[id], "-http", c.HTTPAddr[id],
+	args := append([]string{"-id", id, "-data", c.dataDir + "/" + id, "-raft", c.raftAddr[id], "-http", c.HTTPAddr[id],
 		"-peers", strings.Join(peers, ","), "-via", strings.Join(via, ","),
-		"-heartbeat", "200ms", "-stale-after", "1s"}, c.extra...)
-	p, err := faultnet.Start(c.dir, id, c.bin, args)
+		"-heartbeat", "200ms", "-stale-after", "1s"}, c.extraArgs...)
+	p, err := faultnet.Start(c.dataDir, id, c.binary, args)
 	if err != nil {
-		c.t.Fatalf("%v", err)
+		c.reporter.Fatalf("%v", err)
 	}
 	c.Processes[id] = p
 }
@@ -125,7 +125,7 @@
 
 // WaitForLeader waits for one of ids to say it leads, and returns it.
 func (c *Cluster) WaitForLeader(ids ...string) string {
-	c.t.Helper()
+	c.reporter.Helper()
 	if len(ids) == 0 {
 		ids = c.IDs
 	}
@@ -137,7 +137,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("no leader among %v in 15 s", ids)
+	c.reporter.Fatalf("no leader among %v in 15 s", ids)
 	return ""
 }
 
@@ -172,12 +172,12 @@
 // Watcher follows the list as a gateway would: it resumes from its version at the
 // next address when a watch ends, and notes any version that goes back.
 type Watcher struct {
-	Addrs   []string // instances, in turn
-	mu      sync.Mutex
-	seen    []seen // each version taken, and when
-	version uint64
-	members map[string]catalog.Member
-	back    []string // versions that went back
+	Addrs       []string // instances, in turn
+	mu          sync.Mutex
+	received    []receivedVersion // each version taken, and when
+	version     uint64
+	members     map[string]catalog.Member
+	regressions []string // versions that went back
 }
 
 // Run follows the list until ctx ends.
@@ -199,7 +199,7 @@
 					if json.Unmarshal(lines.Bytes(), &l) != nil {
 						break
 					}
-					w.take(l)
+					w.apply(l)
 				}
 			}
 			resp.Body.Close()
@@ -211,11 +211,11 @@
 	}
 }
 
-func (w *Watcher) take(l catalog.List) {
+func (w *Watcher) apply(l catalog.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.Version < w.version {
-		w.back = append(w.back, fmt.Sprintf("%d after %d", l.Version, w.version))
+		w.regressions = append(w.regressions, fmt.Sprintf("%d after %d", l.Version, w.version))
 		return
 	}
 	if l.Full {
@@ -229,21 +229,21 @@
 		}
 	}
 	w.version = l.Version
-	w.seen = append(w.seen, seen{l.Version, time.Now()})
+	w.received = append(w.received, receivedVersion{l.Version, time.Now()})
 }
 
-type seen struct {
-	version uint64
-	at      time.Time
+type receivedVersion struct {
+	version    uint64
+	receivedAt time.Time
 }
 
 // ReceivedAt returns when the Watcher first had version v or a later one.
 func (w *Watcher) ReceivedAt(v uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, s := range w.seen {
+	for _, s := range w.received {
 		if s.version >= v {
-			return s.at, true
+			return s.receivedAt, true
 		}
 	}
 	return time.Time{}, false
@@ -305,5 +305,5 @@
 func (w *Watcher) VersionRegressions() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.back
+	return w.regressions
 }
