--- a/internal/catalog/disk.go
+++ b/internal/catalog/disk.go
@@ -9,7 +9,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// raftStorage keeps raft's log and what else it has to remember, in a file.
+// raftStorage persists raft's log and its stable state (current term and vote).
 type raftStorage interface {
 	raft.LogStore
 	raft.StableStore
@@ -21,35 +21,37 @@
 }
 
 const (
-	initialRetryDelay = 10 * time.Millisecond // after a term or vote that could not be saved
+	initialRetryDelay = 10 * time.Millisecond // for saving a term or vote
 	maxRetryDelay     = 500 * time.Millisecond
 )
 
-// retryingStorage is a disk whose failing writes raft outlives.
+// retryingStorage wraps a raftStorage so that raft survives failed writes.
 //
-// Raft ends the process when it cannot save a term, so terms and votes are written again until
-// they are saved; raft waits meanwhile, which is safe, as a term or vote counts only once it is
-// saved. A log entry that fails is raft's to handle: it answers an error and steps down. But a
-// sync that failed may have left the entry in the file, behind the end that raft knows of.
-// Were raft to write a shorter batch of a newer term over it, an entry of an older term would
-// stand behind one of a newer; so what a failed write may have left is removed before the next.
+// Raft panics when it cannot save a term, so writes of terms and votes are retried until they
+// succeed. Raft blocks meanwhile, which is safe because a term or vote counts only once it is saved.
+// Raft handles a failed write of log entries itself: it returns an error and steps down. But a
+// failed sync may leave the entries in the file, beyond the last index that raft knows of. If raft
+// then wrote a shorter batch of a newer term over them, an entry of an older term would follow one
+// of a newer term. Entries that a failed write may have left are therefore deleted before the next
+// write.
 type retryingStorage struct {
 	raftStorage
-	closing   chan struct{} // closed when the node ends
+	closing   chan struct{} // closed on shutdown
 	closeOnce sync.Once
 
 	mu            sync.Mutex
-	uncertainFrom uint64 // entries from here on may have been left by a write that failed; 0: none
+	uncertainFrom uint64 // index of the first entry that a failed write may have left; 0 if none
 }
 
 func newRetryingStorage(d raftStorage) *retryingStorage {
 	return &retryingStorage{raftStorage: d, closing: make(chan struct{})}
 }
 
-// StoreLog writes one entry.
+// StoreLog implements raft.LogStore.
 func (d *retryingStorage) StoreLog(entry *raft.Log) error { return d.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs writes entries; after an error none of them will be there.
+// StoreLogs implements raft.LogStore. If it fails, none of the entries remain once the next write
+// succeeds.
 func (d *retryingStorage) StoreLogs(entries []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +65,8 @@
 	return err
 }
 
-// removeUncertainEntries removes what a failed write may have left; d.mu is held.
+// removeUncertainEntries deletes the entries that a failed write may have left. The caller holds
+// d.mu.
 func (d *retryingStorage) removeUncertainEntries() error {
 	if d.uncertainFrom == 0 {
 		return nil
@@ -81,16 +84,18 @@
 	return nil
 }
 
-// Set saves a value, however often that takes.
+// Set implements raft.StableStore. It retries until the value is saved.
 func (d *retryingStorage) Set(key, value []byte) error {
 	return d.retryUntilSaved(key, func() error { return d.raftStorage.Set(key, value) })
 }
 
-// SetUint64 saves a number, however often that takes.
+// SetUint64 implements raft.StableStore. It retries until the value is saved.
 func (d *retryingStorage) SetUint64(key []byte, value uint64) error {
 	return d.retryUntilSaved(key, func() error { return d.raftStorage.SetUint64(key, value) })
 }
 
+// retryUntilSaved calls save with exponential backoff until it succeeds. After stopRetries it blocks
+// forever instead of returning an error.
 func (d *retryingStorage) retryUntilSaved(key []byte, save func() error) error {
 	firstFailure := time.Time{}
 	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
@@ -108,10 +113,10 @@
 		select {
 		case <-time.After(delay):
 		case <-d.closing:
-			select {} // raft would panic on an error; the process ends without it
+			select {} // raft panics on an error, and the process is about to exit
 		}
 	}
 }
 
-// stopRetries ends all retries, as the process ends.
+// stopRetries ends all retries because the process is shutting down.
 func (d *retryingStorage) stopRetries() { d.closeOnce.Do(func() { close(d.closing) }) }
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -11,11 +11,13 @@
 	"lynxspool/internal/admit"
 )
 
-// headerHaveList says that a caller which wants the whole list has one to go on with.
+// headerHaveList is set by a caller that asks for the whole list but still has an older one to work
+// with.
 const headerHaveList = "X-Catalog-Have"
 
-// admissionController lets calls for lists in by an admit.Gate: it keeps the clock and the callers that
-// wait.
+// admissionController limits concurrent list calls (fetches of the list and openings of watches).
+// The decisions are those of an admit.Gate; the controller supplies the clock and blocks the
+// waiting callers.
 type admissionController struct {
 	opt   admit.Options
 	start time.Time
@@ -23,73 +25,75 @@
 	mu       sync.Mutex
 	gate     *admit.Gate
 	lastID   uint64
-	verdicts map[uint64]chan admit.Verdict
-	shed     int64 // calls turned away since the start
+	verdicts map[uint64]chan admit.Verdict // by call id, for calls without a verdict
+	shed     int64                         // calls rejected since the start of the process
 }
 
 func newAdmissionController(opt admit.Options) *admissionController {
 	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), verdicts: map[uint64]chan admit.Verdict{}}
 }
 
-// deliverVerdicts hands out verdicts; g.mu is held.
-func (g *admissionController) deliverVerdicts(verdicts []admit.Verdict) {
+// deliverVerdicts passes verdicts to the calls that wait for them. The caller holds a.mu.
+func (a *admissionController) deliverVerdicts(verdicts []admit.Verdict) {
 	for _, v := range verdicts {
 		if !v.Admit {
-			g.shed++
+			a.shed++
 		}
-		g.verdicts[v.ID] <- v // it holds one, and each call has one
-		delete(g.verdicts, v.ID)
+		a.verdicts[v.ID] <- v // never blocks: the channel has room for the single verdict of the call
+		delete(a.verdicts, v.ID)
 	}
 }
 
-// acquire waits for a call to be let in. It returns false with the time to come back after,
-// or with 0 if the caller has gone. A call that was let in ends with leave.
-func (g *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
+// acquire blocks until a call is admitted or rejected. For a rejected call it returns false and the
+// time after which to retry, which is 0 if ctx ended first. An admitted call must end with release.
+func (a *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
 	verdict := make(chan admit.Verdict, 1)
-	g.mu.Lock()
-	g.lastID++
-	id := g.lastID
-	g.verdicts[id] = verdict
-	g.deliverVerdicts(g.gate.Arrive(time.Since(g.start), id, class))
-	g.mu.Unlock()
-	timer := time.NewTimer(g.opt.Wait)
+	a.mu.Lock()
+	a.lastID++
+	id := a.lastID
+	a.verdicts[id] = verdict
+	a.deliverVerdicts(a.gate.Arrive(time.Since(a.start), id, class))
+	a.mu.Unlock()
+	timer := time.NewTimer(a.opt.Wait)
 	defer timer.Stop()
 	for {
 		select {
 		case v := <-verdict:
 			return v.After, v.Admit
 		case <-timer.C:
-			g.mu.Lock()
-			g.deliverVerdicts(g.gate.Expire(time.Since(g.start)))
-			g.mu.Unlock()
-			timer.Reset(time.Millisecond) // should the clocks differ by a little
+			a.mu.Lock()
+			a.deliverVerdicts(a.gate.Expire(time.Since(a.start)))
+			a.mu.Unlock()
+			timer.Reset(time.Millisecond) // retries if the timer fired slightly before the wait limit
 		case <-ctx.Done():
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			if g.gate.Leave(id) {
-				delete(g.verdicts, id)
+			a.mu.Lock()
+			defer a.mu.Unlock()
+			if a.gate.Leave(id) {
+				delete(a.verdicts, id)
 				return 0, false
 			}
-			v := <-verdict // it was told in the same moment
+			v := <-verdict // the verdict was delivered at the same time as the cancellation
 			return v.After, v.Admit
 		}
 	}
 }
 
-// release ends a call's work, begun at a time.
-func (g *admissionController) release(admittedAt time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.deliverVerdicts(g.gate.Done(time.Since(g.start), time.Since(admittedAt)))
+// release ends an admitted call. admittedAt is when its work began.
+func (a *admissionController) release(admittedAt time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.deliverVerdicts(a.gate.Done(time.Since(a.start), time.Since(admittedAt)))
 }
 
-func (g *admissionController) counts() (inFlight, waiting int, shed int64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.gate.Working(), g.gate.Waiting(), g.shed
+// counts returns the calls in flight, the waiting calls, and the calls rejected since the start of
+// the process.
+func (a *admissionController) counts() (inFlight, waiting int, shed int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.gate.Working(), a.gate.Waiting(), a.shed
 }
 
-// admissionClass says in which class a call for a list waits.
+// admissionClass returns the class in which a list call waits.
 func (n *Node) admissionClass(r *http.Request, afterVersion uint64) admit.Class {
 	switch {
 	case afterVersion > 0 && n.store.CanResume(afterVersion):
@@ -100,8 +104,8 @@
 	return admit.Empty
 }
 
-// writeUnavailable answers 503 with a time to come back after; 0 draws one, so that callers that
-// are refused together do not return together.
+// writeUnavailable answers 503 with a Retry-After header. If retryAfter is not positive, it is
+// drawn at random from 0.5 s to 1.5 s, so that callers rejected together do not retry together.
 func writeUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		retryAfter = time.Second/2 + rand.N(time.Second)
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -1,6 +1,6 @@
-// Package catalog is the project's discovery service: a host list replicated on
-// hashicorp/raft and served in the form of the discovery protocol (whole list, and
-// watches of one JSON object a line).
+// Package catalog implements the discovery service: a list of hosts that is replicated with
+// hashicorp/raft and served over HTTP. A caller fetches the whole list as one JSON object, or
+// opens a watch that streams the list and its changes as newline-delimited JSON.
 package catalog
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Member is one host of the list, in the protocol's form.
+// Member is one host of the list as the discovery protocol encodes it.
 type Member struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -29,15 +29,17 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// List is a whole list (Full) or the changes after an earlier version.
+// List is one message of the discovery protocol. If Full is set, Servers holds all hosts;
+// otherwise it holds the hosts that changed since an earlier version.
 type List struct {
 	Version uint64   `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
 }
 
-// Patch is the body of a write: what it names is set, the rest of an existing entry
-// stays. A new entry needs Addr; its state is ready unless told.
+// Patch is the body of a write. Fields that are present replace those of the entry; absent
+// fields leave an existing entry unchanged. A new entry requires Addr and starts in state ready
+// with weight 1 unless the patch sets these.
 type Patch struct {
 	Addr      *string  `json:"addr"`
 	Zone      *string  `json:"zone"`
@@ -48,22 +50,23 @@
 	StartedMS *int64   `json:"started_ms"`
 }
 
-// Limits of what a write may carry.
+// Limits on writes and on the retained changes.
 const (
-	MaxBodyBytes       = 64 << 10 // bytes of a write's body
-	MaxIDBytes         = 128      // bytes of an id
-	MaxFieldBytes      = 256      // bytes of addr, zone or kind
-	maxRetainedChanges = 4096     // changes kept for watches that resume
+	MaxBodyBytes       = 64 << 10 // maximum size of the body of a write
+	MaxIDBytes         = 128      // maximum length of an entry's id
+	MaxFieldBytes      = 256      // maximum length of addr, zone and kind
+	maxRetainedChanges = 4096     // number of recent changes kept for resuming watches
 )
 
-// ErrInvalid marks a write that is refused for what it says; nothing of it is applied.
+// ErrInvalid marks a malformed write. No part of such a write is applied.
 var ErrInvalid = errors.New("invalid write")
 
 func invalidf(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// ValidateID checks an id: 1 to MaxIDBytes bytes of letters, digits and ".-_:".
+// ValidateID checks that id has 1 to MaxIDBytes bytes and consists of ASCII letters, digits and
+// the characters ".-_:".
 func ValidateID(id string) error {
 	if id == "" || len(id) > MaxIDBytes {
 		return invalidf("id must have 1 to %d bytes", MaxIDBytes)
@@ -78,8 +81,8 @@
 	return nil
 }
 
-// DecodePatch reads a write's body strictly: one JSON object, no unknown key, no
-// trailing data.
+// DecodePatch decodes the body of a write. It accepts exactly one JSON object and rejects unknown
+// keys and trailing data.
 func DecodePatch(body []byte) (Patch, error) {
 	var p Patch
 	dec := json.NewDecoder(bytes.NewReader(body))
@@ -93,8 +96,8 @@
 	return p, nil
 }
 
-// apply returns m with p laid over it, or why that is refused. exists says whether
-// m is an entry of the list.
+// apply returns m updated with the fields that p sets, or an error that wraps ErrInvalid. exists
+// reports whether m is already in the list.
 func (p *Patch) apply(m Member, exists bool) (Member, error) {
 	if !exists {
 		if p.Addr == nil {
@@ -152,31 +155,33 @@
 	return m, nil
 }
 
-// command is one raft log entry.
+// command is the JSON payload of one raft log entry. Its keys are part of the stored format.
 type command struct {
 	Op    string `json:"op"` // "put" or "del"
 	ID    string `json:"id"`
 	Patch Patch  `json:"patch,omitempty"`
-	Base  uint64 `json:"base,omitempty"` // of the versions, where the list has none yet
+	// Base is the version base in Unix milliseconds. It is set while the list has no base.
+	Base uint64 `json:"base,omitempty"`
 }
 
-// change is one applied change, kept for watches; Line is the member encoded once.
+// change is one applied change that is retained for watches. Encoded is the member as JSON, encoded
+// once for all watches.
 type change struct {
 	Version uint64
 	ID      string
 	Encoded []byte
 }
 
-// Store is the replicated list: raft's FSM, and what watches read.
+// Store holds the replicated list. It is raft's finite state machine, and watches read from it.
 type Store struct {
 	mu            sync.Mutex
 	members       map[string]Member
-	versionBase   uint64        // added to raft's index, so that no other catalog has counted the same
-	version       uint64        // base and raft index of the entry that last changed the list
-	changes       []change      // the last changes, oldest first
-	resumableFrom uint64        // every change after floor is in ring
-	changed       chan struct{} // closed at the next change
-	encodedList   []byte        // the whole list as of version, encoded once; nil: not yet
+	versionBase   uint64        // added to the raft index, so that a rebuilt catalog does not reuse versions
+	version       uint64        // versionBase plus the raft index of the last change
+	changes       []change      // the most recent changes, oldest first
+	resumableFrom uint64        // changes holds every change after this version
+	changed       chan struct{} // closed and replaced on each change
+	encodedList   []byte        // cached encoding of the whole list at version; nil if not yet encoded
 }
 
 // NewStore returns an empty list.
@@ -184,13 +189,13 @@
 	return &Store{members: map[string]Member{}, changed: make(chan struct{})}
 }
 
-// applyResult is what Apply returns for a command.
+// applyResult is the value that Apply returns to the proposer of a command.
 type applyResult struct {
 	Version uint64
 	Err     error
 }
 
-// Apply applies one committed entry; it is raft's to call.
+// Apply implements raft.FSM. It applies one committed log entry.
 func (s *Store) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -230,8 +235,9 @@
 	return applyResult{Version: s.version}
 }
 
-// setVersion takes the version of a change at a raft index; s.mu is held. The first change gives the
-// base: what was counted before it was counted by another catalog.
+// setVersion sets the version for a change at the given raft index. The first change sets the
+// version base. In a new list, a watch cannot resume from a version before that change, because
+// another catalog assigned it. The caller holds s.mu.
 func (s *Store) setVersion(base, index uint64) {
 	if s.versionBase == 0 {
 		s.versionBase = base
@@ -242,14 +248,15 @@
 	s.version = s.versionBase + index
 }
 
-// VersionBase is what versions are counted from; 0: no change has given it yet.
+// VersionBase returns the offset between raft indexes and versions, or 0 if no change has set it
+// yet.
 func (s *Store) VersionBase() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.versionBase
 }
 
-// ErrNotFound is the answer to a change of an entry that is not in the list.
+// ErrNotFound is returned for the deletion of an entry that is not in the list.
 var ErrNotFound = errors.New("no such entry")
 
 // Version returns the list's version.
@@ -259,7 +266,7 @@
 	return s.version
 }
 
-// Get says whether id is in the list.
+// Get returns the entry with the given id and whether it is in the list.
 func (s *Store) Get(id string) (Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,9 +274,9 @@
 	return m, ok
 }
 
-// ChangesSince returns one line of the protocol with what changed after version after,
-// the whole list where the ring no longer holds that, or nothing where after is the
-// version or newer. moved is closed at the next change.
+// ChangesSince returns the changes after afterVersion as one line of the protocol. It returns the
+// whole list if some of these changes are no longer retained, and nil if afterVersion is the
+// current version or newer. The channel changed is closed on the next change.
 func (s *Store) ChangesSince(afterVersion uint64) (line []byte, version uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,7 +287,7 @@
 		return s.encodedListLocked(), s.version, s.changed
 	}
 	start := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > afterVersion })
-	// The newest change of an entry says all; older ones of it are left out.
+	// Each change carries the whole member, so only the newest one of each member is sent.
 	newest := map[string]int{}
 	for j := start; j < len(s.changes); j++ {
 		newest[s.changes[j].ID] = j
@@ -302,19 +309,20 @@
 	return buf.Bytes(), s.version, s.changed
 }
 
-// encodeNoChanges is one line of the protocol that says that nothing has changed since a version.
+// encodeNoChanges returns a protocol line with the given version and no changes.
 func encodeNoChanges(version uint64) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[]}`+"\n", version)
 }
 
-// CanResume says whether a watch after a version gets changes, not the whole list.
+// CanResume reports whether a watch can resume after afterVersion with changes alone, without the
+// whole list.
 func (s *Store) CanResume(afterVersion uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return afterVersion >= s.resumableFrom
 }
 
-// FullList returns the whole list as one line of the protocol, and its version.
+// FullList returns the whole list as one line of the protocol, together with its version.
 func (s *Store) FullList() ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -338,14 +346,15 @@
 	return out
 }
 
-// Snapshot is raft's to call: a copy of the list and its version.
+// Snapshot implements raft.FSM. It copies the list and its version.
 func (s *Store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return snapshot{Base: s.versionBase, Version: s.version, Servers: s.sortedMembersLocked()}, nil
 }
 
-// Restore replaces the list with a snapshot's; watches then get the whole list.
+// Restore implements raft.FSM. It replaces the list with that of a snapshot. A snapshot holds no
+// changes, so watches at an older version then get the whole list.
 func (s *Store) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var snap snapshot
@@ -367,6 +376,7 @@
 	return nil
 }
 
+// snapshot is the stored form of the list. Its JSON keys are part of the snapshot format.
 type snapshot struct {
 	Base    uint64   `json:"base,omitempty"`
 	Version uint64   `json:"version"`
