--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -17,57 +17,60 @@
 	"lynxspool/internal/admit"
 )
 
-// Peer is one instance of a catalog: its raft id, the address raft listens on, and
-// the address its HTTP server listens on.
+// Peer identifies one instance of a catalog cluster: its raft id, the address on which raft listens
+// and the address on which its HTTP server listens.
 type Peer struct {
 	ID, RaftAddr, HTTPAddr string
 }
 
-// ParsePeers reads "id=raftaddr/httpaddr,..." as the -peers flag gives it.
+// ParsePeers parses the value of the -peers flag, a comma-separated list of
+// id=raftaddr/httpaddr.
 func ParsePeers(s string) ([]Peer, error) {
 	var peers []Peer
 	for _, f := range strings.Split(s, ",") {
 		if f = strings.TrimSpace(f); f == "" {
 			continue
 		}
-		id, addrs, ok1 := strings.Cut(f, "=")
-		r, h, ok2 := strings.Cut(addrs, "/")
-		if !ok1 || !ok2 || id == "" || r == "" || h == "" {
+		id, addrs, hasAddrs := strings.Cut(f, "=")
+		raftAddr, httpAddr, hasHTTP := strings.Cut(addrs, "/")
+		if !hasAddrs || !hasHTTP || id == "" || raftAddr == "" || httpAddr == "" {
 			return nil, fmt.Errorf("peer %q: want id=raftaddr/httpaddr", f)
 		}
-		peers = append(peers, Peer{ID: id, RaftAddr: r, HTTPAddr: h})
+		peers = append(peers, Peer{ID: id, RaftAddr: raftAddr, HTTPAddr: httpAddr})
 	}
 	return peers, nil
 }
 
-// Options configure one instance. Times are wall-clock durations.
+// Options configures one catalog instance. Durations are in wall-clock time.
 type Options struct {
-	ID            string
-	DataDir       string
-	RaftAddr      string            // address raft listens on and peers know it by
-	HTTPAddr      string            // address of the HTTP server
-	Peers         []Peer            // the whole cluster, this instance included; none for one alone
-	DialOverrides map[string]string // a peer's raft address -> the address to dial for it
-	// StaleAfter is how long a follower serves without hearing from a leader.
+	ID            string            // raft id of this instance
+	DataDir       string            // folder of the raft log, the stable state and the snapshots
+	RaftAddr      string            // address on which raft listens and which peers use for this instance
+	HTTPAddr      string            // address of the HTTP server of this instance
+	Peers         []Peer            // all instances of the cluster, including this one; empty for a single instance
+	DialOverrides map[string]string // maps a peer's raft address to the address to dial instead
+	// StaleAfter is how long a follower keeps serving lists without contact with a leader.
 	StaleAfter time.Duration
-	// WatchWriteTimeout bounds one write to a watcher; a watcher that takes longer is ended.
+	// WatchWriteTimeout bounds a single write of a list or of a watch. A watch that exceeds it is closed.
 	WatchWriteTimeout time.Duration
-	// MaxWatches bounds the open watches; more are answered 503.
+	// MaxWatches bounds the number of open watches. Further watches are answered with 503.
 	MaxWatches int
-	// HeartbeatTimeout is raft's heartbeat and election timeout; the lease is half of it.
+	// HeartbeatTimeout is raft's heartbeat and election timeout. The leader lease is half of it.
 	HeartbeatTimeout time.Duration
-	LogOutput        io.Writer
-	// CallLimits bounds the calls for lists in work and waiting; the zero value takes DefaultCallLimits.
+	// LogOutput receives the log of raft; nil means standard error.
+	LogOutput io.Writer
+	// CallLimits bounds the list calls in flight and waiting. The zero value means DefaultCallLimits.
 	CallLimits admit.Options
 
-	openStorage func(path string) (raftStorage, error) // of raft's log and stable store; nil: bbolt's
+	// openStorage opens the storage of raft's log and stable state; nil means openBoltStorage.
+	openStorage func(path string) (raftStorage, error)
 }
 
-// DefaultCallLimits lets 32 calls be in work and 1,024 wait for a second; callers beyond that
-// come back 2 ms apart at least (500 a second) and within 10 s.
+// DefaultCallLimits allows 32 list calls in flight and 1,024 waiting for up to 1 s. Rejected callers
+// are told to retry within 10 s and at least 2 ms apart (500 per second).
 var DefaultCallLimits = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
 
-// Node is one running instance.
+// Node is one running instance of the catalog.
 type Node struct {
 	opt        Options
 	raft       *raft.Raft
@@ -75,12 +78,12 @@
 	storage    *retryingStorage
 	transport  *raft.NetworkTransport
 	peers      map[raft.ServerID]Peer
-	watchSlots chan struct{} // one token an open watch
+	watchSlots chan struct{} // holds one token per open watch
 	admission  *admissionController
 }
 
-// Open starts an instance from its data folder; a folder without state is
-// bootstrapped with opt.Peers as the first configuration.
+// Open starts an instance on its data folder. If the folder holds no raft state, the cluster is
+// bootstrapped with opt.Peers as its initial configuration.
 func Open(opt Options) (*Node, error) {
 	if opt.ID == "" {
 		opt.ID = "c1"
@@ -125,11 +128,11 @@
 	if opt.openStorage == nil {
 		opt.openStorage = openBoltStorage
 	}
-	boltStorage, err := opt.openStorage(filepath.Join(opt.DataDir, "raft.db"))
+	underlying, err := opt.openStorage(filepath.Join(opt.DataDir, "raft.db"))
 	if err != nil {
 		return nil, fmt.Errorf("catalog: log store: %w", err)
 	}
-	storage := newRetryingStorage(boltStorage)
+	storage := newRetryingStorage(underlying)
 	n.storage = storage
 	snapshots, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
 	if err != nil {
@@ -172,6 +175,7 @@
 	return n, nil
 }
 
+// closeTransportAndStorage closes the raft transport, if there is one, and the raft storage.
 func (n *Node) closeTransportAndStorage() {
 	if n.transport != nil {
 		n.transport.Close()
@@ -179,13 +183,14 @@
 	n.storage.Close()
 }
 
-// shutdownTimeout is what raft has to end; it has nothing to write then, so only a data folder that
-// takes no writes holds it up for longer.
+// shutdownTimeout bounds the shutdown of raft. Raft writes nothing during a shutdown, so only a
+// data folder that takes no writes delays it for longer.
 const shutdownTimeout = 2 * time.Second
 
-var errShutdownTimeout = errors.New("catalog: ended while the data folder takes no writes")
+var errShutdownTimeout = errors.New("catalog: shutdown timed out because the data folder takes no writes")
 
-// Close stops raft and closes the data folder.
+// Close stops raft and closes the data folder. If raft does not stop within shutdownTimeout, Close
+// returns an error and leaves the storage open.
 func (n *Node) Close() error {
 	shutdownDone := make(chan error, 1)
 	go func() { shutdownDone <- n.raft.Shutdown().Error() }()
@@ -200,8 +205,8 @@
 	}
 }
 
-// StaleReason says why reads here would not be current, or "" where they are: a follower
-// that has not heard from a leader for StaleAfter.
+// StaleReason returns why the list of this instance may be out of date, or "" if it is current. It
+// is out of date on an instance that has had no contact with a leader for StaleAfter.
 func (n *Node) StaleReason() string {
 	if n.raft.State() == raft.Leader {
 		return ""
@@ -216,28 +221,28 @@
 	return ""
 }
 
-// hasLiveLeader says whether this instance leads or has just heard from its leader, which writes to it
-// several times in each heartbeat.
+// hasLiveLeader reports whether this instance is the leader or has had contact with its leader within
+// half of the heartbeat timeout. A leader contacts its followers several times per heartbeat timeout.
 func (n *Node) hasLiveLeader() bool {
 	if n.raft.State() == raft.Leader {
 		return true
 	}
-	leader, _ := n.raft.LeaderWithID() // none where a vote was given just now, which is a contact too
+	leader, _ := n.raft.LeaderWithID() // empty after a vote, which also counts as contact
 	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.HeartbeatTimeout/2
 }
 
-// leaderHTTP returns the HTTP address of the leader, or "" if none is known.
+// leaderHTTP returns the HTTP address of the leader, or "" if no leader is known.
 func (n *Node) leaderHTTP() string {
 	_, id := n.raft.LeaderWithID()
 	return n.peers[id].HTTPAddr
 }
 
-// write commits one command on the leader and returns the list's version after it.
-// Errors: ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (the
-// entry may yet commit), or a time-out.
+// write commits one command and returns the version of the list after it. It must run on the
+// leader. It fails with ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (after
+// which the entry may still commit) or raft.ErrEnqueueTimeout.
 func (n *Node) write(c command, timeout time.Duration) (uint64, error) {
 	if n.store.VersionBase() == 0 {
-		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog begins beyond all that the old one counted
+		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog continues above all versions of the old one
 	}
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -251,40 +256,41 @@
 	return r.Version, r.Err
 }
 
-// Status is what GET /catalog/status tells of an instance.
+// Status is the JSON body of GET /catalog/status.
 type Status struct {
 	ID            string `json:"id"`
 	State         string `json:"state"`
 	Leader        string `json:"leader"`
 	Version       uint64 `json:"version"`
 	Applied       uint64 `json:"applied"`
-	LastContactMS int64  `json:"last_contact_ms"` // -1: never, or this is the leader
+	LastContactMS int64  `json:"last_contact_ms"` // -1 on the leader and before the first contact
 	StaleReason   string `json:"stale,omitempty"`
 	Watches       int    `json:"watches"`
 	CallsInFlight int    `json:"calls_in_work"`
 	CallsWaiting  int    `json:"calls_waiting"`
-	CallsShed     int64  `json:"calls_shed"` // since the start
+	CallsShed     int64  `json:"calls_shed"` // since the start of the process
 }
 
 func (n *Node) status() Status {
 	_, leader := n.raft.LeaderWithID()
-	st := Status{ID: n.opt.ID, State: n.raft.State().String(), Leader: string(leader),
+	status := Status{ID: n.opt.ID, State: n.raft.State().String(), Leader: string(leader),
 		Version: n.store.Version(), Applied: n.raft.AppliedIndex(), LastContactMS: -1,
 		StaleReason: n.StaleReason(), Watches: len(n.watchSlots)}
-	st.CallsInFlight, st.CallsWaiting, st.CallsShed = n.admission.counts()
+	status.CallsInFlight, status.CallsWaiting, status.CallsShed = n.admission.counts()
 	if last := n.raft.LastContact(); !last.IsZero() && n.raft.State() != raft.Leader {
-		st.LastContactMS = time.Since(last).Milliseconds()
+		status.LastContactMS = time.Since(last).Milliseconds()
 	}
-	return st
+	return status
 }
 
-// streamLayer is raft's transport over TCP, where a peer may be dialled at another address
-// than it is known by (a proxy of the fault tests, or a translated address).
+// streamLayer implements raft.StreamLayer over TCP. It can dial a peer at another address than its
+// raft address, for example through a proxy of the fault tests or at a translated address.
 type streamLayer struct {
 	net.Listener
 	dialOverrides map[string]string
 }
 
+// Dial implements raft.StreamLayer.
 func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	dialAddr := string(addr)
 	if v, ok := s.dialOverrides[dialAddr]; ok {
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -18,28 +18,29 @@
 
 const (
 	membersPath       = "/catalog/members"
-	keepAliveInterval = 2 * time.Second // an empty line while nothing changes, as the protocol says
-	commitTimeout     = 5 * time.Second // for a write to commit
+	keepAliveInterval = 2 * time.Second // interval of the empty lines on an idle watch, set by the protocol
+	applyTimeout      = 5 * time.Second // limits the wait until raft starts to commit a write
 	headerForwarded   = "X-Catalog-Forwarded"
-	// watchSendBufferBytes is the socket send buffer of a watch: what a watcher that does not
-	// read can hold of this instance's memory (the kernel doubles it).
+	// watchSendBufferBytes is the socket send buffer of a watch. It bounds the memory that a
+	// watcher which does not read can occupy on this instance (the kernel doubles the value).
 	watchSendBufferBytes = 64 << 10
 )
 
-type connKey struct{}
+// connContextKey is the context key of the connection that carries a request.
+type connContextKey struct{}
 
-// ConnContext is for http.Server.ConnContext: it lets a watch bound its socket's
-// send buffer to watchBuffer.
+// ConnContext must be set as http.Server.ConnContext. It gives a watch access to its connection, so
+// that the watch can limit its send buffer to watchSendBufferBytes.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// Handler serves the protocol's discovery form and the writes:
+// Handler returns the HTTP handler for the discovery protocol, the writes and the status:
 //
-//	GET    /catalog/members[?stream=1&index=N]  whole list, or a watch
-//	PUT    /catalog/members/{id}                register or change (body: Patch)
-//	DELETE /catalog/members/{id}                deregister (watchers see state "gone")
-//	GET    /catalog/status                      this instance's raft state, as JSON
+//	GET    /catalog/members[?stream=1&index=N]  whole list, or a watch after version N
+//	PUT    /catalog/members/{id}                add or change an entry (body: Patch)
+//	DELETE /catalog/members/{id}                remove an entry (watchers get it in state "gone")
+//	GET    /catalog/status                      Status of this instance
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+membersPath, n.serveList)
@@ -52,9 +53,10 @@
 	return mux
 }
 
+// serveList answers a fetch of the list or a watch, unless this instance is stale.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
-	if why := n.StaleReason(); why != "" {
-		writeUnavailable(w, "stale: "+why, 0)
+	if reason := n.StaleReason(); reason != "" {
+		writeUnavailable(w, "stale: "+reason, 0)
 		return
 	}
 	q := r.URL.Query()
@@ -69,7 +71,8 @@
 	n.serveListCall(w, r, afterVersion, q.Get("stream") == "1")
 }
 
-// serveListCall lets a call for a list in and answers it, or says when to come back.
+// serveListCall answers a list call once it is admitted. A rejected call is answered with 503 and the
+// time after which to retry.
 func (n *Node) serveListCall(w http.ResponseWriter, r *http.Request, afterVersion uint64, stream bool) {
 	if stream {
 		select {
@@ -97,23 +100,23 @@
 	w.Write(line)
 }
 
-// serveWatch sends what changed after version after, then each change, and an empty
-// line every keepAlive while nothing does. It ends when the client goes, when a
-// write takes longer than WatchWrite, or when this instance turns stale. after==0
-// gets the whole list first. begun is called when the first of it is out: from there on
-// a watch is no work until something changes.
+// serveWatch sends the changes after afterVersion, then every further change, and an empty line every
+// keepAliveInterval while the list does not change. If afterVersion is 0, the whole list is sent
+// first. The watch ends when the watcher disconnects, when a write exceeds WatchWriteTimeout or when
+// this instance becomes stale. releaseSlot is called whenever the watcher is up to date, because a
+// watch takes no work until the list changes; it must tolerate repeated calls.
 func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, afterVersion uint64, releaseSlot func()) {
-	if c, ok := r.Context().Value(connKey{}).(*net.TCPConn); ok {
+	if c, ok := r.Context().Value(connContextKey{}).(*net.TCPConn); ok {
 		c.SetWriteBuffer(watchSendBufferBytes)
 	}
-	rc := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	send := func(b []byte) bool {
-		rc.SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
-		if _, err := w.Write(b); err != nil {
+	send := func(data []byte) bool {
+		controller.SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
+		if _, err := w.Write(data); err != nil {
 			return false
 		}
-		return rc.Flush() == nil
+		return controller.Flush() == nil
 	}
 	line, afterVersion := n.initialLine(r.Context(), afterVersion)
 	if line == nil {
@@ -123,10 +126,10 @@
 	if !send(line) {
 		return
 	}
-	tick := time.NewTicker(keepAliveInterval)
-	defer tick.Stop()
+	keepAliveTicker := time.NewTicker(keepAliveInterval)
+	defer keepAliveTicker.Stop()
 	for {
-		line, version, moved := n.store.ChangesSince(afterVersion)
+		line, version, changed := n.store.ChangesSince(afterVersion)
 		if line != nil {
 			if !send(line) {
 				return
@@ -138,8 +141,8 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-moved:
-		case <-tick.C:
+		case <-changed:
+		case <-keepAliveTicker.C:
 			if n.StaleReason() != "" || !send([]byte("\n")) {
 				return
 			}
@@ -147,19 +150,21 @@
 	}
 }
 
-// catchUpTimeout is how long a watch that resumes from a later version than there is here waits for
-// that: this instance may have entries to apply.
+// catchUpTimeout is how long a watch that resumes from a later version than that of this instance
+// waits for it, because this instance may still have log entries to apply.
 const catchUpTimeout = 250 * time.Millisecond
 
-// initialLine is what a watch after a version begins with, and the version that it brings the
-// watcher to: the changes since, of which there may be none, or the whole list, also where that
-// version is not come to: another catalog has counted it. nil: this instance is behind, as its
-// leader has gone.
+// initialLine returns the first line of a watch after afterVersion, and the version of the list that
+// the watcher then has. The line holds the changes since afterVersion, of which there may be none.
+// It holds the whole list if these changes are not retained, or if this catalog cannot reach
+// afterVersion, which another catalog then assigned. It is nil if this instance does not reach
+// afterVersion within catchUpTimeout and either has no live leader or still has log entries up to
+// afterVersion to apply.
 func (n *Node) initialLine(ctx context.Context, afterVersion uint64) ([]byte, uint64) {
 	catchUpTimer := time.NewTimer(catchUpTimeout)
 	defer catchUpTimer.Stop()
 	for afterVersion > 0 {
-		line, version, moved := n.store.ChangesSince(afterVersion)
+		line, version, changed := n.store.ChangesSince(afterVersion)
 		if line != nil {
 			return line, version
 		}
@@ -167,12 +172,12 @@
 			return encodeNoChanges(version), version
 		}
 		select {
-		case <-moved:
+		case <-changed:
 			continue
 		case <-ctx.Done():
 		case <-catchUpTimer.C:
 			if !n.hasLiveLeader() || n.store.VersionBase()+n.raft.LastIndex() >= afterVersion {
-				return nil, 0 // it will come to that version, or cannot tell
+				return nil, 0 // the version may still be reached, or no leader can rule it out
 			}
 		}
 		break
@@ -180,6 +185,7 @@
 	return n.store.FullList()
 }
 
+// serveWrite commits a PUT or DELETE of one entry on the leader. A follower forwards it.
 func (n *Node) serveWrite(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if err := ValidateID(id); err != nil {
@@ -203,7 +209,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// Checked here too, so that a bad write does not reach the log.
+		// Apply checks the patch too; the check here keeps invalid writes out of the raft log.
 		old, exists := n.store.Get(id)
 		if _, err := c.Patch.apply(old, exists); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -214,7 +220,7 @@
 		n.forward(w, r, body)
 		return
 	}
-	version, err := n.write(c, commitTimeout)
+	version, err := n.write(c, applyTimeout)
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -225,17 +231,18 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipLost),
 		errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrRaftShutdown):
-		// Lost leadership leaves the outcome open: the entry may yet commit.
+		// After a loss of leadership the outcome is unknown: the entry may still commit.
 		writeUnavailable(w, "not committed here: "+err.Error(), 0)
 	default:
 		writeUnavailable(w, err.Error(), 0)
 	}
 }
 
-var forwardClient = &http.Client{Timeout: commitTimeout + time.Second}
+// forwardClient sends writes to the leader. Its timeout exceeds the leader's applyTimeout.
+var forwardClient = &http.Client{Timeout: applyTimeout + time.Second}
 
-// forward sends a write on to the leader and passes its answer back; a write that
-// was forwarded once is not forwarded again.
+// forward sends a write to the leader and passes the leader's answer back to the caller. A write
+// that another instance forwarded is not forwarded again.
 func (n *Node) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	leader := n.leaderHTTP()
 	if leader == "" || r.Header.Get(headerForwarded) != "" {
