--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -17,14 +17,14 @@
 	"lynxspool/internal/faultnet"
 )
 
-// failingStorage is a data folder whose next writes fail on cue: as a sync that fails behind
-// what was written, or as a write for which there is no space.
+// failingStorage is a raftStorage whose next writes can be made to fail. A failing sync leaves the
+// written data in the file; a failing write leaves nothing, as on a full disk.
 type failingStorage struct {
 	*raftboltdb.BoltStore
-	failingSyncs, failingWrites atomic.Int32 // that are still to fail
+	failingSyncs, failingWrites atomic.Int32 // number of upcoming syncs and writes that fail
 }
 
-// runWrite carries out a write, or fails it.
+// runWrite runs a write and returns its error, or an injected error.
 func (d *failingStorage) runWrite(write func() error) error {
 	if d.failingWrites.Add(-1) >= 0 {
 		return syscall.ENOSPC
@@ -56,7 +56,7 @@
 	return d.runWrite(func() error { return d.BoltStore.DeleteRange(from, to) })
 }
 
-// singleNodeCatalog is an instance that is alone, on a failing disk.
+// singleNodeCatalog is a single catalog instance on a failingStorage.
 type singleNodeCatalog struct {
 	t       *testing.T
 	node    *Node
@@ -87,7 +87,7 @@
 	}
 }
 
-// put writes a host and says how that was answered.
+// put registers a host and returns the HTTP status code.
 func (c *singleNodeCatalog) put(id string) int {
 	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(`{"addr":"127.0.0.1:80"}`))
 	if err != nil {
@@ -101,20 +101,20 @@
 	return resp.StatusCode
 }
 
-// mustPut writes hosts, each until it is taken.
+// mustPut registers hosts. It repeats each write until it is acknowledged.
 func (c *singleNodeCatalog) mustPut(ids ...string) {
 	c.t.Helper()
 	const timeout = 30 * time.Second
 	for _, id := range ids {
 		for end := time.Now().Add(timeout); c.put(id) != http.StatusOK; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				c.t.Fatalf("%s is not taken", id)
+				c.t.Fatalf("the write of %s was not acknowledged within %v", id, timeout)
 			}
 		}
 	}
 }
 
-// freeAddr is a loopback address that is free.
+// freeAddr returns a free loopback address.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := faultnet.FreeAddr()
@@ -124,9 +124,9 @@
 	return addr
 }
 
-// A lone instance outlives a disk that fails some syncs or writes in a row, and takes writes
-// again by itself; all that it has acknowledged is there after that and after a restart, and
-// what failed leaves no entry of an older term behind one of a newer.
+// A single instance must survive a series of failed syncs or writes and then accept writes again by
+// itself. Acknowledged writes must still be there afterwards and after a restart. An entry that a
+// failed sync leaves in the log must not follow one of a newer term.
 func TestSingleInstanceSurvivesStorageFailures(t *testing.T) {
 	addr, dir := freeAddr(t), t.TempDir()
 	c := openSingleNode(t, dir, addr)
@@ -144,17 +144,18 @@
 		} else {
 			c.storage.failingWrites.Store(failures)
 		}
-		// This one fails, and so may the steps that follow: a term, a vote, an entry of its own.
+		// The injected failures hit this write and may also hit the writes of the election that
+		// follows: a term, a vote, and the new leader's own log entry.
 		if id := fmt.Sprint("s-failed-", i); c.put(id) == http.StatusOK {
-			t.Fatalf("%s is acknowledged, though the disk failed", id)
+			t.Fatalf("the write of %s was acknowledged although the storage failed", id)
 		}
 		mustPutAndRecord(fmt.Sprint("s-", i))
 	}
-	check := func(when string) {
+	checkAcknowledgedAndTerms := func(when string) {
 		t.Helper()
 		for id := range acknowledged {
 			if _, found := c.node.store.Get(id); !found {
-				t.Errorf("%s: %s was acknowledged and is gone", when, id)
+				t.Errorf("%s: acknowledged entry %s is missing", when, id)
 			}
 		}
 		first, _ := c.storage.FirstIndex()
@@ -165,18 +166,18 @@
 		var entry raft.Log
 		for index, term := first, uint64(0); index <= last; index++ {
 			if err := c.storage.GetLog(index, &entry); err != nil {
-				t.Fatalf("%s: entry %d: %v", when, index, err)
+				t.Fatalf("%s: log entry %d: %v", when, index, err)
 			}
 			if entry.Term < term {
-				t.Errorf("%s: entry %d is of term %d, behind one of term %d", when, index, entry.Term, term)
+				t.Errorf("%s: log entry %d has term %d but follows an entry of term %d", when, index, entry.Term, term)
 			}
 			term = entry.Term
 		}
 	}
-	check("after the failures")
+	checkAcknowledgedAndTerms("after the failures")
 	c.close()
 	c = openSingleNode(t, dir, addr)
 	defer c.close()
 	mustPutAndRecord("s-last")
-	check("after the restart")
+	checkAcknowledgedAndTerms("after the restart")
 }
--- a/internal/catalog/gate_test.go
+++ b/internal/catalog/gate_test.go
@@ -14,8 +14,7 @@
 	"lynxspool/internal/admit"
 )
 
-// newListNode is a handler over a store of n hosts, with no raft behind it: calls for lists
-// need none while the instance is not stale.
+// newListNode returns a node with n hosts and without raft, which serveListCall does not use.
 func newListNode(n int, opt admit.Options) *Node {
 	node := &Node{opt: Options{WatchWriteTimeout: time.Second}, store: NewStore(), watchSlots: make(chan struct{}, 8), admission: newAdmissionController(opt)}
 	for i := range n {
@@ -25,7 +24,7 @@
 	return node
 }
 
-// getList asks for the whole list as serveList does past the check on age.
+// getList fetches the whole list as serveList does after its check for staleness.
 func (n *Node) getList(haveList string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest("GET", membersPath, nil)
 	if haveList != "" {
@@ -36,30 +35,30 @@
 	return w
 }
 
-// With one call in work and one waiting, a third is told when to come back, each at a time
-// of its own; one without a list takes the place of one that has one; and what was let in
-// is answered.
+// With one list call in flight and one waiting, each further call must be rejected with a Retry-After
+// of its own. A call without a list must displace a waiting call that has one, and an admitted call
+// must be answered.
 func TestListCallsAreShedWhenQueueIsFull(t *testing.T) {
 	n := newListNode(3, admit.Options{Work: 1, Queue: 1, Wait: time.Minute, Least: 10 * time.Millisecond, Most: time.Minute})
-	if _, ok := n.admission.acquire(t.Context(), admit.Empty); !ok { // holds the one place
-		t.Fatal("an idle catalog did not let a call in")
+	if _, ok := n.admission.acquire(t.Context(), admit.Empty); !ok { // occupies the only slot
+		t.Fatal("an idle catalog did not admit a call")
 	}
 	admittedAt := time.Now()
 	var wg sync.WaitGroup
-	answers := make([]*httptest.ResponseRecorder, 2)
+	responses := make([]*httptest.ResponseRecorder, 2)
 	waitForCounts := func(want string) {
 		for i := 0; ; i++ {
 			if _, waits, shed := n.admission.counts(); fmt.Sprint(waits, shed) == want {
 				return
 			} else if i > 5000 {
-				t.Fatalf("waiting and shed are %d %d, want %s", waits, shed, want)
+				t.Fatalf("waiting and shed calls are %d %d, want %s", waits, shed, want)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	for i, have := range []string{"7", ""} { // the second has no list
+	for i, have := range []string{"7", ""} { // the second caller has no list
 		wg.Add(1)
-		go func() { defer wg.Done(); answers[i] = n.getList(have) }()
+		go func() { defer wg.Done(); responses[i] = n.getList(have) }()
 		waitForCounts([]string{"1 0", "1 1"}[i])
 	}
 	seenRetryAfter := map[string]bool{}
@@ -73,12 +72,13 @@
 	}
 	n.admission.release(admittedAt)
 	wg.Wait()
-	if answers[0].Code != http.StatusServiceUnavailable || answers[1].Code != http.StatusOK || answers[1].Body.Len() == 0 {
-		t.Errorf("with a list %d, with none %d", answers[0].Code, answers[1].Code)
+	if responses[0].Code != http.StatusServiceUnavailable || responses[1].Code != http.StatusOK || responses[1].Body.Len() == 0 {
+		t.Errorf("status of the caller with a list %d, without a list %d", responses[0].Code, responses[1].Code)
 	}
 }
 
-// The cost of a call that is turned away beside one that is served 2,000 hosts.
+// BenchmarkListCall compares the cost of a rejected list call with that of a call that is served a
+// list of 2,000 hosts.
 func BenchmarkListCall(b *testing.B) {
 	for _, c := range []struct {
 		name string
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -239,7 +239,7 @@
 
 // write commits one command and returns the version of the list after it. It must run on the
 // leader. It fails with ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (after
-// which the entry may still commit) or raft.ErrEnqueueTimeout.
+// which the entry may still commit) or another raft error such as raft.ErrEnqueueTimeout.
 func (n *Node) write(c command, timeout time.Duration) (uint64, error) {
 	if n.store.VersionBase() == 0 {
 		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog continues above all versions of the old one
--- a/internal/catalog/resume_test.go
+++ b/internal/catalog/resume_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// watchFirstLine is the first list on a watch from a version on.
+// watchFirstLine returns the first list of a watch after the given version.
 func (c *singleNodeCatalog) watchFirstLine(afterVersion uint64) (list List) {
 	c.t.Helper()
 	client := http.Client{Timeout: 10 * time.Second}
@@ -23,28 +23,28 @@
 		c.t.Fatal(err)
 	}
 	if err := json.Unmarshal(line, &list); err != nil {
-		c.t.Errorf("a watch from version %d on begins with %q", afterVersion, line)
+		c.t.Errorf("a watch after version %d begins with %q", afterVersion, line)
 	}
 	return list
 }
 
-// A watch begins with what changed after its version: nothing, where that is the last one, and
-// the whole list, where this catalog has not come to it: it was counted by another.
+// A watch must begin with the changes after its version: with none at the current version, and with
+// the whole list at a version that this catalog has not reached, because another catalog assigned it.
 func TestWatchStartsWithChangesOrWholeList(t *testing.T) {
 	c := openSingleNode(t, t.TempDir(), freeAddr(t))
 	defer c.close()
 	c.mustPut("s-1")
 	version := c.node.store.Version()
 	if l := c.watchFirstLine(version); l.Version != version || l.Full || len(l.Servers) != 0 {
-		t.Errorf("from the last version on: %+v, want no changes", l)
+		t.Errorf("after the current version: %+v, want no changes", l)
 	}
 	if l := c.watchFirstLine(version + 1000); l.Version != version || !l.Full || len(l.Servers) != 1 {
-		t.Errorf("from a version that is not come to: %+v, want the whole list", l)
+		t.Errorf("after a version that is not reached: %+v, want the whole list", l)
 	}
 }
 
-// A catalog that was rebuilt on an empty folder counts on from beyond the old one, so that no
-// version of one passes for a version of the other: a watch that resumes gets the whole list.
+// A catalog rebuilt on an empty data folder must continue above the versions of the old catalog. If it
+// reused them, a watch that resumes from an old version would miss hosts; it must get the whole list.
 func TestRebuiltCatalogDoesNotReuseVersions(t *testing.T) {
 	addr := freeAddr(t)
 	old := openSingleNode(t, t.TempDir(), addr)
@@ -55,7 +55,7 @@
 	defer func() { rebuilt.close() }()
 	rebuilt.mustPut("s-1", "s-2", "s-3", "s-4")
 	if l := rebuilt.watchFirstLine(version); l.Version <= version || !l.Full || len(l.Servers) != 4 {
-		t.Errorf("from version %d of the old one on: %+v, want the whole list under a later version", version, l)
+		t.Errorf("after version %d of the old catalog: %+v, want the whole list with a later version", version, l)
 	}
 	before := rebuilt.node.store.Version()
 	dir := rebuilt.node.opt.DataDir
@@ -63,6 +63,6 @@
 	rebuilt = openSingleNode(t, dir, addr)
 	rebuilt.mustPut("s-5")
 	if l := rebuilt.watchFirstLine(before); l.Full || len(l.Servers) != 1 {
-		t.Errorf("after a restart, from version %d on: %+v, want the one change", before, l)
+		t.Errorf("after version %d and a restart: %+v, want the one change", before, l)
 	}
 }
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -1,6 +1,6 @@
-// Package catalogfleet starts catalog clusters on loopback with faults between their
-// instances, and follows their lists as gateways do: for the catalog's tests and for the
-// experiments of the fleet lab.
+// Package catalogfleet starts catalog clusters on the loopback interface, injects network faults
+// between their instances and watches their lists as gateways do. It serves the tests of the catalog
+// and the experiments of the fleet lab.
 package catalogfleet
 
 import (
@@ -21,33 +21,35 @@
 	"lynxspool/internal/faultnet"
 )
 
-// FailureReporter is what a Cluster reports a failure to; a test is one. Fatalf does not return.
+// FailureReporter receives the failures of a Cluster. A *testing.T implements it. Fatalf must not
+// return.
 type FailureReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// Cluster is n catalog processes whose raft links each go through a faultnet link.
+// Cluster is a set of catalog processes whose raft connections each pass through a faultnet link.
 type Cluster struct {
 	reporter  FailureReporter
-	binary    string // of catalog
+	binary    string // path of the catalog binary
 	dataDir   string
-	IDs       []string // c1, c2, ...
+	IDs       []string // raft ids of the instances: c1, c2 and so on
 	raftAddr  map[string]string
-	HTTPAddr  map[string]string // address by id
-	Mesh      *faultnet.Mesh    // between them
+	HTTPAddr  map[string]string // address of the HTTP server by instance id
+	Mesh      *faultnet.Mesh    // raft links between the instances
 	Processes map[string]*faultnet.Proc
 	extraArgs []string
 }
 
-// NewCluster starts n instances of bin with their data below dir.
-func NewCluster(reporter FailureReporter, binary, dataDir string, n int, extraArgs ...string) *Cluster {
+// NewCluster starts instanceCount instances of the catalog binary with their data folders below
+// dataDir. extraArgs are added to the command line of each instance.
+func NewCluster(reporter FailureReporter, binary, dataDir string, instanceCount int, extraArgs ...string) *Cluster {
 	c := &Cluster{reporter: reporter, binary: binary, dataDir: dataDir, raftAddr: map[string]string{}, HTTPAddr: map[string]string{},
 		Processes: map[string]*faultnet.Proc{}, extraArgs: extraArgs}
 	if err := os.MkdirAll(dataDir, 0o755); err != nil {
 		reporter.Fatalf("%v", err)
 	}
-	for i := 1; i <= n; i++ {
+	for i := 1; i <= instanceCount; i++ {
 		id := fmt.Sprintf("c%d", i)
 		c.IDs = append(c.IDs, id)
 		c.raftAddr[id], c.HTTPAddr[id] = FreeAddr(reporter), FreeAddr(reporter)
@@ -62,7 +64,7 @@
 	return c
 }
 
-// Close kills the instances and ends the links; logf, if given, gets each one's log.
+// Close kills the instances and closes the links. If logf is not nil, it receives the end of each log.
 func (c *Cluster) Close(logf func(string, ...any)) {
 	for _, p := range c.Processes {
 		p.Kill()
@@ -76,14 +78,15 @@
 	}
 }
 
-func tail(s string, n int) string {
-	if len(s) > n {
-		return s[len(s)-n:]
+// tail returns the last maxBytes bytes of text.
+func tail(text string, maxBytes int) string {
+	if len(text) > maxBytes {
+		return text[len(text)-maxBytes:]
 	}
-	return s
+	return text
 }
 
-// FreeAddr is a loopback address that was free a moment ago.
+// FreeAddr returns a loopback address that was free when it was chosen.
 func FreeAddr(reporter FailureReporter) string {
 	a, err := faultnet.FreeAddr()
 	if err != nil {
@@ -92,7 +95,7 @@
 	return a
 }
 
-// Start starts one instance, anew on its data if it ran before.
+// Start starts one instance, or restarts it on its existing data folder.
 func (c *Cluster) Start(id string) {
 	var peers, via []string
 	for _, peerID := range c.IDs {
@@ -111,19 +114,20 @@
 	c.Processes[id] = p
 }
 
-// FetchStatus asks an instance for its status.
+// FetchStatus fetches the status of the instance at addr.
 func FetchStatus(addr string) (catalog.Status, error) {
-	var st catalog.Status
+	var status catalog.Status
 	cl := http.Client{Timeout: time.Second}
 	resp, err := cl.Get("http://" + addr + "/catalog/status")
 	if err != nil {
-		return st, err
+		return status, err
 	}
 	defer resp.Body.Close()
-	return st, json.NewDecoder(resp.Body).Decode(&st)
+	return status, json.NewDecoder(resp.Body).Decode(&status)
 }
 
-// WaitForLeader waits for one of ids to say it leads, and returns it.
+// WaitForLeader waits until one of the given instances reports that it is the leader, and returns its
+// id. Without ids it considers all instances.
 func (c *Cluster) WaitForLeader(ids ...string) string {
 	c.reporter.Helper()
 	if len(ids) == 0 {
@@ -137,13 +141,14 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.reporter.Fatalf("no leader among %v in 15 s", ids)
+	c.reporter.Fatalf("no leader elected among %v within 15 s", ids)
 	return ""
 }
 
 var client = &http.Client{Timeout: 10 * time.Second}
 
-// PutMember writes one entry at addr and returns the status code.
+// PutMember writes one entry through the instance at addr and returns the HTTP status code, or 0 if
+// there was no answer.
 func PutMember(addr, id, body string) int {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
 	resp, err := client.Do(req)
@@ -155,7 +160,8 @@
 	return resp.StatusCode
 }
 
-// FetchList asks an instance for its list; the code is 0 with no answer.
+// FetchList fetches the list of the instance at addr. The returned HTTP status code is 0 if there was
+// no answer.
 func FetchList(addr string) (catalog.List, int) {
 	var l catalog.List
 	resp, err := client.Get("http://" + addr + "/catalog/members")
@@ -169,18 +175,18 @@
 	return l, resp.StatusCode
 }
 
-// Watcher follows the list as a gateway would: it resumes from its version at the
-// next address when a watch ends, and notes any version that goes back.
+// Watcher watches the list as a gateway does. When a watch ends, it resumes from its version at the
+// next address. It records every version that is lower than the one before it.
 type Watcher struct {
-	Addrs       []string // instances, in turn
+	Addrs       []string // instances to watch, used in turn
 	mu          sync.Mutex
-	received    []receivedVersion // each version taken, and when
+	received    []receivedVersion // each received version and its time of receipt
 	version     uint64
 	members     map[string]catalog.Member
-	regressions []string // versions that went back
+	regressions []string // descriptions of the versions that went back
 }
 
-// Run follows the list until ctx ends.
+// Run watches the list until ctx ends. It starts at a random address.
 func (w *Watcher) Run(ctx context.Context) {
 	w.members = map[string]catalog.Member{}
 	cl := http.Client{}
@@ -211,6 +217,7 @@
 	}
 }
 
+// apply merges one message of the protocol into the list, unless its version goes back.
 func (w *Watcher) apply(l catalog.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -232,31 +239,32 @@
 	w.received = append(w.received, receivedVersion{l.Version, time.Now()})
 }
 
+// receivedVersion is a version of the list and when the watcher received it.
 type receivedVersion struct {
 	version    uint64
 	receivedAt time.Time
 }
 
-// ReceivedAt returns when the Watcher first had version v or a later one.
-func (w *Watcher) ReceivedAt(v uint64) (time.Time, bool) {
+// ReceivedAt returns when the watcher first received the given version or a later one.
+func (w *Watcher) ReceivedAt(version uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.received {
-		if s.version >= v {
+		if s.version >= version {
 			return s.receivedAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// VersionAndCount is the version and the number of hosts that the watcher has.
+// VersionAndCount returns the version of the watcher's list and its number of hosts.
 func (w *Watcher) VersionAndCount() (uint64, int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version, len(w.members)
 }
 
-// HTTPAddrs are the addresses of some instances.
+// HTTPAddrs returns the addresses of the HTTP servers of the given instances.
 func (c *Cluster) HTTPAddrs(ids ...string) []string {
 	var out []string
 	for _, id := range ids {
@@ -265,30 +273,31 @@
 	return out
 }
 
-// Without is ids less one.
-func Without(ids []string, drop string) []string {
+// Without returns ids without the excluded one.
+func Without(ids []string, excluded string) []string {
 	var out []string
 	for _, id := range ids {
-		if id != drop {
+		if id != excluded {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// ProcessUsage reads the resident memory of a process in kB and its open descriptors.
-func ProcessUsage(pid int) (rssKB int, fds int) {
+// ProcessUsage returns the resident memory of a process in kB and its number of open descriptors.
+func ProcessUsage(pid int) (rssKB int, descriptorCount int) {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(b), "\n") {
 		if f := strings.Fields(line); len(f) >= 2 && f[0] == "VmRSS:" {
 			rssKB, _ = strconv.Atoi(f[1])
 		}
 	}
-	ents, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	return rssKB, len(ents)
+	descriptors, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	return rssKB, len(descriptors)
 }
 
-// CommitMember writes one entry at addr and returns the version it was committed at.
+// CommitMember writes one entry through the instance at addr. It returns the version at which the
+// entry was committed and whether the commit was confirmed.
 func CommitMember(addr, id, body string) (uint64, bool) {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
 	resp, err := client.Do(req)
@@ -301,7 +310,8 @@
 	return v.Version, resp.StatusCode == 200 && json.Unmarshal(b, &v) == nil && v.Version > 0
 }
 
-// VersionRegressions is the versions that the watcher saw go back; there should be none.
+// VersionRegressions describes each version that was lower than the one before it. A correct catalog
+// causes none.
 func (w *Watcher) VersionRegressions() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/catalogfleet/experiment.go
+++ b/internal/catalogfleet/experiment.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// panicReporter ends an experiment at its first failure.
+// panicReporter is a FailureReporter that ends an experiment at its first failure by a panic.
 type panicReporter struct{}
 
 func (panicReporter) Helper() {}
 
 func (panicReporter) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
 
-// ExperimentResult are those of an Experiment. Times are in milliseconds.
+// ExperimentResult holds the measurements of RunExperiment.
 type ExperimentResult struct {
 	Watchers        int     `json:"watchers"`
-	FanoutP50MS     float64 `json:"fanout_p50_ms"` // commit to the last watcher, over 3 instances
+	FanoutP50MS     float64 `json:"fanout_p50_ms"` // from the commit to the receipt by the last watcher, over 3 instances
 	FanoutP99MS     float64 `json:"fanout_p99_ms"`
-	InstanceMB      float64 `json:"mb"` // of one instance with all the watches
-	Descriptors     int     `json:"descriptors"`
-	KBPerWatch      float64 `json:"kb_a_watch"`
-	LeaderKillP50MS float64 `json:"leader_kill_p50_ms"` // SIGKILL to the next committed write
+	InstanceMB      float64 `json:"mb"`                 // resident memory of one instance with all watches open
+	Descriptors     int     `json:"descriptors"`        // open descriptors of that instance
+	KBPerWatch      float64 `json:"kb_a_watch"`         // resident memory per watch
+	LeaderKillP50MS float64 `json:"leader_kill_p50_ms"` // from the SIGKILL of the leader to the next committed write
 	LeaderKillP99MS float64 `json:"leader_kill_p99_ms"`
 }
 
-// RunExperiment measures fan-out, memory of watches and failover of clusters of the catalog
-// binary bin, with data below dir. Kills of 0 leaves the failover out.
-func RunExperiment(bin, dir string, watchers, writes, kills int) (f ExperimentResult, err error) {
+// RunExperiment starts clusters of the given catalog binary with data folders below dataDir. It
+// measures the fan-out of writes, the memory of watches and the failover time. If kills is 0, it
+// does not measure the failover.
+func RunExperiment(binary, dataDir string, watchers, writes, kills int) (result ExperimentResult, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			e, ok := p.(error)
@@ -41,19 +42,19 @@
 			err = errors.Join(errors.New("catalog experiment"), e)
 		}
 	}()
-	f.Watchers = watchers
-	f.FanoutP50MS, f.FanoutP99MS = measureFanout(bin, filepath.Join(dir, "fanout"), watchers, writes)
-	f.InstanceMB, f.Descriptors, f.KBPerWatch = measureWatchMemory(bin, filepath.Join(dir, "memory"), watchers)
+	result.Watchers = watchers
+	result.FanoutP50MS, result.FanoutP99MS = measureFanout(binary, filepath.Join(dataDir, "fanout"), watchers, writes)
+	result.InstanceMB, result.Descriptors, result.KBPerWatch = measureWatchMemory(binary, filepath.Join(dataDir, "memory"), watchers)
 	if kills > 0 {
-		f.LeaderKillP50MS, f.LeaderKillP99MS = measureFailover(bin, filepath.Join(dir, "failover"), kills)
+		result.LeaderKillP50MS, result.LeaderKillP99MS = measureFailover(binary, filepath.Join(dataDir, "failover"), kills)
 	}
-	return f, nil
+	return result, nil
 }
 
-// measureFanout times, for each of writes writes, the commit to the last of n watchers
-// (spread over 3 instances) having it; it returns p50 and p99 in ms.
-func measureFanout(bin, dir string, watcherCount, writes int) (float64, float64) {
-	c := NewCluster(panicReporter{}, bin, dir, 3)
+// measureFanout measures how long after its commit a write reaches the last of watcherCount watchers,
+// which are spread over 3 instances. It returns p50 and p99 over the writes in ms.
+func measureFanout(binary, dataDir string, watcherCount, writes int) (float64, float64) {
+	c := NewCluster(panicReporter{}, binary, dataDir, 3)
 	defer c.Close(nil)
 	leader := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
@@ -79,7 +80,7 @@
 		v, ok := CommitMember(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
 		committedAt := time.Now()
 		if !ok {
-			panicReporter{}.Fatalf("a write failed")
+			panicReporter{}.Fatalf("a write was not committed")
 		}
 		var lastReceivedAt time.Time
 		for _, w := range watchers {
@@ -91,7 +92,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			if !ok {
-				panicReporter{}.Fatalf("a Watcher lacks version %d after 5 s", v)
+				panicReporter{}.Fatalf("a watcher has not received version %d after 5 s", v)
 			}
 			lastReceivedAt = maxTime(lastReceivedAt, receivedAt)
 		}
@@ -101,10 +102,10 @@
 	return quantileMS(lags, 0.5), quantileMS(lags, 0.99)
 }
 
-// measureWatchMemory opens n watches at one instance and returns its MB, descriptors, and
-// kB a watch.
-func measureWatchMemory(bin, dir string, watchCount int) (float64, int, float64) {
-	c := NewCluster(panicReporter{}, bin, dir, 1)
+// measureWatchMemory opens watchCount watches on one instance. It returns the instance's resident
+// memory in MB, its number of open descriptors, and the growth of its memory in kB per watch.
+func measureWatchMemory(binary, dataDir string, watchCount int) (float64, int, float64) {
+	c := NewCluster(panicReporter{}, binary, dataDir, 1)
 	defer c.Close(nil)
 	addr := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
@@ -128,10 +129,10 @@
 	return float64(rss) / 1024, fds, float64(rss-initialRSS) / float64(watchCount)
 }
 
-// measureFailover kills the leader of 3 instances trials times and returns p50 and p99
-// in ms of the time to the next committed write.
-func measureFailover(bin, dir string, trials int) (float64, float64) {
-	c := NewCluster(panicReporter{}, bin, dir, 3)
+// measureFailover repeatedly kills the leader of a cluster of 3 instances. It returns p50 and p99 in
+// ms of the time to the next committed write.
+func measureFailover(binary, dataDir string, trials int) (float64, float64) {
+	c := NewCluster(panicReporter{}, binary, dataDir, 3)
 	defer c.Close(nil)
 	var outages []time.Duration
 	for trial := 0; trial < trials; trial++ {
@@ -161,7 +162,7 @@
 	return quantileMS(outages, 0.5), quantileMS(outages, 0.99)
 }
 
-// quantileMS returns the q-quantile of ds in milliseconds.
+// quantileMS sorts durations and returns their q-quantile in milliseconds.
 func quantileMS(durations []time.Duration, q float64) float64 {
 	slices.Sort(durations)
 	return float64(durations[min(len(durations)-1, int(q*float64(len(durations))))]) / float64(time.Millisecond)
