--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -338,12 +338,12 @@
 }
 
 func (s *Store) sortedMembersLocked() []Member {
-	out := make([]Member, 0, len(s.members))
+	members := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
-		out = append(out, m)
+		members = append(members, m)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
-	return out
+	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
+	return members
 }
 
 // Snapshot implements raft.FSM. It copies the list and its version.
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -88,24 +88,24 @@
 
 // FreeAddr returns a loopback address that was free when it was chosen.
 func FreeAddr(reporter FailureReporter) string {
-	a, err := faultnet.FreeAddr()
+	addr, err := faultnet.FreeAddr()
 	if err != nil {
 		reporter.Fatalf("%v", err)
 	}
-	return a
+	return addr
 }
 
 // Start starts one instance, or restarts it on its existing data folder.
 func (c *Cluster) Start(id string) {
-	var peers, via []string
+	var peers, dialOverrides []string
 	for _, peerID := range c.IDs {
 		peers = append(peers, peerID+"="+c.raftAddr[peerID]+"/"+c.HTTPAddr[peerID])
 		if peerID != id {
-			via = append(via, c.raftAddr[peerID]+"="+c.Mesh.From(id, peerID).Addr)
+			dialOverrides = append(dialOverrides, c.raftAddr[peerID]+"="+c.Mesh.From(id, peerID).Addr)
 		}
 	}
 	args := append([]string{"-id", id, "-data", c.dataDir + "/" + id, "-raft", c.raftAddr[id], "-http", c.HTTPAddr[id],
-		"-peers", strings.Join(peers, ","), "-via", strings.Join(via, ","),
+		"-peers", strings.Join(peers, ","), "-via", strings.Join(dialOverrides, ","),
 		"-heartbeat", "200ms", "-stale-after", "1s"}, c.extraArgs...)
 	p, err := faultnet.Start(c.dataDir, id, c.binary, args)
 	if err != nil {
@@ -117,8 +117,8 @@
 // FetchStatus fetches the status of the instance at addr.
 func FetchStatus(addr string) (catalog.Status, error) {
 	var status catalog.Status
-	cl := http.Client{Timeout: time.Second}
-	resp, err := cl.Get("http://" + addr + "/catalog/status")
+	statusClient := http.Client{Timeout: time.Second}
+	resp, err := statusClient.Get("http://" + addr + "/catalog/status")
 	if err != nil {
 		return status, err
 	}
@@ -145,13 +145,13 @@
 	return ""
 }
 
-var client = &http.Client{Timeout: 10 * time.Second}
+var httpClient = &http.Client{Timeout: 10 * time.Second}
 
 // PutMember writes one entry through the instance at addr and returns the HTTP status code, or 0 if
 // there was no answer.
 func PutMember(addr, id, body string) int {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -164,7 +164,7 @@
 // no answer.
 func FetchList(addr string) (catalog.List, int) {
 	var l catalog.List
-	resp, err := client.Get("http://" + addr + "/catalog/members")
+	resp, err := httpClient.Get("http://" + addr + "/catalog/members")
 	if err != nil {
 		return l, 0
 	}
@@ -189,13 +189,13 @@
 // Run watches the list until ctx ends. It starts at a random address.
 func (w *Watcher) Run(ctx context.Context) {
 	w.members = map[string]catalog.Member{}
-	cl := http.Client{}
+	watchClient := http.Client{}
 	for i := rand.N(len(w.Addrs)); ctx.Err() == nil; i++ {
 		w.mu.Lock()
 		url := fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", w.Addrs[i%len(w.Addrs)], w.version)
 		w.mu.Unlock()
 		req, _ := http.NewRequestWithContext(ctx, "GET", url, nil)
-		resp, err := cl.Do(req)
+		resp, err := watchClient.Do(req)
 		if err == nil {
 			lines := bufio.NewScanner(resp.Body)
 			lines.Buffer(nil, 16<<20)
@@ -249,9 +249,9 @@
 func (w *Watcher) ReceivedAt(version uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, s := range w.received {
-		if s.version >= version {
-			return s.receivedAt, true
+	for _, entry := range w.received {
+		if entry.version >= version {
+			return entry.receivedAt, true
 		}
 	}
 	return time.Time{}, false
@@ -300,7 +300,7 @@
 // entry was committed and whether the commit was confirmed.
 func CommitMember(addr, id, body string) (uint64, bool) {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return 0, false
 	}
--- a/internal/catalogfleet/experiment.go
+++ b/internal/catalogfleet/experiment.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// panicReporter is a FailureReporter that ends an experiment at its first failure by a panic.
+// panicReporter is a FailureReporter that panics. RunExperiment recovers and returns the failure.
 type panicReporter struct{}
 
 func (panicReporter) Helper() {}
@@ -77,7 +77,7 @@
 	time.Sleep(time.Second)
 	var lags []time.Duration
 	for i := 0; i < writes; i++ {
-		v, ok := CommitMember(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
+		version, ok := CommitMember(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
 		committedAt := time.Now()
 		if !ok {
 			panicReporter{}.Fatalf("a write was not committed")
@@ -86,13 +86,13 @@
 		for _, w := range watchers {
 			var receivedAt time.Time
 			for j := 0; j < 1000; j++ {
-				if receivedAt, ok = w.ReceivedAt(v); ok {
+				if receivedAt, ok = w.ReceivedAt(version); ok {
 					break
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
 			if !ok {
-				panicReporter{}.Fatalf("a watcher has not received version %d after 5 s", v)
+				panicReporter{}.Fatalf("a watcher has not received version %d after 5 s", version)
 			}
 			lastReceivedAt = maxTime(lastReceivedAt, receivedAt)
 		}
