--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -11,101 +11,105 @@
 	"lynxspool/internal/admit"
 )
 
-// headHave says that a caller which wants the whole list has one to go on with.
-const headHave = "X-Catalog-Have"
+// headerHaveList is set by a caller that asks for the whole list but still has an older one to work
+// with.
+const headerHaveList = "X-Catalog-Have"
 
-// gate lets calls for lists in by an admit.Gate: it keeps the clock and the callers that
-// wait.
-type gate struct {
+// admissionController limits concurrent list calls (fetches of the list and openings of watches).
+// The decisions are those of an admit.Gate; the controller supplies the clock and blocks the
+// waiting callers.
+type admissionController struct {
 	opt   admit.Options
 	start time.Time
 
-	mu    sync.Mutex
-	g     *admit.Gate
-	next  uint64
-	waits map[uint64]chan admit.Decision
-	shed  int64 // calls turned away since the start
+	mu       sync.Mutex
+	gate     *admit.Gate
+	lastID   uint64
+	verdicts map[uint64]chan admit.Decision // by call id, for calls without a verdict
+	shed     int64                          // calls rejected since the start of the process
 }
 
-func newGate(opt admit.Options) *gate {
-	return &gate{opt: opt, start: time.Now(), g: admit.New(opt), waits: map[uint64]chan admit.Decision{}}
+func newAdmissionController(opt admit.Options) *admissionController {
+	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), verdicts: map[uint64]chan admit.Decision{}}
 }
 
-// tell hands out verdicts; g.mu is held.
-func (g *gate) tell(due []admit.Decision) {
-	for _, v := range due {
+// deliverVerdicts passes verdicts to the calls that wait for them. The caller holds a.mu.
+func (a *admissionController) deliverVerdicts(verdicts []admit.Decision) {
+	for _, v := range verdicts {
 		if !v.Admitted {
-			g.shed++
+			a.shed++
 		}
-		g.waits[v.ID] <- v // it holds one, and each call has one
-		delete(g.waits, v.ID)
+		a.verdicts[v.ID] <- v // never blocks: the channel has room for the single verdict of the call
+		delete(a.verdicts, v.ID)
 	}
 }
 
-// enter waits for a call to be let in. It returns false with the time to come back after,
-// or with 0 if the caller has gone. A call that was let in ends with leave.
-func (g *gate) enter(ctx context.Context, class admit.Class) (after time.Duration, ok bool) {
+// acquire blocks until a call is admitted or rejected. For a rejected call it returns false and the
+// time after which to retry, which is 0 if ctx ended first. An admitted call must end with release.
+func (a *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
 	verdict := make(chan admit.Decision, 1)
-	g.mu.Lock()
-	g.next++
-	id := g.next
-	g.waits[id] = verdict
-	g.tell(g.g.Arrive(time.Since(g.start), id, class))
-	g.mu.Unlock()
-	timer := time.NewTimer(g.opt.Wait)
+	a.mu.Lock()
+	a.lastID++
+	id := a.lastID
+	a.verdicts[id] = verdict
+	a.deliverVerdicts(a.gate.Arrive(time.Since(a.start), id, class))
+	a.mu.Unlock()
+	timer := time.NewTimer(a.opt.Wait)
 	defer timer.Stop()
 	for {
 		select {
 		case v := <-verdict:
 			return v.RetryAfter, v.Admitted
 		case <-timer.C:
-			g.mu.Lock()
-			g.tell(g.g.Expire(time.Since(g.start)))
-			g.mu.Unlock()
-			timer.Reset(time.Millisecond) // should the clocks differ by a little
+			a.mu.Lock()
+			a.deliverVerdicts(a.gate.Expire(time.Since(a.start)))
+			a.mu.Unlock()
+			timer.Reset(time.Millisecond) // retries if the timer fired slightly before the wait limit
 		case <-ctx.Done():
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			if g.g.Cancel(id) {
-				delete(g.waits, id)
+			a.mu.Lock()
+			defer a.mu.Unlock()
+			if a.gate.Cancel(id) {
+				delete(a.verdicts, id)
 				return 0, false
 			}
-			v := <-verdict // it was told in the same moment
+			v := <-verdict // the verdict was delivered at the same time as the cancellation
 			return v.RetryAfter, v.Admitted
 		}
 	}
 }
 
-// leave ends a call's work, begun at a time.
-func (g *gate) leave(began time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.tell(g.g.Done(time.Since(g.start), time.Since(began)))
+// release ends an admitted call. admittedAt is when its work began.
+func (a *admissionController) release(admittedAt time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.deliverVerdicts(a.gate.Done(time.Since(a.start), time.Since(admittedAt)))
 }
 
-func (g *gate) figures() (working, waiting int, shed int64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.g.Working(), g.g.Waiting(), g.shed
+// counts returns the calls in flight, the waiting calls, and the calls rejected since the start of
+// the process.
+func (a *admissionController) counts() (inFlight, waiting int, shed int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.gate.Working(), a.gate.Waiting(), a.shed
 }
 
-// classOf says in which class a call for a list waits.
-func (n *Node) classOf(r *http.Request, after uint64) admit.Class {
+// admissionClass returns the class in which a list call waits.
+func (n *Node) admissionClass(r *http.Request, afterVersion uint64) admit.Class {
 	switch {
-	case after > 0 && n.store.Resumes(after):
+	case afterVersion > 0 && n.store.CanResume(afterVersion):
 		return admit.Resume
-	case after > 0 || r.Header.Get(headHave) != "":
+	case afterVersion > 0 || r.Header.Get(headerHaveList) != "":
 		return admit.FullList
 	}
 	return admit.NoList
 }
 
-// refuse answers 503 with a time to come back after; 0 draws one, so that callers that
-// are refused together do not return together.
-func refuse(w http.ResponseWriter, why string, after time.Duration) {
-	if after <= 0 {
-		after = time.Second/2 + rand.N(time.Second)
+// writeUnavailable answers 503 with a Retry-After header. If retryAfter is not positive, it is
+// drawn at random from 0.5 s to 1.5 s, so that callers rejected together do not retry together.
+func writeUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
+	if retryAfter <= 0 {
+		retryAfter = time.Second/2 + rand.N(time.Second)
 	}
-	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
-	http.Error(w, why, http.StatusServiceUnavailable)
+	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	http.Error(w, reason, http.StatusServiceUnavailable)
 }
--- a/internal/catalog/gate_test.go
+++ b/internal/catalog/gate_test.go
@@ -14,10 +14,9 @@
 	"lynxspool/internal/admit"
 )
 
-// listing is a handler over a store of n hosts, with no raft behind it: calls for lists
-// need none while the instance is not stale.
-func listing(n int, opt admit.Options) *Node {
-	node := &Node{opt: Options{WatchWrite: time.Second}, store: NewStore(), watch: make(chan struct{}, 8), gate: newGate(opt)}
+// newListNode returns a node with n hosts and without raft, which serveListCall does not use.
+func newListNode(n int, opt admit.Options) *Node {
+	node := &Node{opt: Options{WatchWriteTimeout: time.Second}, store: NewStore(), watchSlots: make(chan struct{}, 8), admission: newAdmissionController(opt)}
 	for i := range n {
 		node.store.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(fmt.Sprintf(
 			`{"op":"put","id":"s-%04d","patch":{"addr":"127.0.0.1:9000","zone":"a"}}`, i))})
@@ -25,79 +24,80 @@
 	return node
 }
 
-// call asks for the whole list as serveList does past the check on age.
-func (n *Node) call(have string) *httptest.ResponseRecorder {
-	r := httptest.NewRequest("GET", pathMembers, nil)
-	if have != "" {
-		r.Header.Set(headHave, have)
+// getList fetches the whole list as serveList does after its check for staleness.
+func (n *Node) getList(haveList string) *httptest.ResponseRecorder {
+	r := httptest.NewRequest("GET", membersPath, nil)
+	if haveList != "" {
+		r.Header.Set(headerHaveList, haveList)
 	}
 	w := httptest.NewRecorder()
-	n.serveCall(w, r, 0, false)
+	n.serveListCall(w, r, 0, false)
 	return w
 }
 
-// With one call in work and one waiting, a third is told when to come back, each at a time
-// of its own; one without a list takes the place of one that has one; and what was let in
-// is answered.
-func TestCatalogShedsCalls(t *testing.T) {
-	n := listing(3, admit.Options{Work: 1, Queue: 1, Wait: time.Minute, Least: 10 * time.Millisecond, Most: time.Minute})
-	if _, ok := n.gate.enter(t.Context(), admit.NoList); !ok { // holds the one place
-		t.Fatal("an idle catalog did not let a call in")
+// With one list call in flight and one waiting, each further call must be rejected with a Retry-After
+// of its own. A call without a list must displace a waiting call that has one, and an admitted call
+// must be answered.
+func TestListCallsAreShedWhenQueueIsFull(t *testing.T) {
+	n := newListNode(3, admit.Options{Work: 1, Queue: 1, Wait: time.Minute, Least: 10 * time.Millisecond, Most: time.Minute})
+	if _, ok := n.admission.acquire(t.Context(), admit.NoList); !ok { // occupies the only slot
+		t.Fatal("an idle catalog did not admit a call")
 	}
-	began := time.Now()
+	admittedAt := time.Now()
 	var wg sync.WaitGroup
-	answers := make([]*httptest.ResponseRecorder, 2)
-	waiting := func(want string) {
+	responses := make([]*httptest.ResponseRecorder, 2)
+	waitForCounts := func(want string) {
 		for i := 0; ; i++ {
-			if _, waits, shed := n.gate.figures(); fmt.Sprint(waits, shed) == want {
+			if _, waits, shed := n.admission.counts(); fmt.Sprint(waits, shed) == want {
 				return
 			} else if i > 5000 {
-				t.Fatalf("waiting and shed are %d %d, want %s", waits, shed, want)
+				t.Fatalf("waiting and shed calls are %d %d, want %s", waits, shed, want)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	for i, have := range []string{"7", ""} { // the second has no list
+	for i, have := range []string{"7", ""} { // the second caller has no list
 		wg.Add(1)
-		go func() { defer wg.Done(); answers[i] = n.call(have) }()
-		waiting([]string{"1 0", "1 1"}[i])
+		go func() { defer wg.Done(); responses[i] = n.getList(have) }()
+		waitForCounts([]string{"1 0", "1 1"}[i])
 	}
-	told := map[string]bool{}
+	seenRetryAfter := map[string]bool{}
 	for range 3 {
-		w := n.call("7")
+		w := n.getList("7")
 		after := w.Header().Get("Retry-After")
-		if s, err := strconv.ParseFloat(after, 64); w.Code != http.StatusServiceUnavailable || err != nil || s <= 0 || told[after] {
+		if s, err := strconv.ParseFloat(after, 64); w.Code != http.StatusServiceUnavailable || err != nil || s <= 0 || seenRetryAfter[after] {
 			t.Errorf("status %d, Retry-After %q", w.Code, after)
 		}
-		told[after] = true
+		seenRetryAfter[after] = true
 	}
-	n.gate.leave(began)
+	n.admission.release(admittedAt)
 	wg.Wait()
-	if answers[0].Code != http.StatusServiceUnavailable || answers[1].Code != http.StatusOK || answers[1].Body.Len() == 0 {
-		t.Errorf("with a list %d, with none %d", answers[0].Code, answers[1].Code)
+	if responses[0].Code != http.StatusServiceUnavailable || responses[1].Code != http.StatusOK || responses[1].Body.Len() == 0 {
+		t.Errorf("status of the caller with a list %d, without a list %d", responses[0].Code, responses[1].Code)
 	}
 }
 
-// The cost of a call that is turned away beside one that is served 2,000 hosts.
+// BenchmarkListCall compares the cost of a rejected list call with that of a call that is served a
+// list of 2,000 hosts.
 func BenchmarkListCall(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		opt  admit.Options
 	}{
-		{"served", DefaultCalls},
+		{"served", DefaultCallLimits},
 		{"shed", admit.Options{Work: 1, Queue: 1, Wait: time.Hour, Least: time.Millisecond, Most: time.Minute}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			n := listing(2000, c.opt)
+			n := newListNode(2000, c.opt)
 			if c.name == "shed" {
-				n.gate.enter(b.Context(), admit.NoList)
-				go n.gate.enter(b.Context(), admit.NoList)
-				for _, waits, _ := n.gate.figures(); waits == 0; _, waits, _ = n.gate.figures() {
+				n.admission.acquire(b.Context(), admit.NoList)
+				go n.admission.acquire(b.Context(), admit.NoList)
+				for _, waits, _ := n.admission.counts(); waits == 0; _, waits, _ = n.admission.counts() {
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				n.call("")
+				n.getList("")
 			}
 		})
 	}
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -17,192 +17,197 @@
 	"lynxspool/internal/admit"
 )
 
-// Peer is one instance of a catalog: its raft id, the address raft listens on, and
-// the address its HTTP server listens on.
+// Peer identifies one instance of a catalog cluster: its raft id, the address on which raft listens
+// and the address on which its HTTP server listens.
 type Peer struct {
-	ID, Raft, HTTP string
+	ID, RaftAddr, HTTPAddr string
 }
 
-// ParsePeers reads "id=raftaddr/httpaddr,..." as the -peers flag gives it.
+// ParsePeers parses the value of the -peers flag, a comma-separated list of
+// id=raftaddr/httpaddr.
 func ParsePeers(s string) ([]Peer, error) {
-	var out []Peer
+	var peers []Peer
 	for _, f := range strings.Split(s, ",") {
 		if f = strings.TrimSpace(f); f == "" {
 			continue
 		}
-		id, addrs, ok1 := strings.Cut(f, "=")
-		r, h, ok2 := strings.Cut(addrs, "/")
-		if !ok1 || !ok2 || id == "" || r == "" || h == "" {
+		id, addrs, hasAddrs := strings.Cut(f, "=")
+		raftAddr, httpAddr, hasHTTP := strings.Cut(addrs, "/")
+		if !hasAddrs || !hasHTTP || id == "" || raftAddr == "" || httpAddr == "" {
 			return nil, fmt.Errorf("peer %q: want id=raftaddr/httpaddr", f)
 		}
-		out = append(out, Peer{ID: id, Raft: r, HTTP: h})
+		peers = append(peers, Peer{ID: id, RaftAddr: raftAddr, HTTPAddr: httpAddr})
 	}
-	return out, nil
+	return peers, nil
 }
 
-// Options configure one instance. Times are wall-clock durations.
+// Options configures one catalog instance. Durations are in wall-clock time.
 type Options struct {
-	ID      string
-	DataDir string
-	Raft    string            // address raft listens on and peers know it by
-	HTTP    string            // address of the HTTP server
-	Peers   []Peer            // the whole cluster, this instance included; none for one alone
-	Via     map[string]string // a peer's raft address -> the address to dial for it
-	// StaleAfter is how long a follower serves without hearing from a leader.
+	ID            string            // raft id of this instance
+	DataDir       string            // folder of the raft log, the stable state and the snapshots
+	RaftAddr      string            // address on which raft listens and which peers use for this instance
+	HTTPAddr      string            // address of the HTTP server of this instance
+	Peers         []Peer            // all instances of the cluster, including this one; empty for a single instance
+	DialOverrides map[string]string // maps a peer's raft address to the address to dial instead
+	// StaleAfter is how long a follower keeps serving lists without contact with a leader.
 	StaleAfter time.Duration
-	// WatchWrite bounds one write to a watcher; a watcher that takes longer is ended.
-	WatchWrite time.Duration
-	// MaxWatches bounds the open watches; more are answered 503.
+	// WatchWriteTimeout bounds a single write of a list or of a watch. A watch that exceeds it is closed.
+	WatchWriteTimeout time.Duration
+	// MaxWatches bounds the number of open watches. Further watches are answered with 503.
 	MaxWatches int
-	// Heartbeat is raft's heartbeat and election timeout; the lease is half of it.
-	Heartbeat time.Duration
-	Log       io.Writer
-	// Calls bounds the calls for lists in work and waiting; the zero value takes DefaultCalls.
-	Calls admit.Options
+	// HeartbeatTimeout is raft's heartbeat and election timeout. The leader lease is half of it.
+	HeartbeatTimeout time.Duration
+	// LogOutput receives the log of raft; nil means standard error.
+	LogOutput io.Writer
+	// CallLimits bounds the list calls in flight and waiting. The zero value means DefaultCallLimits.
+	CallLimits admit.Options
 
-	openDisk func(path string) (disk, error) // of raft's log and stable store; nil: bbolt's
+	// openStorage opens the storage of raft's log and stable state; nil means openBoltStorage.
+	openStorage func(path string) (raftStorage, error)
 }
 
-// DefaultCalls lets 32 calls be in work and 1,024 wait for a second; callers beyond that
-// come back 2 ms apart at least (500 a second) and within 10 s.
-var DefaultCalls = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
+// DefaultCallLimits allows 32 list calls in flight and 1,024 waiting for up to 1 s. Rejected callers
+// are told to retry within 10 s and at least 2 ms apart (500 per second).
+var DefaultCallLimits = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
 
-// Node is one running instance.
+// Node is one running instance of the catalog.
 type Node struct {
-	opt   Options
-	raft  *raft.Raft
-	store *Store
-	logs  *enduringDisk
-	trans *raft.NetworkTransport
-	peers map[raft.ServerID]Peer
-	watch chan struct{} // one token an open watch
-	gate  *gate
+	opt        Options
+	raft       *raft.Raft
+	store      *Store
+	storage    *retryingStorage
+	transport  *raft.NetworkTransport
+	peers      map[raft.ServerID]Peer
+	watchSlots chan struct{} // holds one token per open watch
+	admission  *admissionController
 }
 
-// Open starts an instance from its data folder; a folder without state is
-// bootstrapped with opt.Peers as the first configuration.
+// Open starts an instance on its data folder. If the folder holds no raft state, the cluster is
+// bootstrapped with opt.Peers as its initial configuration.
 func Open(opt Options) (*Node, error) {
 	if opt.ID == "" {
 		opt.ID = "c1"
 	}
 	if len(opt.Peers) == 0 {
-		opt.Peers = []Peer{{ID: opt.ID, Raft: opt.Raft, HTTP: opt.HTTP}}
+		opt.Peers = []Peer{{ID: opt.ID, RaftAddr: opt.RaftAddr, HTTPAddr: opt.HTTPAddr}}
 	}
-	if opt.Heartbeat <= 0 {
-		opt.Heartbeat = 500 * time.Millisecond
+	if opt.HeartbeatTimeout <= 0 {
+		opt.HeartbeatTimeout = 500 * time.Millisecond
 	}
 	if opt.StaleAfter <= 0 {
 		opt.StaleAfter = 2 * time.Second
 	}
-	if opt.WatchWrite <= 0 {
-		opt.WatchWrite = 5 * time.Second
+	if opt.WatchWriteTimeout <= 0 {
+		opt.WatchWriteTimeout = 5 * time.Second
 	}
 	if opt.MaxWatches <= 0 {
 		opt.MaxWatches = 8192
 	}
-	if opt.Calls == (admit.Options{}) {
-		opt.Calls = DefaultCalls
+	if opt.CallLimits == (admit.Options{}) {
+		opt.CallLimits = DefaultCallLimits
 	}
-	if c := opt.Calls; c.Work < 1 || c.Queue < 1 || c.Wait <= 0 || c.Least <= 0 || c.Most <= 0 {
+	if c := opt.CallLimits; c.Work < 1 || c.Queue < 1 || c.Wait <= 0 || c.Least <= 0 || c.Most <= 0 {
 		return nil, fmt.Errorf("catalog: calls: %+v: each bound must be above 0", c)
 	}
-	if opt.Log == nil {
-		opt.Log = os.Stderr
+	if opt.LogOutput == nil {
+		opt.LogOutput = os.Stderr
 	}
 	n := &Node{opt: opt, store: NewStore(), peers: map[raft.ServerID]Peer{},
-		watch: make(chan struct{}, opt.MaxWatches), gate: newGate(opt.Calls)}
-	self := false
+		watchSlots: make(chan struct{}, opt.MaxWatches), admission: newAdmissionController(opt.CallLimits)}
+	selfListed := false
 	for _, p := range opt.Peers {
 		n.peers[raft.ServerID(p.ID)] = p
-		self = self || p.ID == opt.ID
+		selfListed = selfListed || p.ID == opt.ID
 	}
-	if !self {
+	if !selfListed {
 		return nil, fmt.Errorf("catalog: id %q is not among the peers", opt.ID)
 	}
 	if err := os.MkdirAll(opt.DataDir, 0o755); err != nil {
 		return nil, fmt.Errorf("catalog: data folder: %w", err)
 	}
-	if opt.openDisk == nil {
-		opt.openDisk = openBolt
+	if opt.openStorage == nil {
+		opt.openStorage = openBoltStorage
 	}
-	file, err := opt.openDisk(filepath.Join(opt.DataDir, "raft.db"))
+	underlying, err := opt.openStorage(filepath.Join(opt.DataDir, "raft.db"))
 	if err != nil {
 		return nil, fmt.Errorf("catalog: log store: %w", err)
 	}
-	logs := newEnduringDisk(file)
-	n.logs = logs
-	snaps, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.Log)
+	storage := newRetryingStorage(underlying)
+	n.storage = storage
+	snapshots, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
 	if err != nil {
-		logs.Close()
+		storage.Close()
 		return nil, fmt.Errorf("catalog: snapshot store: %w", err)
 	}
-	ln, err := net.Listen("tcp", opt.Raft)
+	ln, err := net.Listen("tcp", opt.RaftAddr)
 	if err != nil {
-		logs.Close()
+		storage.Close()
 		return nil, fmt.Errorf("catalog: raft address: %w", err)
 	}
-	n.trans = raft.NewNetworkTransport(&stream{Listener: ln, via: opt.Via}, 3, 2*time.Second, opt.Log)
+	n.transport = raft.NewNetworkTransport(&streamLayer{Listener: ln, dialOverrides: opt.DialOverrides}, 3, 2*time.Second, opt.LogOutput)
 	cfg := raft.DefaultConfig()
 	cfg.LocalID = raft.ServerID(opt.ID)
-	cfg.HeartbeatTimeout, cfg.ElectionTimeout = opt.Heartbeat, opt.Heartbeat
-	cfg.LeaderLeaseTimeout = opt.Heartbeat / 2
+	cfg.HeartbeatTimeout, cfg.ElectionTimeout = opt.HeartbeatTimeout, opt.HeartbeatTimeout
+	cfg.LeaderLeaseTimeout = opt.HeartbeatTimeout / 2
 	cfg.CommitTimeout = 20 * time.Millisecond
 	cfg.SnapshotThreshold = 1024
-	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.Log})
-	has, err := raft.HasExistingState(logs, logs, snaps)
+	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.LogOutput})
+	hasState, err := raft.HasExistingState(storage, storage, snapshots)
 	if err != nil {
-		n.close()
+		n.closeTransportAndStorage()
 		return nil, fmt.Errorf("catalog: data folder: %w", err)
 	}
-	if !has {
+	if !hasState {
 		var c raft.Configuration
 		for _, p := range opt.Peers {
-			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.RaftAddr)})
 		}
-		if err := raft.BootstrapCluster(cfg, logs, logs, snaps, n.trans, c); err != nil {
-			n.close()
+		if err := raft.BootstrapCluster(cfg, storage, storage, snapshots, n.transport, c); err != nil {
+			n.closeTransportAndStorage()
 			return nil, fmt.Errorf("catalog: bootstrap: %w", err)
 		}
 	}
-	n.raft, err = raft.NewRaft(cfg, n.store, logs, logs, snaps, n.trans)
+	n.raft, err = raft.NewRaft(cfg, n.store, storage, storage, snapshots, n.transport)
 	if err != nil {
-		n.close()
+		n.closeTransportAndStorage()
 		return nil, fmt.Errorf("catalog: raft: %w", err)
 	}
 	return n, nil
 }
 
-func (n *Node) close() {
-	if n.trans != nil {
-		n.trans.Close()
+// closeTransportAndStorage closes the raft transport, if there is one, and the raft storage.
+func (n *Node) closeTransportAndStorage() {
+	if n.transport != nil {
+		n.transport.Close()
 	}
-	n.logs.Close()
+	n.storage.Close()
 }
 
-// closeTime is what raft has to end; it has nothing to write then, so only a data folder that
-// takes no writes holds it up for longer.
-const closeTime = 2 * time.Second
+// shutdownTimeout bounds the shutdown of raft. Raft writes nothing during a shutdown, so only a
+// data folder that takes no writes delays it for longer.
+const shutdownTimeout = 2 * time.Second
 
-var errNotEnded = errors.New("catalog: ended while the data folder takes no writes")
+var errShutdownTimeout = errors.New("catalog: shutdown timed out because the data folder takes no writes")
 
-// Close stops raft and closes the data folder.
+// Close stops raft and closes the data folder. If raft does not stop within shutdownTimeout, Close
+// returns an error and leaves the storage open.
 func (n *Node) Close() error {
-	ended := make(chan error, 1)
-	go func() { ended <- n.raft.Shutdown().Error() }()
+	shutdownDone := make(chan error, 1)
+	go func() { shutdownDone <- n.raft.Shutdown().Error() }()
 	select {
-	case err := <-ended:
-		n.close()
+	case err := <-shutdownDone:
+		n.closeTransportAndStorage()
 		return err
-	case <-time.After(closeTime):
-		n.logs.giveUp()
-		n.trans.Close()
-		return errNotEnded
+	case <-time.After(shutdownTimeout):
+		n.storage.stopRetries()
+		n.transport.Close()
+		return errShutdownTimeout
 	}
 }
 
-// Stale says why reads here would not be current, or "" where they are: a follower
-// that has not heard from a leader for StaleAfter.
-func (n *Node) Stale() string {
+// StaleReason returns why the list of this instance may be out of date, or "" if it is current. It
+// is out of date on an instance that has had no contact with a leader for StaleAfter.
+func (n *Node) StaleReason() string {
 	if n.raft.State() == raft.Leader {
 		return ""
 	}
@@ -216,79 +221,80 @@
 	return ""
 }
 
-// led says whether this instance leads or has just heard from its leader, which writes to it
-// several times in each heartbeat.
-func (n *Node) led() bool {
+// hasLiveLeader reports whether this instance is the leader or has had contact with its leader within
+// half of the heartbeat timeout. A leader contacts its followers several times per heartbeat timeout.
+func (n *Node) hasLiveLeader() bool {
 	if n.raft.State() == raft.Leader {
 		return true
 	}
-	leader, _ := n.raft.LeaderWithID() // none where a vote was given just now, which is a contact too
-	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.Heartbeat/2
+	leader, _ := n.raft.LeaderWithID() // empty after a vote, which also counts as contact
+	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.HeartbeatTimeout/2
 }
 
-// leaderHTTP returns the HTTP address of the leader, or "" if none is known.
+// leaderHTTP returns the HTTP address of the leader, or "" if no leader is known.
 func (n *Node) leaderHTTP() string {
 	_, id := n.raft.LeaderWithID()
-	return n.peers[id].HTTP
+	return n.peers[id].HTTPAddr
 }
 
-// write commits one command on the leader and returns the list's version after it.
-// Errors: ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (the
-// entry may yet commit), or a time-out.
+// write commits one command and returns the version of the list after it. It must run on the
+// leader. It fails with ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (after
+// which the entry may still commit) or another raft error such as raft.ErrEnqueueTimeout.
 func (n *Node) write(c command, timeout time.Duration) (uint64, error) {
-	if n.store.Base() == 0 {
-		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog begins beyond all that the old one counted
+	if n.store.VersionBase() == 0 {
+		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog continues above all versions of the old one
 	}
 	data, err := json.Marshal(c)
 	if err != nil {
 		return 0, err
 	}
-	f := n.raft.Apply(data, timeout)
-	if err := f.Error(); err != nil {
+	future := n.raft.Apply(data, timeout)
+	if err := future.Error(); err != nil {
 		return 0, err
 	}
-	r, _ := f.Response().(result)
+	r, _ := future.Response().(applyResult)
 	return r.Version, r.Err
 }
 
-// Status is what GET /catalog/status tells of an instance.
+// Status is the JSON body of GET /catalog/status.
 type Status struct {
 	ID            string `json:"id"`
 	State         string `json:"state"`
 	Leader        string `json:"leader"`
 	Version       uint64 `json:"version"`
 	Applied       uint64 `json:"applied"`
-	LastContactMS int64  `json:"last_contact_ms"` // -1: never, or this is the leader
-	Stale         string `json:"stale,omitempty"`
+	LastContactMS int64  `json:"last_contact_ms"` // -1 on the leader and before the first contact
+	StaleReason   string `json:"stale,omitempty"`
 	Watches       int    `json:"watches"`
-	Working       int    `json:"calls_in_work"`
-	Waiting       int    `json:"calls_waiting"`
-	Shed          int64  `json:"calls_shed"` // since the start
+	CallsInFlight int    `json:"calls_in_work"`
+	CallsWaiting  int    `json:"calls_waiting"`
+	CallsShed     int64  `json:"calls_shed"` // since the start of the process
 }
 
 func (n *Node) status() Status {
 	_, leader := n.raft.LeaderWithID()
-	st := Status{ID: n.opt.ID, State: n.raft.State().String(), Leader: string(leader),
+	status := Status{ID: n.opt.ID, State: n.raft.State().String(), Leader: string(leader),
 		Version: n.store.Version(), Applied: n.raft.AppliedIndex(), LastContactMS: -1,
-		Stale: n.Stale(), Watches: len(n.watch)}
-	st.Working, st.Waiting, st.Shed = n.gate.figures()
+		StaleReason: n.StaleReason(), Watches: len(n.watchSlots)}
+	status.CallsInFlight, status.CallsWaiting, status.CallsShed = n.admission.counts()
 	if last := n.raft.LastContact(); !last.IsZero() && n.raft.State() != raft.Leader {
-		st.LastContactMS = time.Since(last).Milliseconds()
+		status.LastContactMS = time.Since(last).Milliseconds()
 	}
-	return st
+	return status
 }
 
-// stream is raft's transport over TCP, where a peer may be dialled at another address
-// than it is known by (a proxy of the fault tests, or a translated address).
-type stream struct {
+// streamLayer implements raft.StreamLayer over TCP. It can dial a peer at another address than its
+// raft address, for example through a proxy of the fault tests or at a translated address.
+type streamLayer struct {
 	net.Listener
-	via map[string]string
+	dialOverrides map[string]string
 }
 
-func (s *stream) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	a := string(addr)
-	if v, ok := s.via[a]; ok {
-		a = v
+// Dial implements raft.StreamLayer.
+func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialAddr := string(addr)
+	if v, ok := s.dialOverrides[dialAddr]; ok {
+		dialAddr = v
 	}
-	return net.DialTimeout("tcp", a, timeout)
+	return net.DialTimeout("tcp", dialAddr, timeout)
 }
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -17,34 +17,35 @@
 )
 
 const (
-	pathMembers = "/catalog/members"
-	keepAlive   = 2 * time.Second // an empty line while nothing changes, as the protocol says
-	applyWait   = 5 * time.Second // for a write to commit
-	forwarded   = "X-Catalog-Forwarded"
-	// watchBuffer is the socket send buffer of a watch: what a watcher that does not
-	// read can hold of this instance's memory (the kernel doubles it).
-	watchBuffer = 64 << 10
+	membersPath       = "/catalog/members"
+	keepAliveInterval = 2 * time.Second // interval of the empty lines on an idle watch, set by the protocol
+	applyTimeout      = 5 * time.Second // limits the wait until raft starts to commit a write
+	headerForwarded   = "X-Catalog-Forwarded"
+	// watchSendBufferBytes is the socket send buffer of a watch. It bounds the memory that a
+	// watcher which does not read can occupy on this instance (the kernel doubles the value).
+	watchSendBufferBytes = 64 << 10
 )
 
-type connKey struct{}
+// connContextKey is the context key of the connection that carries a request.
+type connContextKey struct{}
 
-// ConnContext is for http.Server.ConnContext: it lets a watch bound its socket's
-// send buffer to watchBuffer.
+// ConnContext must be set as http.Server.ConnContext. It gives a watch access to its connection, so
+// that the watch can limit its send buffer to watchSendBufferBytes.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// Handler serves the protocol's discovery form and the writes:
+// Handler returns the HTTP handler for the discovery protocol, the writes and the status:
 //
-//	GET    /catalog/members[?stream=1&index=N]  whole list, or a watch
-//	PUT    /catalog/members/{id}                register or change (body: Patch)
-//	DELETE /catalog/members/{id}                deregister (watchers see state "gone")
-//	GET    /catalog/status                      this instance's raft state, as JSON
+//	GET    /catalog/members[?stream=1&index=N]  whole list, or a watch after version N
+//	PUT    /catalog/members/{id}                add or change an entry (body: Patch)
+//	DELETE /catalog/members/{id}                remove an entry (watchers get it in state "gone")
+//	GET    /catalog/status                      Status of this instance
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathMembers, n.serveList)
-	mux.HandleFunc("PUT "+pathMembers+"/{id}", n.serveWrite)
-	mux.HandleFunc("DELETE "+pathMembers+"/{id}", n.serveWrite)
+	mux.HandleFunc("GET "+membersPath, n.serveList)
+	mux.HandleFunc("PUT "+membersPath+"/{id}", n.serveWrite)
+	mux.HandleFunc("DELETE "+membersPath+"/{id}", n.serveWrite)
 	mux.HandleFunc("GET /catalog/status", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(n.status())
@@ -52,145 +53,150 @@
 	return mux
 }
 
+// serveList answers a fetch of the list or a watch, unless this instance is stale.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
-	if why := n.Stale(); why != "" {
-		refuse(w, "stale: "+why, 0)
+	if reason := n.StaleReason(); reason != "" {
+		writeUnavailable(w, "stale: "+reason, 0)
 		return
 	}
 	q := r.URL.Query()
-	after := uint64(0)
+	afterVersion := uint64(0)
 	if s := q.Get("index"); s != "" {
 		var err error
-		if after, err = strconv.ParseUint(s, 10, 64); err != nil {
+		if afterVersion, err = strconv.ParseUint(s, 10, 64); err != nil {
 			http.Error(w, "index must be a whole number", http.StatusBadRequest)
 			return
 		}
 	}
-	n.serveCall(w, r, after, q.Get("stream") == "1")
+	n.serveListCall(w, r, afterVersion, q.Get("stream") == "1")
 }
 
-// serveCall lets a call for a list in and answers it, or says when to come back.
-func (n *Node) serveCall(w http.ResponseWriter, r *http.Request, after uint64, stream bool) {
+// serveListCall answers a list call once it is admitted. A rejected call is answered with 503 and the
+// time after which to retry.
+func (n *Node) serveListCall(w http.ResponseWriter, r *http.Request, afterVersion uint64, stream bool) {
 	if stream {
 		select {
-		case n.watch <- struct{}{}:
-			defer func() { <-n.watch }()
+		case n.watchSlots <- struct{}{}:
+			defer func() { <-n.watchSlots }()
 		default:
-			refuse(w, "too many watches", 0)
+			writeUnavailable(w, "too many watches", 0)
 			return
 		}
 	}
-	if wait, ok := n.gate.enter(r.Context(), n.classOf(r, after)); !ok {
-		refuse(w, "too many calls", wait)
+	if retryAfter, ok := n.admission.acquire(r.Context(), n.admissionClass(r, afterVersion)); !ok {
+		writeUnavailable(w, "too many calls", retryAfter)
 		return
 	}
-	began := time.Now()
-	leave := sync.OnceFunc(func() { n.gate.leave(began) })
-	defer leave()
+	admittedAt := time.Now()
+	release := sync.OnceFunc(func() { n.admission.release(admittedAt) })
+	defer release()
 	if stream {
-		n.serveWatch(w, r, after, leave)
+		n.serveWatch(w, r, afterVersion, release)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	line, _ := n.store.Full()
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(n.opt.WatchWrite))
+	line, _ := n.store.FullList()
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
 	w.Write(line)
 }
 
-// serveWatch sends what changed after version after, then each change, and an empty
-// line every keepAlive while nothing does. It ends when the client goes, when a
-// write takes longer than WatchWrite, or when this instance turns stale. after==0
-// gets the whole list first. begun is called when the first of it is out: from there on
-// a watch is no work until something changes.
-func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, after uint64, begun func()) {
-	if c, ok := r.Context().Value(connKey{}).(*net.TCPConn); ok {
-		c.SetWriteBuffer(watchBuffer)
+// serveWatch sends the changes after afterVersion, then every further change, and an empty line every
+// keepAliveInterval while the list does not change. If afterVersion is 0, the whole list is sent
+// first. The watch ends when the watcher disconnects, when a write exceeds WatchWriteTimeout or when
+// this instance becomes stale. releaseSlot is called whenever the watcher is up to date, because a
+// watch takes no work until the list changes; it must tolerate repeated calls.
+func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, afterVersion uint64, releaseSlot func()) {
+	if c, ok := r.Context().Value(connContextKey{}).(*net.TCPConn); ok {
+		c.SetWriteBuffer(watchSendBufferBytes)
 	}
-	rc := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	send := func(b []byte) bool {
-		rc.SetWriteDeadline(time.Now().Add(n.opt.WatchWrite))
-		if _, err := w.Write(b); err != nil {
+	send := func(data []byte) bool {
+		controller.SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
+		if _, err := w.Write(data); err != nil {
 			return false
 		}
-		return rc.Flush() == nil
+		return controller.Flush() == nil
 	}
-	line, after := n.firstLine(r.Context(), after)
+	line, afterVersion := n.initialLine(r.Context(), afterVersion)
 	if line == nil {
-		refuse(w, "behind, without a leader", 0)
+		writeUnavailable(w, "behind, without a leader", 0)
 		return
 	}
 	if !send(line) {
 		return
 	}
-	tick := time.NewTicker(keepAlive)
-	defer tick.Stop()
+	keepAliveTicker := time.NewTicker(keepAliveInterval)
+	defer keepAliveTicker.Stop()
 	for {
-		line, version, moved := n.store.Since(after)
+		line, version, changed := n.store.ChangesSince(afterVersion)
 		if line != nil {
 			if !send(line) {
 				return
 			}
-			after = version
+			afterVersion = version
 			continue
 		}
-		begun()
+		releaseSlot()
 		select {
 		case <-r.Context().Done():
 			return
-		case <-moved:
-		case <-tick.C:
-			if n.Stale() != "" || !send([]byte("\n")) {
+		case <-changed:
+		case <-keepAliveTicker.C:
+			if n.StaleReason() != "" || !send([]byte("\n")) {
 				return
 			}
 		}
 	}
 }
 
-// catchUp is how long a watch that resumes from a later version than there is here waits for
-// that: this instance may have entries to apply.
-const catchUp = 250 * time.Millisecond
+// catchUpTimeout is how long a watch that resumes from a later version than that of this instance
+// waits for it, because this instance may still have log entries to apply.
+const catchUpTimeout = 250 * time.Millisecond
 
-// firstLine is what a watch after a version begins with, and the version that it brings the
-// watcher to: the changes since, of which there may be none, or the whole list, also where that
-// version is not come to: another catalog has counted it. nil: this instance is behind, as its
-// leader has gone.
-func (n *Node) firstLine(ctx context.Context, after uint64) ([]byte, uint64) {
-	late := time.NewTimer(catchUp)
-	defer late.Stop()
-	for after > 0 {
-		line, version, moved := n.store.Since(after)
+// initialLine returns the first line of a watch after afterVersion, and the version of the list that
+// the watcher then has. The line holds the changes since afterVersion, of which there may be none.
+// It holds the whole list if these changes are not retained, or if this catalog cannot reach
+// afterVersion, which another catalog then assigned. It is nil if this instance does not reach
+// afterVersion within catchUpTimeout and either has no live leader or still has log entries up to
+// afterVersion to apply.
+func (n *Node) initialLine(ctx context.Context, afterVersion uint64) ([]byte, uint64) {
+	catchUpTimer := time.NewTimer(catchUpTimeout)
+	defer catchUpTimer.Stop()
+	for afterVersion > 0 {
+		line, version, changed := n.store.ChangesSince(afterVersion)
 		if line != nil {
 			return line, version
 		}
-		if version == after {
-			return noChanges(version), version
+		if version == afterVersion {
+			return encodeNoChanges(version), version
 		}
 		select {
-		case <-moved:
+		case <-changed:
 			continue
 		case <-ctx.Done():
-		case <-late.C:
-			if !n.led() || n.store.Base()+n.raft.LastIndex() >= after {
-				return nil, 0 // it will come to that version, or cannot tell
+		case <-catchUpTimer.C:
+			if !n.hasLiveLeader() || n.store.VersionBase()+n.raft.LastIndex() >= afterVersion {
+				return nil, 0 // the version may still be reached, or no leader can rule it out
 			}
 		}
 		break
 	}
-	return n.store.Full()
+	return n.store.FullList()
 }
 
+// serveWrite commits a PUT or DELETE of one entry on the leader. A follower forwards it.
 func (n *Node) serveWrite(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if err := ValidID(id); err != nil {
+	if err := ValidateID(id); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
 		var tooBig *http.MaxBytesError
 		if errors.As(err, &tooBig) {
-			http.Error(w, fmt.Sprintf("body over %d bytes", MaxBody), http.StatusRequestEntityTooLarge)
+			http.Error(w, fmt.Sprintf("body over %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge)
 			return
 		}
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
@@ -203,8 +209,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// Checked here too, so that a bad write does not reach the log.
-		old, exists := n.store.Has(id)
+		// Apply checks the patch too; the check here keeps invalid writes out of the raft log.
+		old, exists := n.store.Get(id)
 		if _, err := c.Patch.apply(old, exists); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -214,7 +220,7 @@
 		n.forward(w, r, body)
 		return
 	}
-	version, err := n.write(c, applyWait)
+	version, err := n.write(c, applyTimeout)
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -225,32 +231,33 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipLost),
 		errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrRaftShutdown):
-		// Lost leadership leaves the outcome open: the entry may yet commit.
-		refuse(w, "not committed here: "+err.Error(), 0)
+		// After a loss of leadership the outcome is unknown: the entry may still commit.
+		writeUnavailable(w, "not committed here: "+err.Error(), 0)
 	default:
-		refuse(w, err.Error(), 0)
+		writeUnavailable(w, err.Error(), 0)
 	}
 }
 
-var forwardClient = &http.Client{Timeout: applyWait + time.Second}
+// forwardClient sends writes to the leader. Its timeout exceeds the leader's applyTimeout.
+var forwardClient = &http.Client{Timeout: applyTimeout + time.Second}
 
-// forward sends a write on to the leader and passes its answer back; a write that
-// was forwarded once is not forwarded again.
+// forward sends a write to the leader and passes the leader's answer back to the caller. A write
+// that another instance forwarded is not forwarded again.
 func (n *Node) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	leader := n.leaderHTTP()
-	if leader == "" || r.Header.Get(forwarded) != "" {
-		refuse(w, "no leader", 0)
+	if leader == "" || r.Header.Get(headerForwarded) != "" {
+		writeUnavailable(w, "no leader", 0)
 		return
 	}
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+leader+r.URL.Path, bytes.NewReader(body))
 	if err != nil {
-		refuse(w, err.Error(), 0)
+		writeUnavailable(w, err.Error(), 0)
 		return
 	}
-	req.Header.Set(forwarded, n.opt.ID)
+	req.Header.Set(headerForwarded, n.opt.ID)
 	resp, err := forwardClient.Do(req)
 	if err != nil {
-		refuse(w, "leader: "+err.Error(), 0)
+		writeUnavailable(w, "leader: "+err.Error(), 0)
 		return
 	}
 	defer resp.Body.Close()
@@ -260,5 +267,5 @@
 		}
 	}
 	w.WriteHeader(resp.StatusCode)
-	io.Copy(w, io.LimitReader(resp.Body, MaxBody))
+	io.Copy(w, io.LimitReader(resp.Body, MaxBodyBytes))
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -1,6 +1,6 @@
-// Package catalog is the project's discovery service: a host list replicated on
-// hashicorp/raft and served in the form of the discovery protocol (whole list, and
-// watches of one JSON object a line).
+// Package catalog implements the discovery service: a list of hosts that is replicated with
+// hashicorp/raft and served over HTTP. A caller fetches the whole list as one JSON object, or
+// opens a watch that streams the list and its changes as newline-delimited JSON.
 package catalog
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Member is one host of the list, in the protocol's form.
+// Member is one host of the list as the discovery protocol encodes it.
 type Member struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -29,15 +29,17 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// List is a whole list (Full) or the changes after an earlier version.
+// List is one message of the discovery protocol. If Full is set, Servers holds all hosts;
+// otherwise it holds the hosts that changed since an earlier version.
 type List struct {
 	Version uint64   `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
 }
 
-// Patch is the body of a write: what it names is set, the rest of an existing entry
-// stays. A new entry needs Addr; its state is ready unless told.
+// Patch is the body of a write. Fields that are present replace those of the entry; absent
+// fields leave an existing entry unchanged. A new entry requires Addr and starts in state ready
+// with weight 1 unless the patch sets these.
 type Patch struct {
 	Addr      *string  `json:"addr"`
 	Zone      *string  `json:"zone"`
@@ -48,57 +50,58 @@
 	StartedMS *int64   `json:"started_ms"`
 }
 
-// Limits of what a write may carry.
+// Limits on writes and on the retained changes.
 const (
-	MaxBody  = 64 << 10 // bytes of a write's body
-	MaxID    = 128      // bytes of an id
-	MaxField = 256      // bytes of addr, zone or kind
-	ringSize = 4096     // changes kept for watches that resume
+	MaxBodyBytes       = 64 << 10 // maximum size of the body of a write
+	MaxIDBytes         = 128      // maximum length of an entry's id
+	MaxFieldBytes      = 256      // maximum length of addr, zone and kind
+	maxRetainedChanges = 4096     // number of recent changes kept for resuming watches
 )
 
-// ErrInvalid marks a write that is refused for what it says; nothing of it is applied.
+// ErrInvalid marks a malformed write. No part of such a write is applied.
 var ErrInvalid = errors.New("invalid write")
 
-func invalid(format string, args ...any) error {
+func invalidf(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// ValidID checks an id: 1 to MaxID bytes of letters, digits and ".-_:".
-func ValidID(id string) error {
-	if id == "" || len(id) > MaxID {
-		return invalid("id must have 1 to %d bytes", MaxID)
+// ValidateID checks that id has 1 to MaxIDBytes bytes and consists of ASCII letters, digits and
+// the characters ".-_:".
+func ValidateID(id string) error {
+	if id == "" || len(id) > MaxIDBytes {
+		return invalidf("id must have 1 to %d bytes", MaxIDBytes)
 	}
 	for _, c := range []byte(id) {
 		ok := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 			c == '.' || c == '-' || c == '_' || c == ':'
 		if !ok {
-			return invalid("id may hold only letters, digits and .-_:")
+			return invalidf("id may hold only letters, digits and .-_:")
 		}
 	}
 	return nil
 }
 
-// DecodePatch reads a write's body strictly: one JSON object, no unknown key, no
-// trailing data.
+// DecodePatch decodes the body of a write. It accepts exactly one JSON object and rejects unknown
+// keys and trailing data.
 func DecodePatch(body []byte) (Patch, error) {
 	var p Patch
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&p); err != nil {
-		return p, invalid("body: %v", err)
+		return p, invalidf("body: %v", err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return p, invalid("body: data after the object")
+		return p, invalidf("body: data after the object")
 	}
 	return p, nil
 }
 
-// apply returns m with p laid over it, or why that is refused. exists says whether
-// m is an entry of the list.
+// apply returns m updated with the fields that p sets, or an error that wraps ErrInvalid. exists
+// reports whether m is already in the list.
 func (p *Patch) apply(m Member, exists bool) (Member, error) {
 	if !exists {
 		if p.Addr == nil {
-			return m, invalid("a new entry needs addr")
+			return m, invalidf("a new entry needs addr")
 		}
 		m.State, m.Weight = "ready", 1
 	}
@@ -106,8 +109,8 @@
 		if src == nil {
 			return nil
 		}
-		if len(*src) > MaxField {
-			return invalid("%s is longer than %d bytes", name, MaxField)
+		if len(*src) > MaxFieldBytes {
+			return invalidf("%s is longer than %d bytes", name, MaxFieldBytes)
 		}
 		*dst = *src
 		return nil
@@ -122,79 +125,81 @@
 		return m, err
 	}
 	if _, port, err := net.SplitHostPort(m.Addr); err != nil || port == "" {
-		return m, invalid("addr must be host:port")
+		return m, invalidf("addr must be host:port")
 	}
 	if p.State != nil {
 		if *p.State != "ready" && *p.State != "draining" {
-			return m, invalid("state must be ready or draining (gone is DELETE)")
+			return m, invalidf("state must be ready or draining (gone is DELETE)")
 		}
 		m.State = *p.State
 	}
 	if p.Cell != nil {
 		if *p.Cell < 0 {
-			return m, invalid("cell must not be negative")
+			return m, invalidf("cell must not be negative")
 		}
 		m.Cell = *p.Cell
 	}
 	if p.Weight != nil {
 		w := *p.Weight
 		if math.IsNaN(w) || w < 0 || w > 1e6 {
-			return m, invalid("weight must be from 0 to 1e6")
+			return m, invalidf("weight must be from 0 to 1e6")
 		}
 		m.Weight = w
 	}
 	if p.StartedMS != nil {
 		if *p.StartedMS < 0 {
-			return m, invalid("started_ms must not be negative")
+			return m, invalidf("started_ms must not be negative")
 		}
 		m.StartedMS = *p.StartedMS
 	}
 	return m, nil
 }
 
-// command is one raft log entry.
+// command is the JSON payload of one raft log entry. Its keys are part of the stored format.
 type command struct {
 	Op    string `json:"op"` // "put" or "del"
 	ID    string `json:"id"`
 	Patch Patch  `json:"patch,omitempty"`
-	Base  uint64 `json:"base,omitempty"` // of the versions, where the list has none yet
+	// Base is the version base in Unix milliseconds. It is set while the list has no base.
+	Base uint64 `json:"base,omitempty"`
 }
 
-// change is one applied change, kept for watches; Line is the member encoded once.
+// change is one applied change that is retained for watches. Encoded is the member as JSON, encoded
+// once for all watches.
 type change struct {
-	Index uint64
-	ID    string
-	Line  []byte
+	Version uint64
+	ID      string
+	Encoded []byte
 }
 
-// Store is the replicated list: raft's FSM, and what watches read.
+// Store holds the replicated list. It is raft's finite state machine, and watches read from it.
 type Store struct {
-	mu      sync.Mutex
-	members map[string]Member
-	base    uint64        // added to raft's index, so that no other catalog has counted the same
-	version uint64        // base and raft index of the entry that last changed the list
-	ring    []change      // the last changes, oldest first
-	floor   uint64        // every change after floor is in ring
-	moved   chan struct{} // closed at the next change
-	full    []byte        // the whole list as of version, encoded once; nil: not yet
+	mu            sync.Mutex
+	members       map[string]Member
+	versionBase   uint64        // added to the raft index, so that a rebuilt catalog does not reuse versions
+	version       uint64        // versionBase plus the raft index of the last change
+	changes       []change      // the most recent changes, oldest first
+	resumableFrom uint64        // changes holds every change after this version
+	changed       chan struct{} // closed and replaced on each change
+	encodedList   []byte        // cached encoding of the whole list at version; nil if not yet encoded
 }
 
 // NewStore returns an empty list.
 func NewStore() *Store {
-	return &Store{members: map[string]Member{}, moved: make(chan struct{})}
+	return &Store{members: map[string]Member{}, changed: make(chan struct{})}
 }
 
-// result is what Apply returns for a command.
-type result struct {
+// applyResult is the value that Apply returns to the proposer of a command.
+type applyResult struct {
 	Version uint64
 	Err     error
 }
 
-// Apply applies one committed entry; it is raft's to call.
-func (s *Store) Apply(l *raft.Log) any {
+// Apply implements raft.FSM. It applies one committed log entry.
+func (s *Store) Apply(entry *raft.Log) any {
 	var c command
-	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return result{Err: invalid("entry: %v", err)}
+	if err := json.Unmarshal(entry.Data, &c); err != nil {
+		return applyResult{Err: invalidf("entry: %v", err)}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,52 +209,54 @@
 	case "put":
 		var err error
 		if m, err = c.Patch.apply(old, exists); err != nil {
-			return result{Version: s.version, Err: err}
+			return applyResult{Version: s.version, Err: err}
 		}
 		m.ID = c.ID
 		s.members[c.ID] = m
 	case "del":
 		if !exists {
-			return result{Version: s.version, Err: ErrNotFound}
+			return applyResult{Version: s.version, Err: ErrNotFound}
 		}
 		m = old
 		m.State = "gone"
 		delete(s.members, c.ID)
 	default:
-		return result{Version: s.version, Err: invalid("op %q", c.Op)}
+		return applyResult{Version: s.version, Err: invalidf("op %q", c.Op)}
 	}
 	line, _ := json.Marshal(m)
-	s.count(c.Base, l.Index)
-	s.ring = append(s.ring, change{Index: s.version, ID: c.ID, Line: line})
-	if len(s.ring) > ringSize {
-		s.floor = s.ring[len(s.ring)-ringSize-1].Index
-		s.ring = append(s.ring[:0:0], s.ring[len(s.ring)-ringSize:]...)
+	s.setVersion(c.Base, entry.Index)
+	s.changes = append(s.changes, change{Version: s.version, ID: c.ID, Encoded: line})
+	if len(s.changes) > maxRetainedChanges {
+		s.resumableFrom = s.changes[len(s.changes)-maxRetainedChanges-1].Version
+		s.changes = append(s.changes[:0:0], s.changes[len(s.changes)-maxRetainedChanges:]...)
 	}
-	close(s.moved)
-	s.moved, s.full = make(chan struct{}), nil
-	return result{Version: s.version}
+	close(s.changed)
+	s.changed, s.encodedList = make(chan struct{}), nil
+	return applyResult{Version: s.version}
 }
 
-// count takes the version of a change at a raft index; s.mu is held. The first change gives the
-// base: what was counted before it was counted by another catalog.
-func (s *Store) count(base, index uint64) {
-	if s.base == 0 {
-		s.base = base
+// setVersion sets the version for a change at the given raft index. The first change sets the
+// version base. In a new list, a watch cannot resume from a version before that change, because
+// another catalog assigned it. The caller holds s.mu.
+func (s *Store) setVersion(base, index uint64) {
+	if s.versionBase == 0 {
+		s.versionBase = base
 		if s.version == 0 {
-			s.floor = base + index - 1
+			s.resumableFrom = base + index - 1
 		}
 	}
-	s.version = s.base + index
+	s.version = s.versionBase + index
 }
 
-// Base is what versions are counted from; 0: no change has given it yet.
-func (s *Store) Base() uint64 {
+// VersionBase returns the offset between raft indexes and versions, or 0 if no change has set it
+// yet.
+func (s *Store) VersionBase() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.base
+	return s.versionBase
 }
 
-// ErrNotFound is the answer to a change of an entry that is not in the list.
+// ErrNotFound is returned for the deletion of an entry that is not in the list.
 var ErrNotFound = errors.New("no such entry")
 
 // Version returns the list's version.
@@ -259,93 +266,95 @@
 	return s.version
 }
 
-// Has says whether id is in the list.
-func (s *Store) Has(id string) (Member, bool) {
+// Get returns the entry with the given id and whether it is in the list.
+func (s *Store) Get(id string) (Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, ok := s.members[id]
 	return m, ok
 }
 
-// Since returns one line of the protocol with what changed after version after,
-// the whole list where the ring no longer holds that, or nothing where after is the
-// version or newer. moved is closed at the next change.
-func (s *Store) Since(after uint64) (line []byte, version uint64, moved <-chan struct{}) {
+// ChangesSince returns the changes after afterVersion as one line of the protocol. It returns the
+// whole list if some of these changes are no longer retained, and nil if afterVersion is the
+// current version or newer. The channel changed is closed on the next change.
+func (s *Store) ChangesSince(afterVersion uint64) (line []byte, version uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after >= s.version {
-		return nil, s.version, s.moved
+	if afterVersion >= s.version {
+		return nil, s.version, s.changed
 	}
-	if after < s.floor {
-		return s.fullLocked(), s.version, s.moved
+	if afterVersion < s.resumableFrom {
+		return s.encodedListLocked(), s.version, s.changed
 	}
-	i := sort.Search(len(s.ring), func(i int) bool { return s.ring[i].Index > after })
-	// The newest change of an entry says all; older ones of it are left out.
-	last := map[string]int{}
-	for j := i; j < len(s.ring); j++ {
-		last[s.ring[j].ID] = j
+	start := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > afterVersion })
+	// Each change carries the whole member, so only the newest one of each member is sent.
+	newest := map[string]int{}
+	for j := start; j < len(s.changes); j++ {
+		newest[s.changes[j].ID] = j
 	}
-	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"version":%d,"full":false,"servers":[`, s.version)
-	first := true
-	for j := i; j < len(s.ring); j++ {
-		if last[s.ring[j].ID] != j {
+	var buf bytes.Buffer
+	fmt.Fprintf(&buf, `{"version":%d,"full":false,"servers":[`, s.version)
+	firstChange := true
+	for j := start; j < len(s.changes); j++ {
+		if newest[s.changes[j].ID] != j {
 			continue
 		}
-		if !first {
-			b.WriteByte(',')
+		if !firstChange {
+			buf.WriteByte(',')
 		}
-		first = false
-		b.Write(s.ring[j].Line)
+		firstChange = false
+		buf.Write(s.changes[j].Encoded)
 	}
-	b.WriteString("]}\n")
-	return b.Bytes(), s.version, s.moved
+	buf.WriteString("]}\n")
+	return buf.Bytes(), s.version, s.changed
 }
 
-// noChanges is one line of the protocol that says that nothing has changed since a version.
-func noChanges(version uint64) []byte {
+// encodeNoChanges returns a protocol line with the given version and no changes.
+func encodeNoChanges(version uint64) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[]}`+"\n", version)
 }
 
-// Resumes says whether a watch after a version gets changes, not the whole list.
-func (s *Store) Resumes(after uint64) bool {
+// CanResume reports whether a watch can resume after afterVersion with changes alone, without the
+// whole list.
+func (s *Store) CanResume(afterVersion uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return after >= s.floor
+	return afterVersion >= s.resumableFrom
 }
 
-// Full returns the whole list as one line of the protocol, and its version.
-func (s *Store) Full() ([]byte, uint64) {
+// FullList returns the whole list as one line of the protocol, together with its version.
+func (s *Store) FullList() ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fullLocked(), s.version
+	return s.encodedListLocked(), s.version
 }
 
-func (s *Store) fullLocked() []byte {
-	if s.full == nil {
-		b, _ := json.Marshal(List{Version: s.version, Full: true, Servers: s.sortedLocked()})
-		s.full = append(b, '\n')
+func (s *Store) encodedListLocked() []byte {
+	if s.encodedList == nil {
+		b, _ := json.Marshal(List{Version: s.version, Full: true, Servers: s.sortedMembersLocked()})
+		s.encodedList = append(b, '\n')
 	}
-	return s.full
+	return s.encodedList
 }
 
-func (s *Store) sortedLocked() []Member {
-	out := make([]Member, 0, len(s.members))
+func (s *Store) sortedMembersLocked() []Member {
+	members := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
-		out = append(out, m)
+		members = append(members, m)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
-	return out
+	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
+	return members
 }
 
-// Snapshot is raft's to call: a copy of the list and its version.
+// Snapshot implements raft.FSM. It copies the list and its version.
 func (s *Store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return snapshot{Base: s.base, Version: s.version, Servers: s.sortedLocked()}, nil
+	return snapshot{Base: s.versionBase, Version: s.version, Servers: s.sortedMembersLocked()}, nil
 }
 
-// Restore replaces the list with a snapshot's; watches then get the whole list.
+// Restore implements raft.FSM. It replaces the list with that of a snapshot. A snapshot holds no
+// changes, so watches at an older version then get the whole list.
 func (s *Store) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var snap snapshot
@@ -354,19 +363,20 @@
 	}
 	members := make(map[string]Member, len(snap.Servers))
 	for _, m := range snap.Servers {
-		if err := ValidID(m.ID); err != nil {
+		if err := ValidateID(m.ID); err != nil {
 			return fmt.Errorf("catalog snapshot: %w", err)
 		}
 		members[m.ID] = m
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members, s.base, s.version, s.floor, s.ring = members, snap.Base, snap.Version, snap.Version, nil
-	close(s.moved)
-	s.moved, s.full = make(chan struct{}), nil
+	s.members, s.versionBase, s.version, s.resumableFrom, s.changes = members, snap.Base, snap.Version, snap.Version, nil
+	close(s.changed)
+	s.changed, s.encodedList = make(chan struct{}), nil
 	return nil
 }
 
+// snapshot is the stored form of the list. Its JSON keys are part of the snapshot format.
 type snapshot struct {
 	Base    uint64   `json:"base,omitempty"`
 	Version uint64   `json:"version"`
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -1,6 +1,6 @@
-// Package catalogfleet starts catalog clusters on loopback with faults between their
-// instances, and follows their lists as gateways do: for the catalog's tests and for the
-// experiments of the fleet lab.
+// Package catalogfleet starts catalog clusters on the loopback interface, injects network faults
+// between their instances and watches their lists as gateways do. It serves the tests of the catalog
+// and the experiments of the fleet lab.
 package catalogfleet
 
 import (
@@ -21,40 +21,42 @@
 	"lynxspool/internal/faultnet"
 )
 
-// Failer is what a Cluster reports a failure to; a test is one. Fatalf does not return.
-type Failer interface {
+// FailureReporter receives the failures of a Cluster. A *testing.T implements it. Fatalf must not
+// return.
+type FailureReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// Cluster is n catalog processes whose raft links each go through a faultnet link.
+// Cluster is a set of catalog processes whose raft connections each pass through a faultnet link.
 type Cluster struct {
-	t     Failer
-	bin   string // of catalog
-	dir   string
-	IDs   []string // c1, c2, ...
-	raft  map[string]string
-	HTTP  map[string]string // address by id
-	Mesh  *faultnet.Mesh    // between them
-	Procs map[string]*faultnet.Proc
-	extra []string
+	reporter  FailureReporter
+	binary    string // path of the catalog binary
+	dataDir   string
+	IDs       []string // raft ids of the instances: c1, c2 and so on
+	raftAddr  map[string]string
+	HTTPAddr  map[string]string // address of the HTTP server by instance id
+	Mesh      *faultnet.Mesh    // raft links between the instances
+	Processes map[string]*faultnet.Proc
+	extraArgs []string
 }
 
-// NewCluster starts n instances of bin with their data below dir.
-func NewCluster(t Failer, bin, dir string, n int, extra ...string) *Cluster {
-	c := &Cluster{t: t, bin: bin, dir: dir, raft: map[string]string{}, HTTP: map[string]string{},
-		Procs: map[string]*faultnet.Proc{}, extra: extra}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		t.Fatalf("%v", err)
+// NewCluster starts instanceCount instances of the catalog binary with their data folders below
+// dataDir. extraArgs are added to the command line of each instance.
+func NewCluster(reporter FailureReporter, binary, dataDir string, instanceCount int, extraArgs ...string) *Cluster {
+	c := &Cluster{reporter: reporter, binary: binary, dataDir: dataDir, raftAddr: map[string]string{}, HTTPAddr: map[string]string{},
+		Processes: map[string]*faultnet.Proc{}, extraArgs: extraArgs}
+	if err := os.MkdirAll(dataDir, 0o755); err != nil {
+		reporter.Fatalf("%v", err)
 	}
-	for i := 1; i <= n; i++ {
+	for i := 1; i <= instanceCount; i++ {
 		id := fmt.Sprintf("c%d", i)
 		c.IDs = append(c.IDs, id)
-		c.raft[id], c.HTTP[id] = Free(t), Free(t)
+		c.raftAddr[id], c.HTTPAddr[id] = FreeAddr(reporter), FreeAddr(reporter)
 	}
 	var err error
-	if c.Mesh, err = faultnet.NewMesh(c.raft); err != nil {
-		t.Fatalf("%v", err)
+	if c.Mesh, err = faultnet.NewMesh(c.raftAddr); err != nil {
+		reporter.Fatalf("%v", err)
 	}
 	for _, id := range c.IDs {
 		c.Start(id)
@@ -62,13 +64,13 @@
 	return c
 }
 
-// Close kills the instances and ends the links; logf, if given, gets each one's log.
+// Close kills the instances and closes the links. If logf is not nil, it receives the end of each log.
 func (c *Cluster) Close(logf func(string, ...any)) {
-	for _, p := range c.Procs {
+	for _, p := range c.Processes {
 		p.Kill()
 	}
 	c.Mesh.Close()
-	for id, p := range c.Procs {
+	for id, p := range c.Processes {
 		if logf != nil {
 			b, _ := os.ReadFile(p.Log)
 			logf("log of %s:\n%s", id, tail(string(b), 3000))
@@ -76,77 +78,80 @@
 	}
 }
 
-func tail(s string, n int) string {
-	if len(s) > n {
-		return s[len(s)-n:]
+// tail returns the last maxBytes bytes of text.
+func tail(text string, maxBytes int) string {
+	if len(text) > maxBytes {
+		return text[len(text)-maxBytes:]
 	}
-	return s
+	return text
 }
 
-// Free is a loopback address that was free a moment ago.
-func Free(t Failer) string {
-	a, err := faultnet.FreeAddr()
+// FreeAddr returns a loopback address that was free when it was chosen.
+func FreeAddr(reporter FailureReporter) string {
+	addr, err := faultnet.FreeAddr()
 	if err != nil {
-		t.Fatalf("%v", err)
+		reporter.Fatalf("%v", err)
 	}
-	return a
+	return addr
 }
 
-// Start starts one instance, anew on its data if it ran before.
+// Start starts one instance, or restarts it on its existing data folder.
 func (c *Cluster) Start(id string) {
-	var peers, via []string
-	for _, o := range c.IDs {
-		peers = append(peers, o+"="+c.raft[o]+"/"+c.HTTP[o])
-		if o != id {
-			via = append(via, c.raft[o]+"="+c.Mesh.Link(id, o).Addr)
+	var peers, dialOverrides []string
+	for _, peerID := range c.IDs {
+		peers = append(peers, peerID+"="+c.raftAddr[peerID]+"/"+c.HTTPAddr[peerID])
+		if peerID != id {
+			dialOverrides = append(dialOverrides, c.raftAddr[peerID]+"="+c.Mesh.Link(id, peerID).Addr)
 		}
 	}
-	args := append([]string{"-id", id, "-data", c.dir + "/" + id, "-raft", c.raft[id], "-http", c.HTTP[id],
-		"-peers", strings.Join(peers, ","), "-via", strings.Join(via, ","),
-		"-heartbeat", "200ms", "-stale-after", "1s"}, c.extra...)
-	p, err := faultnet.Start(c.dir, id, c.bin, args)
+	args := append([]string{"-id", id, "-data", c.dataDir + "/" + id, "-raft", c.raftAddr[id], "-http", c.HTTPAddr[id],
+		"-peers", strings.Join(peers, ","), "-via", strings.Join(dialOverrides, ","),
+		"-heartbeat", "200ms", "-stale-after", "1s"}, c.extraArgs...)
+	p, err := faultnet.Start(c.dataDir, id, c.binary, args)
 	if err != nil {
-		c.t.Fatalf("%v", err)
+		c.reporter.Fatalf("%v", err)
 	}
-	c.Procs[id] = p
+	c.Processes[id] = p
 }
 
-// StatusOf asks an instance for its status.
-func StatusOf(addr string) (catalog.Status, error) {
-	var st catalog.Status
-	cl := http.Client{Timeout: time.Second}
-	resp, err := cl.Get("http://" + addr + "/catalog/status")
+// FetchStatus fetches the status of the instance at addr.
+func FetchStatus(addr string) (catalog.Status, error) {
+	var status catalog.Status
+	statusClient := http.Client{Timeout: time.Second}
+	resp, err := statusClient.Get("http://" + addr + "/catalog/status")
 	if err != nil {
-		return st, err
+		return status, err
 	}
 	defer resp.Body.Close()
-	return st, json.NewDecoder(resp.Body).Decode(&st)
+	return status, json.NewDecoder(resp.Body).Decode(&status)
 }
 
-// Leader waits for one of ids to say it leads, and returns it.
-func (c *Cluster) Leader(ids ...string) string {
-	c.t.Helper()
+// WaitForLeader waits until one of the given instances reports that it is the leader, and returns its
+// id. Without ids it considers all instances.
+func (c *Cluster) WaitForLeader(ids ...string) string {
+	c.reporter.Helper()
 	if len(ids) == 0 {
 		ids = c.IDs
 	}
 	for i := 0; i < 300; i++ {
 		for _, id := range ids {
-			if st, err := StatusOf(c.HTTP[id]); err == nil && st.State == "Leader" {
+			if st, err := FetchStatus(c.HTTPAddr[id]); err == nil && st.State == "Leader" {
 				return id
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("no leader among %v in 15 s", ids)
+	c.reporter.Fatalf("no leader elected among %v within 15 s", ids)
 	return ""
 }
 
-var client = &http.Client{Timeout: 10 * time.Second}
+var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// Put writes one entry at addr and returns the status code.
-func Put(addr, id, body string) int {
+// PutMember writes one entry through the instance at addr and returns the HTTP status code, or 0 if
+// there was no answer.
+func PutMember(addr, id, body string) int {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -155,10 +160,11 @@
 	return resp.StatusCode
 }
 
-// ListOf asks an instance for its list; the code is 0 with no answer.
-func ListOf(addr string) (catalog.List, int) {
+// FetchList fetches the list of the instance at addr. The returned HTTP status code is 0 if there was
+// no answer.
+func FetchList(addr string) (catalog.List, int) {
 	var l catalog.List
-	resp, err := client.Get("http://" + addr + "/catalog/members")
+	resp, err := httpClient.Get("http://" + addr + "/catalog/members")
 	if err != nil {
 		return l, 0
 	}
@@ -169,27 +175,27 @@
 	return l, resp.StatusCode
 }
 
-// Watcher follows the list as a gateway would: it resumes from its version at the
-// next address when a watch ends, and notes any version that goes back.
+// Watcher watches the list as a gateway does. When a watch ends, it resumes from its version at the
+// next address. It records every version that is lower than the one before it.
 type Watcher struct {
-	Addrs   []string // instances, in turn
-	mu      sync.Mutex
-	seen    []seen // each version taken, and when
-	version uint64
-	members map[string]catalog.Member
-	back    []string // versions that went back
+	Addrs       []string // instances to watch, used in turn
+	mu          sync.Mutex
+	received    []receivedVersion // each received version and its time of receipt
+	version     uint64
+	members     map[string]catalog.Member
+	regressions []string // descriptions of the versions that went back
 }
 
-// Run follows the list until ctx ends.
+// Run watches the list until ctx ends. It starts at a random address.
 func (w *Watcher) Run(ctx context.Context) {
 	w.members = map[string]catalog.Member{}
-	cl := http.Client{}
+	watchClient := http.Client{}
 	for i := rand.N(len(w.Addrs)); ctx.Err() == nil; i++ {
 		w.mu.Lock()
 		url := fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", w.Addrs[i%len(w.Addrs)], w.version)
 		w.mu.Unlock()
 		req, _ := http.NewRequestWithContext(ctx, "GET", url, nil)
-		resp, err := cl.Do(req)
+		resp, err := watchClient.Do(req)
 		if err == nil {
 			lines := bufio.NewScanner(resp.Body)
 			lines.Buffer(nil, 16<<20)
@@ -199,7 +205,7 @@
 					if json.Unmarshal(lines.Bytes(), &l) != nil {
 						break
 					}
-					w.take(l)
+					w.apply(l)
 				}
 			}
 			resp.Body.Close()
@@ -211,11 +217,12 @@
 	}
 }
 
-func (w *Watcher) take(l catalog.List) {
+// apply merges one message of the protocol into the list, unless its version goes back.
+func (w *Watcher) apply(l catalog.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.Version < w.version {
-		w.back = append(w.back, fmt.Sprintf("%d after %d", l.Version, w.version))
+		w.regressions = append(w.regressions, fmt.Sprintf("%d after %d", l.Version, w.version))
 		return
 	}
 	if l.Full {
@@ -229,69 +236,71 @@
 		}
 	}
 	w.version = l.Version
-	w.seen = append(w.seen, seen{l.Version, time.Now()})
+	w.received = append(w.received, receivedVersion{l.Version, time.Now()})
 }
 
-type seen struct {
-	version uint64
-	at      time.Time
+// receivedVersion is a version of the list and when the watcher received it.
+type receivedVersion struct {
+	version    uint64
+	receivedAt time.Time
 }
 
-// When returns when the Watcher first had version v or a later one.
-func (w *Watcher) When(v uint64) (time.Time, bool) {
+// ReceivedAt returns when the watcher first received the given version or a later one.
+func (w *Watcher) ReceivedAt(version uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, s := range w.seen {
-		if s.version >= v {
-			return s.at, true
+	for _, entry := range w.received {
+		if entry.version >= version {
+			return entry.receivedAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// At is the version and the number of hosts that the watcher has.
-func (w *Watcher) At() (uint64, int) {
+// VersionAndCount returns the version of the watcher's list and its number of hosts.
+func (w *Watcher) VersionAndCount() (uint64, int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version, len(w.members)
 }
 
-// Addrs are the addresses of some instances.
-func (c *Cluster) Addrs(ids ...string) []string {
+// HTTPAddrs returns the addresses of the HTTP servers of the given instances.
+func (c *Cluster) HTTPAddrs(ids ...string) []string {
 	var out []string
 	for _, id := range ids {
-		out = append(out, c.HTTP[id])
+		out = append(out, c.HTTPAddr[id])
 	}
 	return out
 }
 
-// Without is ids less one.
-func Without(ids []string, drop string) []string {
+// Without returns ids without the excluded one.
+func Without(ids []string, excluded string) []string {
 	var out []string
 	for _, id := range ids {
-		if id != drop {
+		if id != excluded {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// ProcFigures reads the resident memory of a process in kB and its open descriptors.
-func ProcFigures(pid int) (rssKB int, fds int) {
+// ProcessUsage returns the resident memory of a process in kB and its number of open descriptors.
+func ProcessUsage(pid int) (rssKB int, descriptorCount int) {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(b), "\n") {
 		if f := strings.Fields(line); len(f) >= 2 && f[0] == "VmRSS:" {
 			rssKB, _ = strconv.Atoi(f[1])
 		}
 	}
-	ents, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	return rssKB, len(ents)
+	descriptors, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	return rssKB, len(descriptors)
 }
 
-// Commit writes one entry at addr and returns the version it was committed at.
-func Commit(addr, id, body string) (uint64, bool) {
+// CommitMember writes one entry through the instance at addr. It returns the version at which the
+// entry was committed and whether the commit was confirmed.
+func CommitMember(addr, id, body string) (uint64, bool) {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return 0, false
 	}
@@ -301,9 +310,10 @@
 	return v.Version, resp.StatusCode == 200 && json.Unmarshal(b, &v) == nil && v.Version > 0
 }
 
-// Back is the versions that the watcher saw go back; there should be none.
-func (w *Watcher) Back() []string {
+// VersionRegressions describes each version that was lower than the one before it. A correct catalog
+// causes none.
+func (w *Watcher) VersionRegressions() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.back
+	return w.regressions
 }
--- a/internal/catalogfleet/experiment.go
+++ b/internal/catalogfleet/experiment.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// broken ends an experiment at its first failure.
-type broken struct{}
+// panicReporter is a FailureReporter that panics. RunExperiment recovers and returns the failure.
+type panicReporter struct{}
 
-func (broken) Helper() {}
+func (panicReporter) Helper() {}
 
-func (broken) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
+func (panicReporter) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
 
-// Figures are those of an Experiment. Times are in milliseconds.
-type Figures struct {
-	Watchers  int     `json:"watchers"`
-	FanoutP50 float64 `json:"fanout_p50_ms"` // commit to the last watcher, over 3 instances
-	FanoutP99 float64 `json:"fanout_p99_ms"`
-	MB        float64 `json:"mb"` // of one instance with all the watches
-	FDs       int     `json:"descriptors"`
-	KBWatch   float64 `json:"kb_a_watch"`
-	KillP50   float64 `json:"leader_kill_p50_ms"` // SIGKILL to the next committed write
-	KillP99   float64 `json:"leader_kill_p99_ms"`
+// ExperimentResult holds the measurements of RunExperiment.
+type ExperimentResult struct {
+	Watchers        int     `json:"watchers"`
+	FanoutP50MS     float64 `json:"fanout_p50_ms"` // from the commit to the receipt by the last watcher, over 3 instances
+	FanoutP99MS     float64 `json:"fanout_p99_ms"`
+	InstanceMB      float64 `json:"mb"`                 // resident memory of one instance with all watches open
+	Descriptors     int     `json:"descriptors"`        // open descriptors of that instance
+	KBPerWatch      float64 `json:"kb_a_watch"`         // resident memory per watch
+	LeaderKillP50MS float64 `json:"leader_kill_p50_ms"` // from the SIGKILL of the leader to the next committed write
+	LeaderKillP99MS float64 `json:"leader_kill_p99_ms"`
 }
 
-// Experiment measures fan-out, memory of watches and failover of clusters of the catalog
-// binary bin, with data below dir. Kills of 0 leaves the failover out.
-func Experiment(bin, dir string, watchers, writes, kills int) (f Figures, err error) {
+// RunExperiment starts clusters of the given catalog binary with data folders below dataDir. It
+// measures the fan-out of writes, the memory of watches and the failover time. If kills is 0, it
+// does not measure the failover.
+func RunExperiment(binary, dataDir string, watchers, writes, kills int) (result ExperimentResult, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			e, ok := p.(error)
@@ -41,34 +42,34 @@
 			err = errors.Join(errors.New("catalog experiment"), e)
 		}
 	}()
-	f.Watchers = watchers
-	f.FanoutP50, f.FanoutP99 = fanout(bin, filepath.Join(dir, "fanout"), watchers, writes)
-	f.MB, f.FDs, f.KBWatch = memory(bin, filepath.Join(dir, "memory"), watchers)
+	result.Watchers = watchers
+	result.FanoutP50MS, result.FanoutP99MS = measureFanout(binary, filepath.Join(dataDir, "fanout"), watchers, writes)
+	result.InstanceMB, result.Descriptors, result.KBPerWatch = measureWatchMemory(binary, filepath.Join(dataDir, "memory"), watchers)
 	if kills > 0 {
-		f.KillP50, f.KillP99 = failover(bin, filepath.Join(dir, "failover"), kills)
+		result.LeaderKillP50MS, result.LeaderKillP99MS = measureFailover(binary, filepath.Join(dataDir, "failover"), kills)
 	}
-	return f, nil
+	return result, nil
 }
 
-// fanout times, for each of writes writes, the commit to the last of n watchers
-// (spread over 3 instances) having it; it returns p50 and p99 in ms.
-func fanout(bin, dir string, n, writes int) (float64, float64) {
-	c := NewCluster(broken{}, bin, dir, 3)
+// measureFanout measures how long after its commit a write reaches the last of watcherCount watchers,
+// which are spread over 3 instances. It returns p50 and p99 over the writes in ms.
+func measureFanout(binary, dataDir string, watcherCount, writes int) (float64, float64) {
+	c := NewCluster(panicReporter{}, binary, dataDir, 3)
 	defer c.Close(nil)
-	leader := c.HTTP[c.Leader()]
+	leader := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
-		Put(leader, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
+		PutMember(leader, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ws := make([]*Watcher, n)
-	for i := range ws {
-		ws[i] = &Watcher{Addrs: []string{c.HTTP[c.IDs[i%3]]}}
-		go ws[i].Run(ctx)
+	watchers := make([]*Watcher, watcherCount)
+	for i := range watchers {
+		watchers[i] = &Watcher{Addrs: []string{c.HTTPAddr[c.IDs[i%3]]}}
+		go watchers[i].Run(ctx)
 	}
-	base, _ := ListOf(leader)
+	initialList, _ := FetchList(leader)
 	for i := 0; i < 600; i++ {
-		if _, ok := ws[n-1].When(base.Version); ok {
+		if _, ok := watchers[watcherCount-1].ReceivedAt(initialList.Version); ok {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -76,95 +77,95 @@
 	time.Sleep(time.Second)
 	var lags []time.Duration
 	for i := 0; i < writes; i++ {
-		v, ok := Commit(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
-		done := time.Now()
+		version, ok := CommitMember(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
+		committedAt := time.Now()
 		if !ok {
-			broken{}.Fatalf("a write failed")
+			panicReporter{}.Fatalf("a write was not committed")
 		}
-		var last time.Time
-		for _, w := range ws {
-			var at time.Time
+		var lastReceivedAt time.Time
+		for _, w := range watchers {
+			var receivedAt time.Time
 			for j := 0; j < 1000; j++ {
-				if at, ok = w.When(v); ok {
+				if receivedAt, ok = w.ReceivedAt(version); ok {
 					break
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
 			if !ok {
-				broken{}.Fatalf("a Watcher lacks version %d after 5 s", v)
+				panicReporter{}.Fatalf("a watcher has not received version %d after 5 s", version)
 			}
-			last = maxTime(last, at)
+			lastReceivedAt = maxTime(lastReceivedAt, receivedAt)
 		}
-		lags = append(lags, max(0, last.Sub(done)))
+		lags = append(lags, max(0, lastReceivedAt.Sub(committedAt)))
 		time.Sleep(20 * time.Millisecond)
 	}
-	return pct(lags, 0.5), pct(lags, 0.99)
+	return quantileMS(lags, 0.5), quantileMS(lags, 0.99)
 }
 
-// memory opens n watches at one instance and returns its MB, descriptors, and
-// kB a watch.
-func memory(bin, dir string, n int) (float64, int, float64) {
-	c := NewCluster(broken{}, bin, dir, 1)
+// measureWatchMemory opens watchCount watches on one instance. It returns the instance's resident
+// memory in MB, its number of open descriptors, and the growth of its memory in kB per watch.
+func measureWatchMemory(binary, dataDir string, watchCount int) (float64, int, float64) {
+	c := NewCluster(panicReporter{}, binary, dataDir, 1)
 	defer c.Close(nil)
-	addr := c.HTTP[c.Leader()]
+	addr := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
-		Put(addr, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
+		PutMember(addr, fmt.Sprintf("s-%03d", i), `{"addr":"127.0.0.1:9000","zone":"a"}`)
 	}
-	pid := c.Procs["c1"].Pid()
-	rss0, _ := ProcFigures(pid)
+	pid := c.Processes["c1"].Pid()
+	initialRSS, _ := ProcessUsage(pid)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for i := 0; i < n; i++ {
+	for i := 0; i < watchCount; i++ {
 		go (&Watcher{Addrs: []string{addr}}).Run(ctx)
 	}
 	for i := 0; i < 600; i++ {
-		if st, err := StatusOf(addr); err == nil && st.Watches >= n {
+		if st, err := FetchStatus(addr); err == nil && st.Watches >= watchCount {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	time.Sleep(2 * time.Second)
-	rss, fds := ProcFigures(pid)
-	return float64(rss) / 1024, fds, float64(rss-rss0) / float64(n)
+	rss, fds := ProcessUsage(pid)
+	return float64(rss) / 1024, fds, float64(rss-initialRSS) / float64(watchCount)
 }
 
-// failover kills the leader of 3 instances trials times and returns p50 and p99
-// in ms of the time to the next committed write.
-func failover(bin, dir string, trials int) (float64, float64) {
-	c := NewCluster(broken{}, bin, dir, 3)
+// measureFailover repeatedly kills the leader of a cluster of 3 instances. It returns p50 and p99 in
+// ms of the time to the next committed write.
+func measureFailover(binary, dataDir string, trials int) (float64, float64) {
+	c := NewCluster(panicReporter{}, binary, dataDir, 3)
 	defer c.Close(nil)
-	var gaps []time.Duration
+	var outages []time.Duration
 	for trial := 0; trial < trials; trial++ {
-		old := c.Leader()
-		rest := Without(c.IDs, old)
-		c.Procs[old].Kill()
-		killed := time.Now()
+		oldLeader := c.WaitForLeader()
+		survivors := Without(c.IDs, oldLeader)
+		c.Processes[oldLeader].Kill()
+		killedAt := time.Now()
 		for i := 0; ; i++ {
-			if _, ok := Commit(c.HTTP[rest[rand.N(len(rest))]], "s-f", fmt.Sprintf(`{"addr":"127.0.0.1:9000","cell":%d}`, trial)); ok {
+			if _, ok := CommitMember(c.HTTPAddr[survivors[rand.N(len(survivors))]], "s-f", fmt.Sprintf(`{"addr":"127.0.0.1:9000","cell":%d}`, trial)); ok {
 				break
 			}
 			if i > 2000 {
-				broken{}.Fatalf("no write committed 20 s after the kill")
+				panicReporter{}.Fatalf("no write committed 20 s after the kill")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		gaps = append(gaps, time.Since(killed))
-		c.Start(old)
-		want, _ := ListOf(c.HTTP[c.Leader(rest...)])
+		outages = append(outages, time.Since(killedAt))
+		c.Start(oldLeader)
+		want, _ := FetchList(c.HTTPAddr[c.WaitForLeader(survivors...)])
 		for i := 0; i < 400; i++ {
-			if l, code := ListOf(c.HTTP[old]); code == 200 && l.Version >= want.Version {
+			if l, code := FetchList(c.HTTPAddr[oldLeader]); code == 200 && l.Version >= want.Version {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return pct(gaps, 0.5), pct(gaps, 0.99)
+	return quantileMS(outages, 0.5), quantileMS(outages, 0.99)
 }
 
-// pct returns the q-quantile of ds in milliseconds.
-func pct(ds []time.Duration, q float64) float64 {
-	slices.Sort(ds)
-	return float64(ds[min(len(ds)-1, int(q*float64(len(ds))))]) / float64(time.Millisecond)
+// quantileMS sorts durations and returns their q-quantile in milliseconds.
+func quantileMS(durations []time.Duration, q float64) float64 {
+	slices.Sort(durations)
+	return float64(durations[min(len(durations)-1, int(q*float64(len(durations))))]) / float64(time.Millisecond)
 }
 
 func maxTime(a, b time.Time) time.Time {
