--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts many balancers for the simulator: it reads batches of
-// events on standard input and answers each with the balancers' actions on
-// standard output. Nothing else is written there.
+// Command simhost runs many balancers for the simulator. It reads batches of events from standard
+// input and answers each with the balancers' actions on standard output. It writes nothing else
+// there.
 package main
 
 import (
@@ -14,95 +14,98 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // a small heap: collect seldom
+	debug.SetGCPercent(800) // the heap is small, so collect it rarely
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// run serves batches until the input ends.
+// run reads batches from in and writes a reply to each to out, until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	h := host{balancers: map[uint32]*lynxspool.Balancer{}, out: wire.NewWriter(out)}
-	r := wire.NewReader(in)
+	a := adapter{balancers: map[uint32]*lynxspool.Balancer{}, out: wire.NewWriter(out)}
+	reader := wire.NewReader(in)
 	for n := 1; ; n++ {
-		now, err := r.Batch()
+		now, err := reader.ReadBatch()
 		if err == io.EOF {
 			return nil
 		}
 		for more := err == nil; more; {
 			var e wire.Event
-			if more, err = r.Next(&e); more {
-				h.handle(now, &e)
+			if more, err = reader.Next(&e); more {
+				a.handle(now, &e)
 			}
 		}
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
-		if err := h.out.Flush(); err != nil {
+		if err := a.out.Flush(); err != nil {
 			return fmt.Errorf("batch %d: reply: %w", n, err)
 		}
 	}
 }
 
-// host holds the balancers by instance number. They share nothing.
-type host struct {
-	balancers map[uint32]*lynxspool.Balancer
+// adapter passes events to the balancers and collects their actions. The balancers share no state.
+type adapter struct {
+	balancers map[uint32]*lynxspool.Balancer // by instance number
 	out       *wire.Writer
-	acts      []lynxspool.Action
+	actions   []lynxspool.Action // reused by every event
 }
 
-// handle gives one event to its balancer and collects the actions. An instance
-// that cannot go on is reported and then left alone.
-func (h *host) handle(now lynxspool.Time, e *wire.Event) {
+// handle passes an event to its balancer and adds the balancer's actions to the reply. When a
+// balancer panics, the crash is reported, and events of its instance are ignored until it starts
+// anew.
+func (a *adapter) handle(now lynxspool.Time, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			delete(h.balancers, e.Instance)
-			h.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
+			delete(a.balancers, e.Instance)
+			a.out.WriteCrash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
 		}
 	}()
-	if e.Code == wire.Hello {
-		h.start(now, e)
+	if e.Code == wire.EventHello {
+		a.startInstance(now, e)
 	}
-	b := h.balancers[e.Instance]
-	if b == nil {
+	balancer := a.balancers[e.Instance]
+	if balancer == nil {
 		return
 	}
 	switch e.Code {
-	case wire.PeersKnown:
-		b.UpdateHosts(now, e.List, e.Hosts)
-	case wire.Req:
-		b.Request(now, e.Request)
-	case wire.Flowing:
-		b.ResponseStarted(now, e.Request.ID, e.Attempt)
-	case wire.AttemptEnd:
-		b.Outcome(now, e.Outcome)
-	case wire.Withdrawn:
-		b.ClientGone(now, e.Request.ID)
-	case wire.Ring:
-		b.Timer(now, e.Token)
-	case wire.Halt:
-		delete(h.balancers, e.Instance)
+	case wire.EventHostList:
+		balancer.UpdateHosts(now, e.ListKind, e.Hosts)
+	case wire.EventRequest:
+		balancer.Request(now, e.Request)
+	case wire.EventResponseStarted:
+		balancer.ResponseStarted(now, e.Request.ID, e.Attempt)
+	case wire.EventAttemptEnded:
+		balancer.Outcome(now, e.Outcome)
+	case wire.EventClientGone:
+		balancer.ClientGone(now, e.Request.ID)
+	case wire.EventTimer:
+		balancer.Timer(now, e.Token)
+	case wire.EventStop:
+		delete(a.balancers, e.Instance)
 		return
 	}
-	h.acts = b.TakeActions(h.acts[:0])
-	for i := range h.acts {
-		h.out.Action(e.Instance, &h.acts[i])
+	a.actions = balancer.TakeActions(a.actions[:0])
+	for i := range a.actions {
+		a.out.WriteAction(e.Instance, &a.actions[i])
 	}
 }
 
-func (h *host) start(now lynxspool.Time, e *wire.Event) {
-	delete(h.balancers, e.Instance)
-	set, err := wire.ParseSettings(e.Settings)
+// startInstance starts the balancer of an instance and replaces the one that it had. Invalid
+// settings are reported as a crash of the instance.
+func (a *adapter) startInstance(now lynxspool.Time, e *wire.Event) {
+	delete(a.balancers, e.Instance)
+	settings, err := wire.ParseSettings(e.Settings)
 	if err != nil {
-		h.out.Crash(e.Instance, err.Error())
+		a.out.WriteCrash(e.Instance, err.Error())
 		return
 	}
-	b, err := lynxspool.New(set, e.Seed)
+	balancer, err := lynxspool.New(settings, e.Seed)
 	if err != nil {
-		h.out.Crash(e.Instance, err.Error())
+		a.out.WriteCrash(e.Instance, err.Error())
 		return
 	}
-	b.Start(now)
-	h.balancers[e.Instance] = b
+	balancer.Start(now)
+	a.balancers[e.Instance] = balancer
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,104 +9,107 @@
 	"lynxspool"
 )
 
-// settings is the part of the settings object that the balancer acts on;
-// unknown keys are ignored and absent ones are zero.
+// settings is the part of the settings object that the balancer uses. Its fields are named after
+// their keys. Unknown keys are ignored, and the fields of absent keys are zero.
 type settings struct {
-	Balancers int
-	Rank      int
-	Step      micros
-	Discovery string
-	OverShare float64 `json:"over_share_worth"`
-	Classes   []struct {
+	Balancers      int     // number of instances
+	Rank           int     // rank of this instance, from 0
+	Step           micros  // minimum interval between the times at which events are handled
+	Discovery      string  // discovery mode, a key of watchByDiscovery
+	OverShareWorth float64 `json:"over_share_worth"` // factor on the priority weight of requests over quota
+	Classes        []struct {
 		Name       string
-		Promise    micros
-		HardLimit  micros `json:"hard_limit"`
-		Importance float64
-		Effect     string
-		Group      string
-		Window     micros
+		Promise    micros  // latency target
+		HardLimit  micros  `json:"hard_limit"` // deadline of a request
+		Importance float64 // priority weight
+		Effect     string  // a key of effectsByName
+		Group      string  // a key of dedupScopesByName
+		Window     micros  // deduplication window
 	}
 	Tenants []struct {
-		Quota float64 `json:"quota_per_s"`
+		QuotaPerSecond float64 `json:"quota_per_s"` // requests per second
 	}
 	Caps struct {
-		Cancel        bool
-		MaxAttempts   int    `json:"max_attempts"`
-		MaxRetryAfter micros `json:"max_retry_after"`
-		RetryAfter    bool   `json:"retry_after"`
+		Cancel        bool   // cancel actions are allowed
+		MaxAttempts   int    `json:"max_attempts"`    // attempts per request
+		MaxRetryAfter micros `json:"max_retry_after"` // longest retry delay of a refusal
+		RetryAfter    bool   `json:"retry_after"`     // refusals may carry a retry delay
 	}
 	Obligations struct {
-		AskWithin      micros  `json:"ask_within"`
-		ColdFrom       float64 `json:"cold_from"`
-		WarmAfter      micros  `json:"warm_after"`
-		OverloadFactor float64 `json:"overload_factor"`
-		Fall           micros
-		DrainGrace     micros `json:"drain_grace"`
+		AskWithin      micros  `json:"ask_within"`      // longest time without a watch or a call for the host list
+		ColdFrom       float64 `json:"cold_from"`       // share of its capacity that a host has when it starts
+		WarmAfter      micros  `json:"warm_after"`      // time from the start of a host until it has its full capacity
+		OverloadFactor float64 `json:"overload_factor"` // overload of a cold host, as a multiple of its present capacity
+		Fall           micros  // time that a cold host withstands an overload
+		DrainGrace     micros  `json:"drain_grace"` // time for which sends to a host may still begin when it is draining or gone
 	}
 }
 
-// micros is a span of time in microseconds, whole or not.
+// micros is a duration in microseconds, which may have a fraction.
 type micros float64
 
-// span is the longest time there is where m is beyond that, for New to refuse.
-func (m micros) span() time.Duration {
-	if ns := float64(m) * float64(unit); ns < math.MaxInt64 {
+// duration converts m. A value outside the range of time.Duration is clamped to it, so that
+// lynxspool.New rejects it: a wrapped value could be valid.
+func (m micros) duration() time.Duration {
+	if ns := float64(m) * float64(timeUnit); ns < math.MaxInt64 {
 		return time.Duration(max(ns, math.MinInt64))
 	}
 	return math.MaxInt64
 }
 
-var effects = map[string]lynxspool.Effect{
+// effectsByName maps the names of effects.
+var effectsByName = map[string]lynxspool.Effect{
 	"idempotent": lynxspool.Idempotent, "deduplicated": lynxspool.Deduplicated, "at_most_once": lynxspool.AtMostOnce,
 }
 
-var groups = map[string]lynxspool.DedupScope{
+// dedupScopesByName maps the names of deduplication groups. The default is every host.
+var dedupScopesByName = map[string]lynxspool.DedupScope{
 	"": lynxspool.DedupAll, "all": lynxspool.DedupAll,
 	"zone": lynxspool.DedupZone, "cell": lynxspool.DedupCell,
 }
 
-// asks says for each way of discovery whether the list must be asked for; where none is
-// named it is pushed.
-var asks = map[string]bool{"": false, "automatic": false, "subscribe": true}
+// watchByDiscovery maps each discovery mode to whether the balancer has to watch the host list. In
+// the other modes, which include the default, the list is pushed.
+var watchByDiscovery = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
-// ParseSettings reads the settings object of a Hello.
+// ParseSettings decodes a JSON settings object, such as the one of an EventHello.
 func ParseSettings(text []byte) (lynxspool.Settings, error) {
-	var in settings
-	var out lynxspool.Settings
-	if err := json.Unmarshal(text, &in); err != nil {
-		return out, fmt.Errorf("settings: %w", err)
+	var decoded settings
+	var result lynxspool.Settings
+	if err := json.Unmarshal(text, &decoded); err != nil {
+		return result, fmt.Errorf("settings: %w", err)
 	}
-	ask, ok := asks[in.Discovery]
+	watch, ok := watchByDiscovery[decoded.Discovery]
 	if !ok {
-		return out, fmt.Errorf("settings: discovery: unknown way %q", in.Discovery)
+		return result, fmt.Errorf("settings: discovery: unknown mode %q", decoded.Discovery)
 	}
-	out = lynxspool.Settings{
-		Instances: in.Balancers, Rank: in.Rank, EventInterval: in.Step.span(),
-		MaxAttempts: in.Caps.MaxAttempts, CancelAllowed: in.Caps.Cancel, OverQuotaFactor: in.OverShare,
-		WatchHosts: ask, MaxWatchGap: in.Obligations.AskWithin.span(),
-		ColdCapacity: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.span(),
-		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.span(),
-		DrainGrace: in.Obligations.DrainGrace.span(),
+	result = lynxspool.Settings{
+		Instances: decoded.Balancers, Rank: decoded.Rank, EventInterval: decoded.Step.duration(),
+		MaxAttempts: decoded.Caps.MaxAttempts, CancelAllowed: decoded.Caps.Cancel, OverQuotaFactor: decoded.OverShareWorth,
+		WatchHosts: watch, MaxWatchGap: decoded.Obligations.AskWithin.duration(),
+		ColdCapacity: decoded.Obligations.ColdFrom, WarmAfter: decoded.Obligations.WarmAfter.duration(),
+		OverloadFactor: decoded.Obligations.OverloadFactor, OverloadWindow: decoded.Obligations.Fall.duration(),
+		DrainGrace: decoded.Obligations.DrainGrace.duration(),
 	}
-	if in.Caps.RetryAfter {
-		out.MaxRetryAfter = in.Caps.MaxRetryAfter.span()
+	if decoded.Caps.RetryAfter {
+		result.MaxRetryAfter = decoded.Caps.MaxRetryAfter.duration()
 	}
-	for i, c := range in.Classes {
-		effect, ok := effects[c.Effect]
+	for i, c := range decoded.Classes {
+		effect, ok := effectsByName[c.Effect]
 		if !ok {
-			return out, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
+			return result, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
 		}
-		group, ok := groups[c.Group]
+		dedupScope, ok := dedupScopesByName[c.Group]
 		if !ok {
-			return out, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
+			return result, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
-		out.Classes = append(out.Classes, lynxspool.Class{
-			Name: c.Name, LatencyTarget: c.Promise.span(), Deadline: c.HardLimit.span(), PriorityWeight: c.Importance,
-			Effect: effect, DedupScope: group, DedupWindow: c.Window.span(),
+		result.Classes = append(result.Classes, lynxspool.Class{
+			Name: c.Name, LatencyTarget: c.Promise.duration(), Deadline: c.HardLimit.duration(), PriorityWeight: c.Importance,
+			Effect: effect, DedupScope: dedupScope, DedupWindow: c.Window.duration(),
 		})
 	}
-	for _, t := range in.Tenants {
-		out.Tenants = append(out.Tenants, lynxspool.Tenant{Quota: t.Quota})
+	for _, t := range decoded.Tenants {
+		result.Tenants = append(result.Tenants, lynxspool.Tenant{Quota: t.QuotaPerSecond})
 	}
-	return out, nil
+	return result, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
 // Package wire translates between the simulator's binary frames and the
-// events and actions of package lynxspool. It decides nothing.
+// events and actions of package lynxspool, and decodes the balancer's settings.
+// It makes no decisions.
 package wire
 
 import (
@@ -14,134 +15,134 @@
 	"lynxspool"
 )
 
-// Codes of events.
+// Event codes.
 const (
-	Hello      = 0
-	PeersKnown = 1
-	Req        = 2
-	Flowing    = 3
-	AttemptEnd = 4
-	Withdrawn  = 5
-	Ring       = 6
-	StatusBack = 7
-	FromPeer   = 8
-	Halt       = 9
+	EventHello           = 0 // starts an instance with the settings that it carries
+	EventHostList        = 1 // host list, or the failure to get one
+	EventRequest         = 2 // arrival of a client request
+	EventResponseStarted = 3 // start of the response to an attempt
+	EventAttemptEnded    = 4 // outcome of an attempt
+	EventClientGone      = 5 // withdrawal of a request by its client
+	EventTimer           = 6 // expiry of a timer that a wake action set
+	EventProbeResult     = 7 // result of a probe, decoded without its fields
+	EventPeerMessage     = 8 // message of another instance, decoded without its fields
+	EventStop            = 9 // stop of an instance
 )
 
-// Codes of actions.
+// Action codes.
 const (
-	callOut  = 64
-	busy     = 65
-	fail     = 66
-	withdraw = 67
-	wakeAt   = 68
-	letGo    = 70
-	writeLog = 72
-	crash    = 73
-	tail     = 74
+	actionSend   = 64
+	actionRefuse = 65
+	actionFail   = 66
+	actionCancel = 67
+	actionWake   = 68
+	actionClose  = 70
+	actionLog    = 72
+	actionCrash  = 73
+	actionWatch  = 74
 )
 
+// Sizes in bytes.
 const (
-	batchHeader  = 12 // bytes of a batch's header behind its length
-	recordHeader = 5
-	entrySize    = 24
-	maxFrame     = 1 << 30
-	maxText      = 1 << 10
+	batchHeaderSize  = 12      // clock and record count, which follow the length of the frame
+	recordHeaderSize = 5       // code and size of the fields
+	hostEntrySize    = 24      // an entry of a host list
+	maxFrameSize     = 1 << 30 // maximum of a frame's length field
+	maxTextSize      = 1 << 10 // longer texts of logs and crashes are truncated
 )
 
-// unit is the unit of all times on the wire.
-const unit = time.Microsecond
+// timeUnit is the unit of all times and durations on the wire.
+const timeUnit = time.Microsecond
 
-// flagRepeat is the bit of a request's flags that marks a client's repeat.
-const flagRepeat = 2
+// flagClientRetry is the bit of a request's flags that marks a retry by the client.
+const flagClientRetry = 2
 
-// Event is one decoded record. Only the fields of its code are set.
+// Event is a decoded record. Only Code, Instance and the fields that name its code are set.
 type Event struct {
-	Code     byte
-	Instance uint32
+	Code     byte   // an Event constant
+	Instance uint32 // number of the instance that the event is for
 
-	Seed     uint64 // Hello
-	Settings []byte // Hello; valid until the next batch
+	Seed     uint64 // EventHello
+	Settings []byte // EventHello; valid until the next ReadBatch
 
-	List  lynxspool.ListKind // PeersKnown
-	Hosts []lynxspool.Host   // PeersKnown; valid until the next event
+	ListKind lynxspool.ListKind // EventHostList
+	Hosts    []lynxspool.Host   // EventHostList; valid until the next call of Next
 
-	Request lynxspool.Request // Req; its ID also in Withdrawn and Flowing
-	Attempt int               // Flowing
-	Outcome lynxspool.Outcome // AttemptEnd
-	Token   uint64            // Ring
+	Request lynxspool.Request // EventRequest; EventClientGone and EventResponseStarted set only its ID
+	Attempt int               // EventResponseStarted
+	Outcome lynxspool.Outcome // EventAttemptEnded
+	Token   uint64            // EventTimer
 }
 
-// Reader reads batches and the events in them.
+// Reader reads batches of events. Each frame of the input holds one batch.
 type Reader struct {
-	in    *bufio.Reader
-	frame bytes.Buffer
-	data  []byte // the frame behind its length field
-	pos   int    // of the next record in data
-	base  int64  // of the frame in the input
-	next  int64  // of the frame after it
-	left  uint32 // records still to come
-	hosts []lynxspool.Host
+	in         *bufio.Reader
+	frameBuf   bytes.Buffer
+	frame      []byte           // contents of frameBuf: the frame without its length field
+	offset     int              // offset of the next record in frame
+	frameStart int64            // offset of the frame in the input
+	frameEnd   int64            // offset of the end of the frame in the input
+	remaining  uint32           // number of records of the batch not read yet
+	hosts      []lynxspool.Host // reused by every host list
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<16)}
 }
 
-// Batch reads the next batch and returns its clock, or io.EOF when the input
-// has ended between batches.
-func (r *Reader) Batch() (lynxspool.Time, error) {
-	var head [4]byte
-	r.base = r.next
-	if n, err := io.ReadFull(r.in, head[:]); err == io.EOF {
+// ReadBatch reads the next batch and returns the time of its events. It returns io.EOF when the
+// input ends between batches.
+func (r *Reader) ReadBatch() (lynxspool.Time, error) {
+	var lengthField [4]byte
+	r.frameStart = r.frameEnd
+	if got, err := io.ReadFull(r.in, lengthField[:]); err == io.EOF {
 		return 0, io.EOF
 	} else if err != nil {
-		return 0, r.errorf(n-4, "input ends inside the length of a frame")
+		return 0, r.errorf(got-4, "input ends inside the length of a frame")
 	}
-	n := binary.LittleEndian.Uint32(head[:])
-	if n < batchHeader || n > maxFrame {
-		return 0, r.errorf(-4, "frame length %d is not between %d and %d", n, batchHeader, maxFrame)
+	length := binary.LittleEndian.Uint32(lengthField[:])
+	if length < batchHeaderSize || length > maxFrameSize {
+		return 0, r.errorf(-4, "frame length %d is not between %d and %d", length, batchHeaderSize, maxFrameSize)
 	}
-	r.next = r.base + 4 + int64(n)
-	r.frame.Reset() // grows with what arrives, not with what the length claims
-	if got, err := io.CopyN(&r.frame, r.in, int64(n)); err != nil {
-		return 0, r.errorf(int(got), "input ends inside a frame of %d bytes", n)
+	r.frameEnd = r.frameStart + 4 + int64(length)
+	r.frameBuf.Reset() // it grows with the received bytes, not to the length that the frame claims
+	if got, err := io.CopyN(&r.frameBuf, r.in, int64(length)); err != nil {
+		return 0, r.errorf(int(got), "input ends inside a frame of %d bytes", length)
 	}
-	r.data = r.frame.Bytes()
-	clock := binary.LittleEndian.Uint64(r.data)
-	if clock > math.MaxInt64/uint64(unit) {
+	r.frame = r.frameBuf.Bytes()
+	clock := binary.LittleEndian.Uint64(r.frame)
+	if clock > math.MaxInt64/uint64(timeUnit) {
 		return 0, r.errorf(0, "clock %d is out of range", clock)
 	}
-	r.left, r.pos = binary.LittleEndian.Uint32(r.data[8:]), batchHeader
-	return lynxspool.Time(clock) * unit, nil
+	r.remaining, r.offset = binary.LittleEndian.Uint32(r.frame[8:]), batchHeaderSize
+	return lynxspool.Time(clock) * timeUnit, nil
 }
 
-// Next decodes the next event of the batch into e and says whether there was
-// one.
+// Next decodes the next event of the batch into e. It returns false after the last event.
 func (r *Reader) Next(e *Event) (bool, error) {
-	if r.left == 0 {
-		if r.pos != len(r.data) {
-			return false, r.errorf(r.pos, "%d bytes behind the last record", len(r.data)-r.pos)
+	if r.remaining == 0 {
+		if r.offset != len(r.frame) {
+			return false, r.errorf(r.offset, "%d bytes behind the last record", len(r.frame)-r.offset)
 		}
 		return false, nil
 	}
-	if len(r.data)-r.pos < recordHeader {
-		return false, r.errorf(r.pos, "record header is cut off")
+	if len(r.frame)-r.offset < recordHeaderSize {
+		return false, r.errorf(r.offset, "record header is cut off")
 	}
-	size := binary.LittleEndian.Uint32(r.data[r.pos+1:])
-	if uint64(size) > uint64(len(r.data)-r.pos-recordHeader) {
-		return false, r.errorf(r.pos, "record of %d bytes reaches past the frame", size)
+	size := binary.LittleEndian.Uint32(r.frame[r.offset+1:])
+	if uint64(size) > uint64(len(r.frame)-r.offset-recordHeaderSize) {
+		return false, r.errorf(r.offset, "record of %d bytes reaches past the frame", size)
 	}
-	start := r.pos
-	end := start + recordHeader + int(size)
-	f := fields{data: r.data[start+recordHeader : end]}
-	r.pos, r.left = end, r.left-1
-	*e = Event{Code: r.data[start], Instance: f.u32()}
+	start := r.offset
+	end := start + recordHeaderSize + int(size)
+	f := fieldReader{data: r.frame[start+recordHeaderSize : end]}
+	r.offset, r.remaining = end, r.remaining-1
+	*e = Event{Code: r.frame[start], Instance: f.u32()}
 	if err := r.decode(e, &f); err != nil {
 		return false, r.errorf(start, "%v", err)
 	}
-	if f.short {
+	if f.truncated {
 		return false, r.errorf(start, "record of code %d is too short", e.Code)
 	}
 	if len(f.data) > 0 {
@@ -150,92 +151,95 @@
 	return true, nil
 }
 
-// errorf places an error in the input; pos counts from behind the frame's length.
-func (r *Reader) errorf(pos int, format string, args ...any) error {
-	return fmt.Errorf("at byte %d: %s", r.base+4+int64(pos), fmt.Sprintf(format, args...))
+// errorf returns an error that names its offset in the input. The argument offset is relative to
+// the end of the frame's length field.
+func (r *Reader) errorf(offset int, format string, args ...any) error {
+	return fmt.Errorf("at byte %d: %s", r.frameStart+4+int64(offset), fmt.Sprintf(format, args...))
 }
 
-func (r *Reader) decode(e *Event, f *fields) error {
+// decode decodes the fields of a record with the code of e into e.
+func (r *Reader) decode(e *Event, f *fieldReader) error {
 	switch e.Code {
-	case Hello:
+	case EventHello:
 		e.Seed = f.u64()
 		e.Settings = f.bytes(uint64(f.u32()))
-	case PeersKnown:
-		return r.decodeList(e, f)
-	case Req:
+	case EventHostList:
+		return r.decodeHostList(e, f)
+	case EventRequest:
 		e.Request.ID = lynxspool.RequestID(f.u32())
 		e.Request.Class = int(f.u8())
 		e.Request.Tenant = int(f.u16())
 		f.u32() // expected work
-		e.Request.Remaining = f.time()
+		e.Request.Remaining = f.duration()
 		f.u64() // routing key
-		e.Request.ClientRetry = f.u8()&flagRepeat != 0
-	case Flowing:
+		e.Request.ClientRetry = f.u8()&flagClientRetry != 0
+	case EventResponseStarted:
 		e.Request.ID = lynxspool.RequestID(f.u32())
 		e.Attempt = int(f.u16())
-		f.host()
-		f.time()
-	case AttemptEnd:
+		f.hostID()
+		f.duration()
+	case EventAttemptEnded:
 		e.Outcome.Request = lynxspool.RequestID(f.u32())
 		e.Outcome.Attempt = int(f.u16())
-		f.host()
+		f.hostID()
 		code := f.u16()
-		e.Outcome.Elapsed = f.time()
+		e.Outcome.Elapsed = f.duration()
 		e.Outcome.Answered = f.u8() != 0
 		f.bytes(4 * uint64(f.u8()))
 		var ok bool
-		if e.Outcome.Result, ok = results[code]; !ok && !f.short {
+		if e.Outcome.Result, ok = resultsByCode[code]; !ok && !f.truncated {
 			return fmt.Errorf("unknown outcome %d", code)
 		}
-	case Withdrawn:
+	case EventClientGone:
 		e.Request.ID = lynxspool.RequestID(f.u32())
-	case Ring:
+	case EventTimer:
 		e.Token = f.u64()
-	case StatusBack:
+	case EventProbeResult:
 		f.u16()
-		f.time()
-		f.host()
+		f.duration()
+		f.hostID()
 		f.bytes(4 * uint64(f.u8()))
-	case FromPeer:
+	case EventPeerMessage:
 		f.u16()
 		f.bytes(uint64(f.u16()))
-	case Halt:
+	case EventStop:
 	default:
 		return fmt.Errorf("unknown event code %d", e.Code)
 	}
 	return nil
 }
 
-func (r *Reader) decodeList(e *Event, f *fields) error {
+// decodeHostList decodes the fields of a host list into e. The list is kept in r.hosts.
+func (r *Reader) decodeHostList(e *Event, f *fieldReader) error {
 	mode := f.u8()
 	f.u64() // version
-	n := f.u32()
-	if f.short {
+	entryCount := f.u32()
+	if f.truncated {
 		return nil
 	}
 	switch mode {
 	case 0:
-		e.List = lynxspool.ListFailed
+		e.ListKind = lynxspool.ListFailed
 	case 1:
-		e.List = lynxspool.ListFull
+		e.ListKind = lynxspool.ListFull
 	case 3:
-		e.List = lynxspool.ListSaved
+		e.ListKind = lynxspool.ListSaved
 	case 4:
-		e.List = lynxspool.ListChanges
+		e.ListKind = lynxspool.ListChanges
 	default:
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
-	if uint64(n)*entrySize != uint64(len(f.data)) {
-		return fmt.Errorf("list of %d entries has %d bytes", n, len(f.data))
+	if uint64(entryCount)*hostEntrySize != uint64(len(f.data)) {
+		return fmt.Errorf("list of %d entries has %d bytes", entryCount, len(f.data))
 	}
 	r.hosts = r.hosts[:0]
-	for range n {
-		start := f.u64()
-		if start > math.MaxInt64/uint64(unit) {
-			return fmt.Errorf("start time %d is out of range", start)
+	for range entryCount {
+		started := f.u64()
+		if started > math.MaxInt64/uint64(timeUnit) {
+			return fmt.Errorf("start time %d is out of range", started)
 		}
-		h := lynxspool.Host{Started: lynxspool.Time(start) * unit, Kind: int(f.u8())}
-		h.ID = f.host()
+		h := lynxspool.Host{Started: lynxspool.Time(started) * timeUnit, Kind: int(f.u8())}
+		h.ID = f.hostID()
 		h.Zone, h.Cell = int(f.u16()), int(f.u16())
 		switch state := f.u8(); state {
 		case 3:
@@ -254,7 +258,8 @@
 	return nil
 }
 
-var results = map[uint16]lynxspool.Result{
+// resultsByCode maps the outcome codes of attempts.
+var resultsByCode = map[uint16]lynxspool.Result{
 	100: lynxspool.OK,
 	301: lynxspool.Failed,
 	302: lynxspool.Full,
@@ -265,16 +270,16 @@
 	307: lynxspool.NotSent,
 }
 
-// fields reads little-endian fields; once one is missing, short is set and all
-// further ones are zero.
-type fields struct {
-	data  []byte
-	short bool
+// fieldReader reads little-endian fields from data. When data is too short for a field, truncated
+// is set, and that field and all further ones are zero.
+type fieldReader struct {
+	data      []byte // fields not read yet
+	truncated bool
 }
 
-func (f *fields) bytes(n uint64) []byte {
+func (f *fieldReader) bytes(n uint64) []byte {
 	if uint64(len(f.data)) < n {
-		f.short, f.data = true, nil
+		f.truncated, f.data = true, nil
 		return nil
 	}
 	v := f.data[:n]
@@ -282,111 +287,118 @@
 	return v
 }
 
-func (f *fields) u8() uint8 {
+func (f *fieldReader) u8() uint8 {
 	if v := f.bytes(1); v != nil {
 		return v[0]
 	}
 	return 0
 }
 
-func (f *fields) u16() uint16 {
+func (f *fieldReader) u16() uint16 {
 	if v := f.bytes(2); v != nil {
 		return binary.LittleEndian.Uint16(v)
 	}
 	return 0
 }
 
-func (f *fields) u32() uint32 {
+func (f *fieldReader) u32() uint32 {
 	if v := f.bytes(4); v != nil {
 		return binary.LittleEndian.Uint32(v)
 	}
 	return 0
 }
 
-func (f *fields) u64() uint64 {
+func (f *fieldReader) u64() uint64 {
 	if v := f.bytes(8); v != nil {
 		return binary.LittleEndian.Uint64(v)
 	}
 	return 0
 }
 
-func (f *fields) time() time.Duration { return time.Duration(f.u32()) * unit }
+func (f *fieldReader) duration() time.Duration { return time.Duration(f.u32()) * timeUnit }
 
-// host packs the four address bytes and the port into one number.
-func (f *fields) host() lynxspool.HostID {
+// hostID reads a host's address: the four address bytes are the lower 32 bits of the ID and the
+// port is the next 16.
+func (f *fieldReader) hostID() lynxspool.HostID {
 	addr := f.u32()
 	return lynxspool.HostID(addr) | lynxspool.HostID(f.u16())<<32
 }
 
-// Writer collects the actions of one batch and writes them as one reply.
+// Writer collects the actions of a batch and writes them as one reply.
 type Writer struct {
-	out   *bufio.Writer
-	buf   []byte
-	count uint32
+	out         *bufio.Writer
+	buf         []byte // reply: its length, its record count and its records
+	recordCount uint32 // number of records in buf
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(out, 1<<16), buf: make([]byte, 8, 1<<12)}
 }
 
-// Flush sends the reply to the batch.
+// Flush writes the reply to the batch and starts a new one.
 func (w *Writer) Flush() error {
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(w.buf)-4))
-	binary.LittleEndian.PutUint32(w.buf[4:], w.count)
-	w.out.Write(w.buf) // an error sticks and is returned by Flush
-	w.buf, w.count = w.buf[:8], 0
+	binary.LittleEndian.PutUint32(w.buf[4:], w.recordCount)
+	w.out.Write(w.buf) // bufio.Writer keeps an error and returns it from Flush
+	w.buf, w.recordCount = w.buf[:8], 0
 	return w.out.Flush()
 }
 
-// Action adds an action of an instance.
-func (w *Writer) Action(instance uint32, a *lynxspool.Action) {
+// WriteAction adds an action of an instance to the reply. Kinds of action without a code are
+// ignored.
+func (w *Writer) WriteAction(instance uint32, a *lynxspool.Action) {
 	switch a.Kind {
 	case lynxspool.Send:
-		w.record(callOut, instance, 22)
+		w.appendRecordHeader(actionSend, instance, 22)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
-		w.u64(uint64(a.At / unit))
+		w.u64(uint64(a.At / timeUnit))
 	case lynxspool.Cancel:
-		w.record(withdraw, instance, 10)
+		w.appendRecordHeader(actionCancel, instance, 10)
 		w.u32(uint32(a.Request))
 		w.u16(uint16(a.Attempt))
 	case lynxspool.Refuse:
-		w.record(busy, instance, 12)
+		w.appendRecordHeader(actionRefuse, instance, 12)
 		w.u32(uint32(a.Request))
-		w.u32(uint32(a.RetryAfter / unit))
+		w.u32(uint32(a.RetryAfter / timeUnit))
 	case lynxspool.Fail:
-		w.record(fail, instance, 8)
+		w.appendRecordHeader(actionFail, instance, 8)
 		w.u32(uint32(a.Request))
 	case lynxspool.Wake:
-		w.record(wakeAt, instance, 20)
-		w.u64(uint64((a.At + unit - 1) / unit))
+		w.appendRecordHeader(actionWake, instance, 20)
+		w.u64(uint64((a.At + timeUnit - 1) / timeUnit))
 		w.u64(a.Token)
 	case lynxspool.Close:
-		w.record(letGo, instance, 10)
+		w.appendRecordHeader(actionClose, instance, 10)
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
 	case lynxspool.Watch:
-		w.record(tail, instance, 5)
+		w.appendRecordHeader(actionWatch, instance, 5)
 		w.buf = append(w.buf, 1)
 	case lynxspool.Log:
-		w.text(writeLog, instance, a.Text)
+		w.appendTextRecord(actionLog, instance, a.Text)
 	}
 }
 
-// Crash reports that an instance cannot go on.
-func (w *Writer) Crash(instance uint32, text string) { w.text(crash, instance, text) }
+// WriteCrash adds the failure of an instance to the reply.
+func (w *Writer) WriteCrash(instance uint32, text string) {
+	w.appendTextRecord(actionCrash, instance, text)
+}
 
-func (w *Writer) text(code byte, instance uint32, text string) {
-	text = text[:min(len(text), maxText)]
-	w.record(code, instance, 6+len(text))
+// appendTextRecord appends a record that holds a text, truncated to maxTextSize.
+func (w *Writer) appendTextRecord(code byte, instance uint32, text string) {
+	text = text[:min(len(text), maxTextSize)]
+	w.appendRecordHeader(code, instance, 6+len(text))
 	w.u16(uint16(len(text)))
 	w.buf = append(w.buf, text...)
 }
 
-func (w *Writer) record(code byte, instance uint32, size int) {
-	w.count++
+// appendRecordHeader starts a record of an instance. The size counts the bytes after the record's
+// code and size, which include the instance number.
+func (w *Writer) appendRecordHeader(code byte, instance uint32, size int) {
+	w.recordCount++
 	w.buf = append(w.buf, code)
 	w.u32(uint32(size))
 	w.u32(instance)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,8 +15,8 @@
 	"lynxspool"
 )
 
-// frame builds a batch of records, each a code and its fields.
-func frame(clock uint64, records ...[]byte) []byte {
+// encodeFrame encodes a batch. The first byte of a record is its code, the others are its fields.
+func encodeFrame(clock uint64, records ...[]byte) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, clock)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
 	for _, r := range records {
@@ -27,7 +27,8 @@
 	return append(binary.LittleEndian.AppendUint32(nil, uint32(len(b))), b...)
 }
 
-func unhex(t *testing.T, s string) []byte {
+// decodeHex decodes hexadecimal digits, which spaces may separate.
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
@@ -36,16 +37,17 @@
 	return b
 }
 
-func readAll(data []byte) (Time time.Duration, events []Event, err error) {
+// readAll reads a batch and returns its time and its events.
+func readAll(data []byte) (clock time.Duration, events []Event, err error) {
 	r := NewReader(bytes.NewReader(data))
-	if Time, err = r.Batch(); err != nil {
-		return Time, nil, err
+	if clock, err = r.ReadBatch(); err != nil {
+		return clock, nil, err
 	}
 	for {
 		var e Event
 		more, err := r.Next(&e)
 		if !more || err != nil {
-			return Time, events, err
+			return clock, events, err
 		}
 		e.Hosts = append([]lynxspool.Host(nil), e.Hosts...)
 		events = append(events, e)
@@ -59,27 +61,27 @@
 		want         Event
 	}{
 		{"request", "02 03000000 c4913a5d 01 0200 e02e0000 80a90300 640ad2557c3bf091 03",
-			Event{Code: Req, Instance: 3, Request: lynxspool.Request{
+			Event{Code: EventRequest, Instance: 3, Request: lynxspool.Request{
 				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Remaining: 240 * time.Millisecond, ClientRetry: true}}},
-		{"attempt end", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
-			Event{Code: AttemptEnd, Instance: 3, Outcome: lynxspool.Outcome{Request: 0x5d3a91c4, Attempt: 1,
+		{"attempt ended", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
+			Event{Code: EventAttemptEnded, Instance: 3, Outcome: lynxspool.Outcome{Request: 0x5d3a91c4, Attempt: 1,
 				Result: lynxspool.Full, Elapsed: 18500 * time.Microsecond, Answered: true}}},
-		{"ring", "06 03000000 4d00000000000000", Event{Code: Ring, Instance: 3, Token: 77}},
-		{"withdrawn", "05 05000000 192b6f0e",
-			Event{Code: Withdrawn, Instance: 5, Request: lynxspool.Request{ID: 0x0e6f2b19}}},
-		{"flowing", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
-			Event{Code: Flowing, Instance: 3, Request: lynxspool.Request{ID: 0x5d3a91c4}, Attempt: 2}},
-		{"list", "01 03000000 04 2900000000000000 01000000 20145d0000000000 01 0a124a07 2b23 0100 0200 00 0000c07f",
-			Event{Code: PeersKnown, Instance: 3, List: lynxspool.ListChanges, Hosts: []lynxspool.Host{{ID: host,
+		{"timer", "06 03000000 4d00000000000000", Event{Code: EventTimer, Instance: 3, Token: 77}},
+		{"client gone", "05 05000000 192b6f0e",
+			Event{Code: EventClientGone, Instance: 5, Request: lynxspool.Request{ID: 0x0e6f2b19}}},
+		{"response started", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
+			Event{Code: EventResponseStarted, Instance: 3, Request: lynxspool.Request{ID: 0x5d3a91c4}, Attempt: 2}},
+		{"host list", "01 03000000 04 2900000000000000 01000000 20145d0000000000 01 0a124a07 2b23 0100 0200 00 0000c07f",
+			Event{Code: EventHostList, Instance: 3, ListKind: lynxspool.ListChanges, Hosts: []lynxspool.Host{{ID: host,
 				Zone: 1, Cell: 2, Kind: 1, State: lynxspool.Draining, Started: 0x5d1420 * time.Microsecond}}}},
-		{"probe result", "07 03000000 6400 78050000 0a9011f2 5423 00", Event{Code: StatusBack, Instance: 3}},
-		{"peer", "08 03000000 0200 0400 68692037", Event{Code: FromPeer, Instance: 3}},
-		{"halt", "09 03000000", Event{Code: Halt, Instance: 3}},
+		{"probe result", "07 03000000 6400 78050000 0a9011f2 5423 00", Event{Code: EventProbeResult, Instance: 3}},
+		{"peer message", "08 03000000 0200 0400 68692037", Event{Code: EventPeerMessage, Instance: 3}},
+		{"stop", "09 03000000", Event{Code: EventStop, Instance: 3}},
 	}
 	for _, tt := range tests {
-		now, got, err := readAll(frame(8411738, unhex(t, tt.fields)))
-		if err != nil || now != 8411738*time.Microsecond || len(got) != 1 {
-			t.Errorf("%s: clock %v, %d events, error %v", tt.name, now, len(got), err)
+		clock, got, err := readAll(encodeFrame(8411738, decodeHex(t, tt.fields)))
+		if err != nil || clock != 8411738*time.Microsecond || len(got) != 1 {
+			t.Errorf("%s: clock %v, %d events, error %v", tt.name, clock, len(got), err)
 			continue
 		}
 		if len(got[0].Hosts) == 0 {
@@ -92,15 +94,15 @@
 }
 
 func TestMalformedFrames(t *testing.T) {
-	ring := unhex(t, "06 03000000 4d00000000000000")
-	whole := frame(1, ring)
-	count := func(n uint32) []byte {
-		b := bytes.Clone(whole)
+	timer := decodeHex(t, "06 03000000 4d00000000000000")
+	valid := encodeFrame(1, timer)
+	withRecordCount := func(n uint32) []byte {
+		b := bytes.Clone(valid)
 		binary.LittleEndian.PutUint32(b[12:], n)
 		return b
 	}
-	size := func(n uint32) []byte {
-		b := bytes.Clone(whole)
+	withRecordSize := func(n uint32) []byte {
+		b := bytes.Clone(valid)
 		binary.LittleEndian.PutUint32(b[17:], n)
 		return b
 	}
@@ -109,24 +111,24 @@
 		data []byte
 		want string
 	}{
-		{"cut in the length", whole[:3], "at byte 3: input ends inside the length"},
-		{"cut in the header", whole[:9], "at byte 9: input ends inside"},
-		{"cut in a record", whole[:20], "at byte 20: input ends inside"},
+		{"cut in the length", valid[:3], "at byte 3: input ends inside the length"},
+		{"cut in the header", valid[:9], "at byte 9: input ends inside"},
+		{"cut in a record", valid[:20], "at byte 20: input ends inside"},
 		{"length too small", []byte{1, 0, 0, 0, 0}, "at byte 0: frame length 1"},
 		{"length too large", []byte{255, 255, 255, 255}, "frame length"},
 		{"length beyond the input", []byte{0, 0, 0, 48, 1, 2}, "at byte 6: input ends inside"},
-		{"clock out of range", frame(math.MaxUint64), "clock"},
-		{"more records than bytes", count(2), "record header is cut off"},
-		{"fewer records than bytes", count(0), "behind the last record"},
-		{"record past the frame", size(1 << 31), "reaches past the frame"},
-		{"record short", frame(1, ring[:9]), "too short"},
-		{"record long", frame(1, append(bytes.Clone(ring), 0)), "1 bytes too many"},
-		{"unknown event", frame(1, []byte{99, 0, 0, 0, 0}), "unknown event code 99"},
-		{"unknown outcome", frame(1, unhex(t, "04 03000000 c4913a5d 0100 0a124a07 2b23 0900 44480000 01 00")),
+		{"clock out of range", encodeFrame(math.MaxUint64), "clock"},
+		{"more records than bytes", withRecordCount(2), "record header is cut off"},
+		{"fewer records than bytes", withRecordCount(0), "behind the last record"},
+		{"record past the frame", withRecordSize(1 << 31), "reaches past the frame"},
+		{"record short", encodeFrame(1, timer[:9]), "too short"},
+		{"record long", encodeFrame(1, append(bytes.Clone(timer), 0)), "1 bytes too many"},
+		{"unknown event", encodeFrame(1, []byte{99, 0, 0, 0, 0}), "unknown event code 99"},
+		{"unknown outcome", encodeFrame(1, decodeHex(t, "04 03000000 c4913a5d 0100 0a124a07 2b23 0900 44480000 01 00")),
 			"unknown outcome 9"},
-		{"unknown list mode", frame(1, unhex(t, "01 03000000 09 2900000000000000 00000000")), "list mode 9"},
-		{"lying entry count", frame(1, unhex(t, "01 03000000 01 2900000000000000 ffffffff")), "4294967295 entries"},
-		{"unknown host state", frame(1, unhex(t, "01 03000000 01 2900000000000000 01000000"+
+		{"unknown list mode", encodeFrame(1, decodeHex(t, "01 03000000 09 2900000000000000 00000000")), "list mode 9"},
+		{"entry count beyond the record", encodeFrame(1, decodeHex(t, "01 03000000 01 2900000000000000 ffffffff")), "4294967295 entries"},
+		{"unknown host state", encodeFrame(1, decodeHex(t, "01 03000000 01 2900000000000000 01000000"+
 			"20145d0000000000 01 0a124a07 2b23 0100 0200 09 0000c07f")), "host state 9"},
 	}
 	for _, tt := range tests {
@@ -136,27 +138,28 @@
 		}
 	}
 	if _, _, err := readAll(nil); err != io.EOF {
-		t.Errorf("end between frames: %v", err)
+		t.Errorf("input ends between frames: error %v, want io.EOF", err)
 	}
 }
 
-func TestLyingLengthAllocatesLittle(t *testing.T) {
+// Memory for a frame is allocated as its bytes arrive, not for the length that it claims.
+func TestClaimedLengthAllocatesLittle(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, _, err := readAll([]byte{0, 0, 0, 60, 1, 2, 3}); err == nil {
-		t.Fatal("no error")
+		t.Fatal("no error for a frame shorter than its length")
 	}
 	runtime.ReadMemStats(&after)
 	if n := after.TotalAlloc - before.TotalAlloc; n > 1<<20 {
-		t.Errorf("%d bytes allocated for a frame of three", n)
+		t.Errorf("%d bytes allocated for a frame of 3 bytes, want at most 1 MiB", n)
 	}
 }
 
 func TestEncodeActions(t *testing.T) {
 	host := lynxspool.HostID(0x00232b_074a120a)
 	tests := []struct {
-		act  lynxspool.Action
-		want string
+		action lynxspool.Action
+		want   string
 	}{
 		{lynxspool.Action{Kind: lynxspool.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 da95810000000000"},
@@ -174,29 +177,29 @@
 	for _, tt := range tests {
 		var out bytes.Buffer
 		w := NewWriter(&out)
-		w.Action(3, &tt.act)
+		w.WriteAction(3, &tt.action)
 		if err := w.Flush(); err != nil {
 			t.Fatal(err)
 		}
-		body := unhex(t, tt.want)
+		body := decodeHex(t, tt.want)
 		want := binary.LittleEndian.AppendUint32(nil, uint32(len(body)+4))
 		want = append(append(want, 1, 0, 0, 0), body...)
 		if !bytes.Equal(out.Bytes(), want) {
-			t.Errorf("kind %d:\ngot  %x\nwant %x", tt.act.Kind, out.Bytes(), want)
+			t.Errorf("kind %d:\ngot  %x\nwant %x", tt.action.Kind, out.Bytes(), want)
 		}
 	}
 }
 
-// Times beyond the longest must not wrap into ones that can be served.
-func TestAbsurdTimesStayAbsurd(t *testing.T) {
+// A time outside the range of time.Duration must not wrap around to one that is accepted.
+func TestOutOfRangeTimesAreRejected(t *testing.T) {
 	for _, us := range []string{"1e30", "-1e30"} {
-		set, err := ParseSettings([]byte(`{"balancers": 1, "step": ` + us + `,
+		parsed, err := ParseSettings([]byte(`{"balancers": 1, "step": ` + us + `,
 			"classes": [{"effect": "idempotent", "hard_limit": 1000}]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := lynxspool.New(set, 1); err == nil || !strings.Contains(err.Error(), "step") {
-			t.Errorf("step %s: error %v, want one that names it", us, err)
+		if _, err := lynxspool.New(parsed, 1); err == nil || !strings.Contains(err.Error(), "step") {
+			t.Errorf("step %s: error %v, want one that names the step", us, err)
 		}
 	}
 }
