--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -208,7 +208,7 @@
 	f.IntVar(&seeds, "seeds", 1, "runs, each with the next seed")
 	f.DurationVar(&opt.Length, "length", opt.Length, "of the load of a run")
 	f.IntVar(&opt.Gateways, "gateways", opt.Gateways, "gateway processes")
-	f.IntVar(&opt.Servers, "servers", opt.Servers, "servers")
+	f.IntVar(&opt.Hosts, "servers", opt.Hosts, "servers")
 	f.IntVar(&opt.Catalogs, "catalogs", opt.Catalogs, "catalog processes")
 	f.Float64Var(&opt.Rate, "rate", opt.Rate, "requests a second over all gateways")
 	f.IntVar(&opt.Overlap, "overlap", opt.Overlap, "troubles under way at a time, about")
--- a/internal/fleetlab/soak.go
+++ b/internal/fleetlab/soak.go
@@ -24,7 +24,7 @@
 	Seed     uint64
 	Length   time.Duration // of the load; the end of what is out comes after it
 	Gateways int           // processes
-	Servers  int
+	Hosts    int
 	Catalogs int     // processes
 	Rate     float64 // requests a second over all gateways
 	Overlap  int     // troubles at a time, about
@@ -32,7 +32,7 @@
 
 // SoakDefaults is a soak of a few dozen processes.
 func SoakDefaults() SoakOptions {
-	return SoakOptions{Seed: 1, Length: time.Minute, Gateways: 24, Servers: 16, Catalogs: 3, Rate: 400, Overlap: 3}
+	return SoakOptions{Seed: 1, Length: time.Minute, Gateways: 24, Hosts: 16, Catalogs: 3, Rate: 400, Overlap: 3}
 }
 
 // SoakReport is what a soak found.
@@ -40,8 +40,8 @@
 	Seed       uint64
 	Timeline   []string // the troubles, in their order
 	Counts     SoakCounts
-	HeldUp     []string       // times at which the soak itself was held up, so that what it noted is late
-	Excuses    map[string]int // cases that would break a rule but for what the pages allow, by excuse
+	Pauses     []string       // times at which the soak itself was held up, so that what it noted is late
+	Exemptions map[string]int // cases that would break a rule but for what the pages allow, by excuse
 	Violations []SoakViolation
 }
 
@@ -54,32 +54,32 @@
 // SoakViolation is a rule that was broken, with the way of the request through every process.
 type SoakViolation struct {
 	Rule, Text string
-	Path       []string
+	Trace      []string
 }
 
 // soak is a run.
 type soak struct {
-	opt   SoakOptions
-	dir   string
-	net   string
-	zero  time.Time
-	rng   *rand.Rand // of the plan alone: clients have their own
-	start *starter
-	ctx   context.Context
+	opt       SoakOptions
+	dir       string
+	netPrefix string
+	loadStart time.Time
+	planRand  *rand.Rand // of the plan alone: clients have their own
+	starter   *starter
+	ctx       context.Context
 
-	ledger   *ledger
-	clients  *soakClients
-	gateways []*soakGateway
-	servers  []*soakServer
-	list     *soakList
-	busy     sync.WaitGroup // clients and troubles under way
+	ledger     *ledger
+	clients    *soakClients
+	gateways   []*soakGateway
+	hosts      []*soakHost
+	catalogs   *soakCatalogs
+	background sync.WaitGroup // clients and troubles under way
 }
 
 // Soak runs one seed. The error says that it could not be run, not that rules were broken.
 func Soak(ctx context.Context, opt SoakOptions) (*SoakReport, error) {
-	for _, b := range []string{"dunemoor", "catalog"} {
-		if _, err := os.Stat(filepath.Join(opt.Bin, b)); err != nil {
-			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", b, opt.Bin)
+	for _, binary := range []string{"dunemoor", "catalog"} {
+		if _, err := os.Stat(filepath.Join(opt.Bin, binary)); err != nil {
+			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", binary, opt.Bin)
 		}
 	}
 	if opt.Says == nil {
@@ -94,29 +94,29 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	addresses, reserved, err := reserveNet()
+	addresses, reserved, err := reserveLoopbackNet()
 	if err != nil {
 		return nil, err
 	}
 	defer reserved.Close()
-	s := &soak{opt: opt, dir: dir, ctx: ctx, net: addresses,
-		rng: rand.New(rand.NewPCG(opt.Seed, 1)), start: newStarter(), ledger: newLedger()}
+	s := &soak{opt: opt, dir: dir, ctx: ctx, netPrefix: addresses,
+		planRand: rand.New(rand.NewPCG(opt.Seed, 1)), starter: newStarter(), ledger: newLedger()}
 	s.clients = newClients(s)
-	defer s.start.end()
+	defer s.starter.end()
 	defer s.close()
 	if err := s.setUp(); err != nil {
 		return nil, err
 	}
 	plan := s.plan()
-	s.play(plan)
+	s.run(plan)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	return s.report(plan), nil
 }
 
-// reserveNet finds loopback addresses that no other run has, and holds one as long as they are used.
-func reserveNet() (prefix string, held net.Listener, err error) {
+// reserveLoopbackNet finds loopback addresses that no other run has, and holds one as long as they are used.
+func reserveLoopbackNet() (prefix string, held net.Listener, err error) {
 	const first, count = 64, 128 // of the second byte
 	for i := range count {
 		prefix = fmt.Sprintf("127.%d.", first+(os.Getpid()+i)%count)
@@ -127,63 +127,63 @@
 	return "", nil, fmt.Errorf("no loopback addresses are free: %w", err)
 }
 
-// now is the time since the load began.
-func (s *soak) now() time.Duration { return time.Since(s.zero) }
+// elapsed is the time since the load began.
+func (s *soak) elapsed() time.Duration { return time.Since(s.loadStart) }
 
 // What the soak's own lateness is noticed by: all that it notes is late by as much.
 const (
-	ownTick = 10 * time.Millisecond
-	ownLate = judgeSlack / 2
+	pauseCheckInterval = 10 * time.Millisecond
+	minPause           = judgeSlack / 2
 )
 
-// watchItself notes when this process is held up, as on a machine that is too busy, until the run ends.
-func (s *soak) watchItself() {
+// detectPauses notes when this process is held up, as on a machine that is too busy, until the run ends.
+func (s *soak) detectPauses() {
 	last := time.Now()
 	for s.ctx.Err() == nil {
-		time.Sleep(ownTick)
+		time.Sleep(pauseCheckInterval)
 		now := time.Now()
-		if late := now.Sub(last) - ownTick; late > ownLate {
-			at := last.Sub(s.zero)
-			s.ledger.note(func() {
-				s.ledger.heldUp = append(s.ledger.heldUp, fmt.Sprintf("the soak was held up for %v at %.3f s", late.Round(time.Millisecond), at.Seconds()))
+		if pause := now.Sub(last) - pauseCheckInterval; pause > minPause {
+			at := last.Sub(s.loadStart)
+			s.ledger.update(func() {
+				s.ledger.pauses = append(s.ledger.pauses, fmt.Sprintf("the soak was held up for %v at %.3f s", pause.Round(time.Millisecond), at.Seconds()))
 			})
 		}
 		last = now
 	}
 }
 
-// sleep waits until a time of the run and says whether it has not been ended before.
-func (s *soak) sleep(until time.Duration) bool {
+// sleepUntil waits until a time of the run and says whether it has not been ended before.
+func (s *soak) sleepUntil(until time.Duration) bool {
 	select {
 	case <-s.ctx.Done():
 		return false
-	case <-time.After(until - s.now()):
+	case <-time.After(until - s.elapsed()):
 		return true
 	}
 }
 
 // setUp starts servers, catalogs and gateways, and waits until all gateways are ready.
 func (s *soak) setUp() error {
-	s.zero = time.Now()
+	s.loadStart = time.Now()
 	var err error
-	if s.list, err = startSoakList(s); err != nil {
+	if s.catalogs, err = startSoakCatalogs(s); err != nil {
 		return err
 	}
-	for i := range s.opt.Servers {
-		server, err := startSoakServer(s, i)
+	for i := range s.opt.Hosts {
+		host, err := startSoakHost(s, i)
 		if err != nil {
 			return err
 		}
-		s.servers = append(s.servers, server)
-		if err := s.list.put(server, stateReady); err != nil {
+		s.hosts = append(s.hosts, host)
+		if err := s.catalogs.put(host, stateReady); err != nil {
 			return err
 		}
 	}
 	for i := range s.opt.Gateways {
 		g := newSoakGateway(s, i)
 		s.gateways = append(s.gateways, g)
-		if soakUpgraded(i) {
-			if err := g.share(); err != nil {
+		if sharesSocket(i) {
+			if err := g.openSharedSocket(); err != nil {
 				return err
 			}
 		}
@@ -192,60 +192,60 @@
 		}
 	}
 	for _, g := range s.gateways {
-		if !g.awaitReady(30 * time.Second) {
+		if !g.awaitServing(30 * time.Second) {
 			return fmt.Errorf("%s is not ready after 30 s", g.name)
 		}
 	}
-	s.zero = time.Now()
+	s.loadStart = time.Now()
 	return nil
 }
 
-// play sends the load and works off the plan.
-func (s *soak) play(plan []trouble) {
+// run sends the load and works off the plan.
+func (s *soak) run(plan []disruption) {
 	for i := range plan {
-		t := &plan[i]
-		s.busy.Add(1)
+		d := &plan[i]
+		s.background.Add(1)
 		go func() {
-			defer s.busy.Done()
-			if s.sleep(t.at) {
-				t.do(t)
+			defer s.background.Done()
+			if s.sleepUntil(d.at) {
+				d.run(d)
 			}
 		}()
 	}
-	go s.watchItself()
+	go s.detectPauses()
 	s.runClients()
-	s.busy.Wait()
+	s.background.Wait()
 }
 
 // close ends every process and listener.
 func (s *soak) close() {
-	var ends sync.WaitGroup
+	var exits sync.WaitGroup
 	for _, g := range s.gateways {
-		ends.Add(1)
-		go func() { defer ends.Done(); g.kill() }()
+		exits.Add(1)
+		go func() { defer exits.Done(); g.kill() }()
 	}
-	ends.Wait()
+	exits.Wait()
 	for _, g := range s.gateways {
-		if g.socket != nil {
-			g.socket.Close()
+		if g.sharedSocket != nil {
+			g.sharedSocket.Close()
 		}
 	}
-	if s.list != nil {
-		s.list.close()
+	if s.catalogs != nil {
+		s.catalogs.close()
 	}
-	for _, server := range s.servers {
-		server.close()
+	for _, host := range s.hosts {
+		host.close()
 	}
 }
 
 // report ends the gateways in order and judges all that was noted.
-func (s *soak) report(plan []trouble) *SoakReport {
-	var ends sync.WaitGroup
+func (s *soak) report(plan []disruption) *SoakReport {
+	var exits sync.WaitGroup
 	for _, g := range s.gateways {
-		ends.Add(1)
-		go func() { defer ends.Done(); g.endInOrder() }()
+		exits.Add(1)
+		go func() { defer exits.Done(); g.terminate() }()
 	}
-	ends.Wait()
+	exits.Wait()
 	r := &SoakReport{Seed: s.opt.Seed}
 	for i := range plan {
 		r.Timeline = append(r.Timeline, plan[i].String())
@@ -260,11 +260,11 @@
 	c := r.Counts
 	fmt.Fprintf(w, "seed %d: %d requests, %d served, %d refused, %d failed, %d left; %d bad clients, %d runs, %d restarts, %d troubles; %d violations\n",
 		r.Seed, c.Requests, c.Served, c.Refused, c.Failed, c.Left, c.BadClients, c.Runs, c.Restarts, c.Troubles, len(r.Violations))
-	for _, text := range r.HeldUp {
+	for _, text := range r.Pauses {
 		fmt.Fprintln(w, "   disturbed:", text)
 	}
-	for _, what := range slices.Sorted(maps.Keys(r.Excuses)) {
-		fmt.Fprintf(w, "   excused: %d %s\n", r.Excuses[what], what)
+	for _, exemption := range slices.Sorted(maps.Keys(r.Exemptions)) {
+		fmt.Fprintf(w, "   excused: %d %s\n", r.Exemptions[exemption], exemption)
 	}
 	if len(r.Violations) == 0 {
 		return
@@ -274,7 +274,7 @@
 	}
 	for _, v := range r.Violations {
 		fmt.Fprintf(w, "  BROKEN %s: %s\n", v.Rule, v.Text)
-		for _, line := range v.Path {
+		for _, line := range v.Trace {
 			fmt.Fprintln(w, "     ", line)
 		}
 	}
--- a/internal/fleetlab/soak_ends.go
+++ b/internal/fleetlab/soak_ends.go
@@ -13,23 +13,23 @@
 
 // What presses on a gateway that has been told to end.
 const (
-	comeTime     = 300 * time.Millisecond // new connections come for so long after SIGTERM
-	comeEvery    = 15 * time.Millisecond
-	restingConns = 8 // connections that rest at SIGTERM, beside those of other clients
-	lastMoments  = 60 * time.Millisecond
+	newConnPeriod     = 300 * time.Millisecond // new connections come for so long after SIGTERM
+	newConnInterval   = 15 * time.Millisecond
+	idleConnsAtTerm   = 8 // connections that rest at SIGTERM, beside those of other clients
+	lastMomentsPeriod = 60 * time.Millisecond
 )
 
-// endPressed ends a gateway in order while clients use all the connections that are open to it until
+// terminateUnderLoad ends a gateway in order while clients use all the connections that are open to it until
 // the kill, and new ones come for a while.
-func (s *soak) endPressed(g *soakGateway, around ...func(ended <-chan struct{})) {
-	resting := s.clients.rest(g, restingConns)
-	draws := rand.New(rand.NewPCG(s.opt.Seed, uint64(s.now())))
-	around = append(around, func(ended <-chan struct{}) { s.clients.press(g, resting, draws, ended) })
-	g.endInOrder(around...)
+func (s *soak) terminateUnderLoad(g *soakGateway, alongside ...func(ended <-chan struct{})) {
+	idle := s.clients.openIdleConns(g, idleConnsAtTerm)
+	draws := rand.New(rand.NewPCG(s.opt.Seed, uint64(s.elapsed())))
+	alongside = append(alongside, func(ended <-chan struct{}) { s.clients.sendUntilExit(g, idle, draws, ended) })
+	g.terminate(alongside...)
 }
 
-// rest opens connections that have had an answer.
-func (c *soakClients) rest(g *soakGateway, n int) (conns []*soakConn) {
+// openIdleConns opens connections that have had an answer.
+func (c *soakClients) openIdleConns(g *soakGateway, n int) (conns []*soakConn) {
 	for range n {
 		conn, _, err := c.connect(g, true, false)
 		if err != nil {
@@ -37,7 +37,7 @@
 		}
 		fmt.Fprint(conn, "GET /_health HTTP/1.1\r\nHost: soak\r\n\r\n")
 		conn.SetReadDeadline(time.Now().Add(time.Second))
-		resp, err := http.ReadResponse(conn.in, nil)
+		resp, err := http.ReadResponse(conn.reader, nil)
 		if err != nil {
 			conn.Close()
 			continue
@@ -49,42 +49,44 @@
 	return conns
 }
 
-// press uses each resting connection at some time until the kill, one in three in the last moments
+// sendUntilExit uses each resting connection at some time until the kill, one in three in the last moments
 // before it, and asks on new connections for a while.
-func (c *soakClients) press(g *soakGateway, resting []*soakConn, draws *rand.Rand, ended <-chan struct{}) {
-	const untilKill = 3*time.Second + soakKillAfter
-	var out sync.WaitGroup
-	at := func(after time.Duration, do func()) {
-		out.Add(1)
+func (c *soakClients) sendUntilExit(g *soakGateway, idle []*soakConn, draws *rand.Rand, ended <-chan struct{}) {
+	const untilKill = 3*time.Second + soakKillMargin
+	var requests sync.WaitGroup
+	runAfter := func(after time.Duration, do func()) {
+		requests.Add(1)
 		go func() {
-			defer out.Done()
+			defer requests.Done()
 			time.Sleep(after)
 			do()
 		}()
 	}
-	plain := func() soakAsk { return soakAsk{class: drawClass(draws.Float64()), keep: true, ending: true} }
+	plainRequest := func() requestOptions {
+		return requestOptions{class: classAt(draws.Float64()), keepAlive: true, afterTerm: true}
+	}
 	c.mu.Lock()
-	resting = append(resting, c.idle[g]...)
-	delete(c.idle, g)
+	idle = append(idle, c.idleConns[g]...)
+	delete(c.idleConns, g)
 	c.mu.Unlock()
-	for i, conn := range resting {
+	for i, conn := range idle {
 		after := time.Duration(draws.Float64() * float64(untilKill))
 		if i%3 == 0 {
-			after = untilKill - time.Duration(draws.Float64()*float64(lastMoments))
+			after = untilKill - time.Duration(draws.Float64()*float64(lastMomentsPeriod))
 		}
-		ask := plain()
-		at(after, func() { c.askOn(conn, g, ask, true, "") })
+		options := plainRequest()
+		runAfter(after, func() { c.sendOn(conn, g, options, true, "") })
 	}
-	for after := time.Duration(0); after < comeTime; after += comeEvery {
-		ask := plain()
-		at(after, func() { c.ask(g, ask, "") })
+	for after := time.Duration(0); after < newConnPeriod; after += newConnInterval {
+		options := plainRequest()
+		runAfter(after, func() { c.send(g, options, "") })
 	}
-	out.Wait()
+	requests.Wait()
 	<-ended
 }
 
-// signalsInARow sends new settings before and behind SIGTERM, and SIGTERM again.
-func (g *soakGateway) signalsInARow(ended <-chan struct{}) {
+// signalRepeatedly sends new settings before and behind SIGTERM, and SIGTERM again.
+func (g *soakGateway) signalRepeatedly(ended <-chan struct{}) {
 	const apart = 40 * time.Millisecond
 	for i := range 6 {
 		select {
@@ -96,10 +98,10 @@
 	}
 }
 
-// heldUpAtTheEnd stops the process for up to 0.15 s at a time while it ends.
-func (g *soakGateway) heldUpAtTheEnd(ended <-chan struct{}) {
+// pauseWhileStopping stops the process for up to 0.15 s at a time while it ends.
+func (g *soakGateway) pauseWhileStopping(ended <-chan struct{}) {
 	for range 4 {
-		g.holdUp(holdUpTime)
+		g.pause(pauseTime)
 		select {
 		case <-ended:
 			return
@@ -108,29 +110,29 @@
 	}
 }
 
-// reloadsInARow signals new settings several times within milliseconds.
-func (g *soakGateway) reloadsInARow() {
+// reloadInBurst signals new settings several times within milliseconds.
+func (g *soakGateway) reloadInBurst() {
 	for range 3 {
 		g.reload()
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// crowdSize is how many idle clients hold the places of a gateway, which may have 1,024 descriptors.
-const crowdSize = 1100
+// connFloodSize is how many idle clients hold the places of a gateway, which may have 1,024 descriptors.
+const connFloodSize = 1100
 
-// crowdAt fills the places of a gateway with idle clients, half of them after an answer.
-func (s *soak) crowdAt(g *soakGateway, t *trouble) {
+// floodConns fills the places of a gateway with idle clients, half of them after an answer.
+func (s *soak) floodConns(g *soakGateway, d *disruption) {
 	if up, _ := g.serving(); !up {
 		return
 	}
 	i := 0
-	s.ledger.note(func() {
-		i = len(s.ledger.crowds)
-		s.ledger.crowds = append(s.ledger.crowds, crowd{span: span{from: time.Now()}, gateway: g.name})
+	s.ledger.update(func() {
+		i = len(s.ledger.connFloods)
+		s.ledger.connFloods = append(s.ledger.connFloods, connFlood{span: span{from: time.Now()}, gateway: g.name})
 	})
 	var conns []net.Conn
-	for n := range crowdSize {
+	for n := range connFloodSize {
 		c, err := net.DialTimeout("tcp", g.addr, 200*time.Millisecond)
 		if err != nil {
 			continue
@@ -140,9 +142,9 @@
 		}
 		conns = append(conns, c)
 	}
-	s.sleep(s.now() + t.last)
+	s.sleepUntil(s.elapsed() + d.duration)
 	for _, c := range conns {
 		c.Close()
 	}
-	s.ledger.note(func() { s.ledger.crowds[i].to = time.Now() })
+	s.ledger.update(func() { s.ledger.connFloods[i].to = time.Now() })
 }
--- a/internal/fleetlab/soak_list.go
+++ b/internal/fleetlab/soak_list.go
@@ -14,30 +14,30 @@
 	"lynxspool/internal/faultnet"
 )
 
-// soakList is the catalogs and the links that gateways reach them by.
-type soakList struct {
-	s     *soak
-	http  []string
-	links []*faultnet.Link
-	args  [][]string
-	order sync.Mutex // held from a change until it is written, and while the catalogs count anew
-	mu    sync.Mutex
-	procs []*faultnet.Proc
-	known map[string]map[string]any // what is listed, by server
+// soakCatalogs is the catalogs and the links that gateways reach them by.
+type soakCatalogs struct {
+	s         *soak
+	httpAddrs []string
+	links     []*faultnet.Link
+	args      [][]string
+	writeMu   sync.Mutex // held from a change until it is written, and while the catalogs count anew
+	mu        sync.Mutex
+	procs     []*faultnet.Proc
+	listed    map[string]map[string]any // what is listed, by server
 }
 
-func startSoakList(s *soak) (*soakList, error) {
-	l := &soakList{s: s, known: map[string]map[string]any{}}
+func startSoakCatalogs(s *soak) (*soakCatalogs, error) {
+	l := &soakCatalogs{s: s, listed: map[string]map[string]any{}}
 	var peers []string
 	for i := range s.opt.Catalogs {
-		addr := fmt.Sprintf("%s199.%d:8500", s.net, i+1)
-		raft := fmt.Sprintf("%s199.%d:7500", s.net, i+1)
+		addr := fmt.Sprintf("%s199.%d:8500", s.netPrefix, i+1)
+		raft := fmt.Sprintf("%s199.%d:7500", s.netPrefix, i+1)
 		link, err := faultnet.NewLink(addr)
 		if err != nil {
 			return l, err
 		}
 		id := fmt.Sprintf("c%d", i+1)
-		l.http, l.links = append(l.http, addr), append(l.links, link)
+		l.httpAddrs, l.links = append(l.httpAddrs, addr), append(l.links, link)
 		l.args = append(l.args, []string{"-id", id, "-data", filepath.Join(s.dir, id), "-raft", raft, "-http", addr,
 			"-heartbeat", "200ms", "-stale-after", "1s"})
 		peers = append(peers, id+"="+raft+"/"+addr)
@@ -47,25 +47,25 @@
 		if len(l.args) > 1 {
 			l.args[i] = append(l.args[i], "-peers", strings.Join(peers, ","))
 		}
-		if err := l.startOne(i); err != nil {
+		if err := l.startCatalog(i); err != nil {
 			return l, err
 		}
 	}
 	return l, nil
 }
 
-func (l *soakList) startOne(i int) error {
+func (l *soakCatalogs) startCatalog(i int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.procs[i] != nil {
 		return nil
 	}
-	proc, _, err := l.s.start.start(l.s.dir, fmt.Sprintf("c%d", i+1), filepath.Join(l.s.opt.Bin, "catalog"), l.args[i])
+	proc, _, err := l.s.starter.start(l.s.dir, fmt.Sprintf("c%d", i+1), filepath.Join(l.s.opt.Bin, "catalog"), l.args[i])
 	l.procs[i] = proc
 	return err
 }
 
-func (l *soakList) killOne(i int) {
+func (l *soakCatalogs) killCatalog(i int) {
 	l.mu.Lock()
 	proc := l.procs[i]
 	l.procs[i] = nil
@@ -75,85 +75,85 @@
 	}
 }
 
-// addrs is GW_DISCOVERY, beginning with another instance for another first.
-func (l *soakList) addrs(first int) string {
-	var out []string
+// discoveryAddrs is GW_DISCOVERY, beginning with another instance for another first.
+func (l *soakCatalogs) discoveryAddrs(first int) string {
+	var addrs []string
 	for i := range l.links {
-		out = append(out, l.links[(first+i)%len(l.links)].Addr)
+		addrs = append(addrs, l.links[(first+i)%len(l.links)].Addr)
 	}
-	return strings.Join(out, ",")
+	return strings.Join(addrs, ",")
 }
 
 // put lists a server in a state, at whichever instance takes it.
-func (l *soakList) put(v *soakServer, state string) error {
-	l.order.Lock()
-	defer l.order.Unlock()
-	entry := map[string]any{"addr": v.addr, "zone": "a", "state": state, "started_ms": 0}
-	v.mu.Lock()
-	if !v.started.IsZero() {
-		entry["started_ms"] = v.started.UnixMilli()
+func (l *soakCatalogs) put(h *soakHost, state string) error {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	entry := map[string]any{"addr": h.addr, "zone": "a", "state": state, "started_ms": 0}
+	h.mu.Lock()
+	if !h.started.IsZero() {
+		entry["started_ms"] = h.started.UnixMilli()
 	}
-	v.mu.Unlock()
+	h.mu.Unlock()
 	l.mu.Lock()
-	l.known[v.name] = entry
+	l.listed[h.name] = entry
 	l.mu.Unlock()
-	return l.write(v.name, entry)
+	return l.writeEntry(h.name, entry)
 }
 
-func (l *soakList) write(id string, entry map[string]any) error {
+func (l *soakCatalogs) writeEntry(id string, entry map[string]any) error {
 	text, err := jsonText(entry)
 	if err != nil {
 		return err
 	}
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	var last error
-	for try := range 150 {
-		r, err := http.NewRequestWithContext(l.s.ctx, http.MethodPut, "http://"+l.http[try%len(l.http)]+"/catalog/members/"+id, bytes.NewReader(text))
+	var lastErr error
+	for n := range 150 {
+		r, err := http.NewRequestWithContext(l.s.ctx, http.MethodPut, "http://"+l.httpAddrs[n%len(l.httpAddrs)]+"/catalog/members/"+id, bytes.NewReader(text))
 		if err != nil {
 			return err
 		}
 		resp, err := client.Do(r)
 		if err == nil {
-			said, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
+			body, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
-			err = fmt.Errorf("%s: %s", resp.Status, said)
+			err = fmt.Errorf("%s: %s", resp.Status, body)
 		}
-		if last = err; l.s.ctx.Err() != nil {
+		if lastErr = err; l.s.ctx.Err() != nil {
 			return l.s.ctx.Err()
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("server %s could not be listed: %w", id, last)
+	return fmt.Errorf("server %s could not be listed: %w", id, lastErr)
 }
 
-// countAnew ends all instances and starts them on empty folders, with the list as it was.
-func (l *soakList) countAnew() {
-	l.order.Lock()
-	defer l.order.Unlock()
+// restartEmpty ends all instances and starts them on empty folders, with the list as it was.
+func (l *soakCatalogs) restartEmpty() {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	for i := range l.procs {
-		l.killOne(i)
+		l.killCatalog(i)
 		os.RemoveAll(filepath.Join(l.s.dir, fmt.Sprintf("c%d", i+1)))
 	}
 	for i := range l.procs {
-		l.startOne(i)
+		l.startCatalog(i)
 	}
 	l.mu.Lock()
 	entries := map[string]map[string]any{}
-	for id, e := range l.known {
-		entries[id] = e
+	for id, entry := range l.listed {
+		entries[id] = entry
 	}
 	l.mu.Unlock()
-	for id, e := range entries {
-		l.write(id, e)
+	for id, entry := range entries {
+		l.writeEntry(id, entry)
 	}
 }
 
-func (l *soakList) close() {
+func (l *soakCatalogs) close() {
 	for i := range l.procs {
-		l.killOne(i)
+		l.killCatalog(i)
 	}
 	for _, link := range l.links {
 		link.Close()
--- a/internal/fleetlab/soak_notified.go
+++ b/internal/fleetlab/soak_notified.go
@@ -3,42 +3,42 @@
 import "time"
 
 const (
-	toldAfter  = 6 * time.Second // a change counts as notified so long after it could be had
-	spreadTime = time.Second     // a change that nothing hinders is with all gateways by then
+	maxNotifyDelay   = 6 * time.Second // a change counts as notified so long after it could be had
+	usualNotifyDelay = time.Second     // a change that nothing hinders is with all gateways by then
 )
 
 // notifiedBy is when a change that discovery acknowledged counts as notified at a gateway: soon where
 // nothing hinders that, else 6 s after discovery had it and could be reached.
-func (s *soak) notifiedBy(at time.Time, gateway string) (by time.Time, hindered bool) {
-	had := at
+func (s *soak) notifiedBy(ackedAt time.Time, gateway string) (by time.Time, disrupted bool) {
+	available := ackedAt
 	for _, o := range s.ledger.outages { // in the order in which they began
-		if !o.reachable && !o.from.After(had) && o.end().After(had) {
-			had = o.end()
+		if !o.reachable && !o.from.After(available) && o.endOrNow().After(available) {
+			available = o.endOrNow()
 		}
 	}
 	for _, o := range s.ledger.outages {
 		// One that is over may have left watches that have yet to be found silent.
-		if o.from.Before(had.Add(spreadTime)) && !o.end().Add(toldAfter).Before(at) {
-			hindered = true
+		if o.from.Before(available.Add(usualNotifyDelay)) && !o.endOrNow().Add(maxNotifyDelay).Before(ackedAt) {
+			disrupted = true
 		}
 	}
-	for _, d := range s.ledger.deaths { // a new process calls when its turn comes
-		if d.gateway == gateway && d.ended.Before(had.Add(spreadTime)) && d.ended.Add(toldAfter).After(at) {
-			hindered = true
+	for _, exit := range s.ledger.exits { // a new process calls when its turn comes
+		if exit.gateway == gateway && exit.endedAt.Before(available.Add(usualNotifyDelay)) && exit.endedAt.Add(maxNotifyDelay).After(ackedAt) {
+			disrupted = true
 		}
 	}
-	if hindered {
-		return had.Add(toldAfter), true
+	if disrupted {
+		return available.Add(maxNotifyDelay), true
 	}
-	return had.Add(spreadTime), false
+	return available.Add(usualNotifyDelay), false
 }
 
-// notifiedEverywhere is notifiedBy of the last gateway.
-func (s *soak) notifiedEverywhere(at time.Time) (by time.Time, hindered bool) {
+// allNotifiedBy is notifiedBy of the last gateway.
+func (s *soak) allNotifiedBy(ackedAt time.Time) (by time.Time, disrupted bool) {
 	for _, g := range s.gateways {
-		if gatewayBy, late := s.notifiedBy(at, g.name); gatewayBy.After(by) {
-			by, hindered = gatewayBy, late
+		if gatewayBy, gatewayDisrupted := s.notifiedBy(ackedAt, g.name); gatewayBy.After(by) {
+			by, disrupted = gatewayBy, gatewayDisrupted
 		}
 	}
-	return by, hindered
+	return by, disrupted
 }
--- a/internal/fleetlab/soak_plan.go
+++ b/internal/fleetlab/soak_plan.go
@@ -9,247 +9,249 @@
 	"lynxspool/internal/faultnet"
 )
 
-// trouble is one trouble of a soak: it begins at a time and lasts for some.
-type trouble struct {
-	name string
-	on   string
-	at   time.Duration
-	last time.Duration
-	do   func(*trouble)
+// disruption is one disruption of a soak: it begins at a time and lasts for some.
+type disruption struct {
+	name     string
+	target   string
+	at       time.Duration
+	duration time.Duration
+	run      func(*disruption)
 }
 
-func (t *trouble) String() string {
-	return fmt.Sprintf("%6.2f s for %4.2f s: %s %s", t.at.Seconds(), t.last.Seconds(), t.name, t.on)
+func (d *disruption) String() string {
+	return fmt.Sprintf("%6.2f s for %4.2f s: %s %s", d.at.Seconds(), d.duration.Seconds(), d.name, d.target)
 }
 
 // plan draws the troubles. They come so often that about Overlap of them are under way at any
 // time, but for a quiet time in the middle, which an outage of discovery ends.
-func (s *soak) plan() []trouble {
-	const mean = 3 * time.Second // that one lasts
-	var out []trouble
-	gap := float64(mean) / float64(max(s.opt.Overlap, 1))
+func (s *soak) plan() []disruption {
+	const meanDuration = 3 * time.Second // that one lasts
+	var plan []disruption
+	gap := float64(meanDuration) / float64(max(s.opt.Overlap, 1))
 	quietFrom, quietTo := s.opt.Length*2/5, s.opt.Length/2
-	for at := 2 * time.Second; at < s.opt.Length-4*time.Second; at += time.Duration(s.rng.ExpFloat64() * gap) {
+	for at := 2 * time.Second; at < s.opt.Length-4*time.Second; at += time.Duration(s.planRand.ExpFloat64() * gap) {
 		if at > quietFrom && at < quietTo {
 			continue
 		}
-		t := s.draw()
-		t.at, t.last = at, time.Second+time.Duration(s.rng.Float64()*float64(2*(mean-time.Second)))
-		out = append(out, t)
+		d := s.drawDisruption()
+		d.at, d.duration = at, time.Second+time.Duration(s.planRand.Float64()*float64(2*(meanDuration-time.Second)))
+		plan = append(plan, d)
 	}
-	away := s.discoveryTrouble("away", faultnet.Refuse)
-	away.at, away.last = quietTo, 5*time.Second
-	return append(out, away)
+	unreachable := s.discoveryDisruption("away", faultnet.Refuse)
+	unreachable.at, unreachable.duration = quietTo, 5*time.Second
+	return append(plan, unreachable)
 }
 
-// draw draws a trouble.
-func (s *soak) draw() trouble {
-	g := s.gateways[s.rng.IntN(len(s.gateways))]
-	v := s.servers[s.rng.IntN(len(s.servers))]
-	kind := s.rng.IntN(22)
+// drawDisruption draws a trouble.
+func (s *soak) drawDisruption() disruption {
+	g := s.gateways[s.planRand.IntN(len(s.gateways))]
+	h := s.hosts[s.planRand.IntN(len(s.hosts))]
+	kind := s.planRand.IntN(22)
 	if kind >= 20 {
-		if shared := s.upgradable(); len(shared) > 0 {
-			g = shared[s.rng.IntN(len(shared))]
+		if shared := s.upgradableGateways(); len(shared) > 0 {
+			g = shared[s.planRand.IntN(len(shared))]
 		}
-		kind = s.rng.IntN(3)
+		kind = s.planRand.IntN(3)
 	}
-	if g.socket != nil && (kind < 3 || kind == 16) {
-		return s.upgrades(g, kind)
+	if g.sharedSocket != nil && (kind < 3 || kind == 16) {
+		return s.upgradeDisruption(g, kind)
 	}
 	switch kind {
 	case 0:
-		return trouble{name: "end in order", on: g.name, do: func(t *trouble) { s.endPressed(g); g.startProcess() }}
+		return disruption{name: "end in order", target: g.name, run: func(t *disruption) { s.terminateUnderLoad(g); g.startProcess() }}
 	case 1:
-		return trouble{name: "end among signals", on: g.name, do: func(t *trouble) {
-			g.reloadsInARow()
-			s.endPressed(g, g.signalsInARow)
+		return disruption{name: "end among signals", target: g.name, run: func(t *disruption) {
+			g.reloadInBurst()
+			s.terminateUnderLoad(g, g.signalRepeatedly)
 			g.startProcess()
 		}}
 	case 16:
-		return trouble{name: "end while held up", on: g.name, do: func(t *trouble) {
-			s.endPressed(g, g.heldUpAtTheEnd)
+		return disruption{name: "end while held up", target: g.name, run: func(t *disruption) {
+			s.terminateUnderLoad(g, g.pauseWhileStopping)
 			g.startProcess()
 		}}
 	case 17:
-		return trouble{name: "crowd", on: g.name, do: func(t *trouble) { s.crowdAt(g, t) }}
+		return disruption{name: "crowd", target: g.name, run: func(t *disruption) { s.floodConns(g, t) }}
 	case 18:
-		away := s.discoveryTrouble("away", faultnet.Refuse)
-		return trouble{name: "crowd while discovery is away", on: g.name, do: func(t *trouble) {
-			s.busy.Add(1)
-			go func() { defer s.busy.Done(); away.do(t) }()
-			s.crowdAt(g, t)
+		unreachable := s.discoveryDisruption("away", faultnet.Refuse)
+		return disruption{name: "crowd while discovery is away", target: g.name, run: func(t *disruption) {
+			s.background.Add(1)
+			go func() { defer s.background.Done(); unreachable.run(t) }()
+			s.floodConns(g, t)
 		}}
 	case 19:
-		return s.serverTrouble("stall", v, serverStalls)
+		return s.hostDisruption("stall", h, hostStalls)
 	case 2:
-		return trouble{name: "kill", on: g.name, do: func(t *trouble) { g.kill(); s.sleep(s.now() + time.Second); g.startProcess() }}
+		return disruption{name: "kill", target: g.name, run: func(t *disruption) { g.kill(); s.sleepUntil(s.elapsed() + time.Second); g.startProcess() }}
 	case 3:
-		return trouble{name: "hold up", on: g.name, do: func(t *trouble) { s.holdUp(g, t) }}
+		return disruption{name: "hold up", target: g.name, run: func(t *disruption) { s.pauseRepeatedly(g, t) }}
 	case 4:
-		return trouble{name: "new settings in a row", on: g.name, do: func(t *trouble) { s.reloads(g, t) }}
+		return disruption{name: "new settings in a row", target: g.name, run: func(t *disruption) { s.reloadRepeatedly(g, t) }}
 	case 5, 6, 7:
-		return trouble{name: "drain", on: v.name, do: func(t *trouble) { s.drain(v, t) }}
+		return disruption{name: "drain", target: h.name, run: func(t *disruption) { s.drain(h, t) }}
 	case 8:
-		return s.serverTrouble("hang", v, serverHangs)
+		return s.hostDisruption("hang", h, hostHangs)
 	case 9:
-		return s.serverTrouble("reset", v, serverResets)
+		return s.hostDisruption("reset", h, hostResets)
 	case 10:
-		return s.serverTrouble("close resting connections", v, serverClosesFast)
+		return s.hostDisruption("close resting connections", h, hostClosesIdle)
 	case 11:
-		return s.serverTrouble("refuse", v, serverDown)
+		return s.hostDisruption("refuse", h, hostDown)
 	case 12:
-		return s.serverTrouble("err or turn away", v, []serverMode{serverErrs, serverFull}[s.rng.IntN(2)])
+		return s.hostDisruption("err or turn away", h, []hostMode{hostFails, hostRejects}[s.planRand.IntN(2)])
 	case 13:
-		return trouble{name: "bad clients", on: g.name, do: func(t *trouble) { s.badClients(g, t) }}
+		return disruption{name: "bad clients", target: g.name, run: func(t *disruption) { s.runBadClients(g, t) }}
 	case 14:
-		return s.discoveryTrouble([]string{"silent", "reset"}[s.rng.IntN(2)], faultnet.Blackhole)
+		return s.discoveryDisruption([]string{"silent", "reset"}[s.planRand.IntN(2)], faultnet.Blackhole)
 	}
-	switch s.rng.IntN(3) {
+	switch s.planRand.IntN(3) {
 	case 0:
-		return trouble{name: "discovery slow", do: func(t *trouble) { s.slowDiscovery(t) }}
+		return disruption{name: "discovery slow", run: func(t *disruption) { s.slowDiscovery(t) }}
 	case 1:
-		i := s.rng.IntN(s.opt.Catalogs)
-		return trouble{name: "kill catalog", on: fmt.Sprint("c", i+1), do: func(t *trouble) {
-			s.outage(s.opt.Catalogs > 1, func() { s.list.killOne(i); s.sleep(s.now() + t.last); s.list.startOne(i) })
+		i := s.planRand.IntN(s.opt.Catalogs)
+		return disruption{name: "kill catalog", target: fmt.Sprint("c", i+1), run: func(t *disruption) {
+			s.recordOutage(s.opt.Catalogs > 1, func() { s.catalogs.killCatalog(i); s.sleepUntil(s.elapsed() + t.duration); s.catalogs.startCatalog(i) })
 		}}
 	}
-	return trouble{name: "discovery counts anew", do: func(t *trouble) { s.outage(false, s.list.countAnew) }}
+	return disruption{name: "discovery counts anew", run: func(t *disruption) { s.recordOutage(false, s.catalogs.restartEmpty) }}
 }
 
-// upgradable are the gateways whose processes share a listening socket.
-func (s *soak) upgradable() (shared []*soakGateway) {
+// upgradableGateways are the gateways whose processes share a listening socket.
+func (s *soak) upgradableGateways() (shared []*soakGateway) {
 	for _, g := range s.gateways {
-		if g.socket != nil {
+		if g.sharedSocket != nil {
 			shared = append(shared, g)
 		}
 	}
 	return shared
 }
 
-// upgrades is an upgrade in place of an end of that kind.
-func (s *soak) upgrades(g *soakGateway, kind int) trouble {
-	press := func(ended <-chan struct{}) {
-		s.clients.press(g, s.clients.rest(g, restingConns), rand.New(rand.NewPCG(s.opt.Seed, uint64(kind))), ended)
+// upgradeDisruption is an upgrade in place of an end of that kind.
+func (s *soak) upgradeDisruption(g *soakGateway, kind int) disruption {
+	load := func(ended <-chan struct{}) {
+		s.clients.sendUntilExit(g, s.clients.openIdleConns(g, idleConnsAtTerm), rand.New(rand.NewPCG(s.opt.Seed, uint64(kind))), ended)
 	}
 	switch kind {
 	case 1:
-		return trouble{name: "upgrades in a row", on: g.name, do: func(*trouble) { g.upgrade(press); g.upgrade(press) }}
+		return disruption{name: "upgrades in a row", target: g.name, run: func(*disruption) { g.upgrade(load); g.upgrade(load) }}
 	case 2:
-		return trouble{name: "upgrade among new settings", on: g.name, do: func(*trouble) { g.reloadsInARow(); g.upgrade(press); g.reload() }}
+		return disruption{name: "upgrade among new settings", target: g.name, run: func(*disruption) { g.reloadInBurst(); g.upgrade(load); g.reload() }}
 	}
-	return trouble{name: "upgrade", on: g.name, do: func(*trouble) { g.upgrade(press) }}
+	return disruption{name: "upgrade", target: g.name, run: func(*disruption) { g.upgrade(load) }}
 }
 
-// outage runs a trouble of discovery, through which it may still be reachable, and notes its time.
-func (s *soak) outage(reachable bool, do func()) {
+// recordOutage runs a trouble of discovery, through which it may still be reachable, and notes its time.
+func (s *soak) recordOutage(reachable bool, do func()) {
 	i := 0
-	s.ledger.note(func() {
+	s.ledger.update(func() {
 		i = len(s.ledger.outages)
 		s.ledger.outages = append(s.ledger.outages, outage{span: span{from: time.Now()}, reachable: reachable})
 	})
 	do()
-	s.ledger.note(func() { s.ledger.outages[i].to = time.Now() })
+	s.ledger.update(func() { s.ledger.outages[i].to = time.Now() })
 }
 
-func (s *soak) discoveryTrouble(name string, mode faultnet.Mode) trouble {
+func (s *soak) discoveryDisruption(name string, mode faultnet.Mode) disruption {
 	if name == "reset" {
 		mode = faultnet.Reset
 	}
-	return trouble{name: "discovery " + name, do: func(t *trouble) {
-		s.outage(false, func() {
-			for _, link := range s.list.links {
+	return disruption{name: "discovery " + name, run: func(t *disruption) {
+		s.recordOutage(false, func() {
+			for _, link := range s.catalogs.links {
 				link.Set(mode)
 			}
-			s.sleep(s.now() + t.last)
-			for _, link := range s.list.links {
+			s.sleepUntil(s.elapsed() + t.duration)
+			for _, link := range s.catalogs.links {
 				link.Set(faultnet.Pass)
 			}
 		})
 	}}
 }
 
-func (s *soak) slowDiscovery(t *trouble) {
-	s.outage(true, func() {
-		for _, link := range s.list.links {
+func (s *soak) slowDiscovery(d *disruption) {
+	s.recordOutage(true, func() {
+		for _, link := range s.catalogs.links {
 			link.Delay(300 * time.Millisecond)
 		}
-		s.sleep(s.now() + t.last)
-		for _, link := range s.list.links {
+		s.sleepUntil(s.elapsed() + d.duration)
+		for _, link := range s.catalogs.links {
 			link.Delay(0)
 		}
 	})
 }
 
-func (s *soak) serverTrouble(name string, v *soakServer, mode serverMode) trouble {
-	return trouble{name: name, on: v.name, do: func(t *trouble) {
-		v.set(mode)
-		s.sleep(s.now() + t.last)
-		v.set(serverWell)
+func (s *soak) hostDisruption(name string, h *soakHost, mode hostMode) disruption {
+	return disruption{name: name, target: h.name, run: func(t *disruption) {
+		h.setMode(mode)
+		s.sleepUntil(s.elapsed() + t.duration)
+		h.setMode(hostHealthy)
 	}}
 }
 
-// holdUpTime is how long a process is stopped at a time; the pages name up to 0.15 s.
-const holdUpTime = 140 * time.Millisecond
+// pauseTime is how long a process is stopped at a time; the pages name up to 0.15 s.
+const pauseTime = 140 * time.Millisecond
 
-// holdUp stops a process again and again.
-func (s *soak) holdUp(g *soakGateway, t *trouble) {
-	for end := s.now() + t.last; s.now() < end; {
-		g.holdUp(holdUpTime)
-		s.sleep(s.now() + 200*time.Millisecond)
+// pauseRepeatedly stops a process again and again.
+func (s *soak) pauseRepeatedly(g *soakGateway, d *disruption) {
+	for end := s.elapsed() + d.duration; s.elapsed() < end; {
+		g.pause(pauseTime)
+		s.sleepUntil(s.elapsed() + 200*time.Millisecond)
 	}
 }
 
-func (s *soak) reloads(g *soakGateway, t *trouble) {
+func (s *soak) reloadRepeatedly(g *soakGateway, d *disruption) {
 	for range 4 {
 		g.reload()
-		s.sleep(s.now() + t.last/8)
+		s.sleepUntil(s.elapsed() + d.duration/8)
 	}
 }
 
 // drain lets a server drain, goes on serving there, and lists it anew as a server just started.
-func (s *soak) drain(v *soakServer, t *trouble) {
-	v.mu.Lock()
-	if v.draining {
-		v.mu.Unlock()
+func (s *soak) drain(h *soakHost, d *disruption) {
+	h.mu.Lock()
+	if h.draining {
+		h.mu.Unlock()
 		return
 	}
-	v.draining = true
-	v.mu.Unlock()
-	if s.list.put(v, stateDraining) != nil {
+	h.draining = true
+	h.mu.Unlock()
+	if s.catalogs.put(h, stateDraining) != nil {
 		return
 	}
 	i := 0
-	s.ledger.note(func() {
+	s.ledger.update(func() {
 		i = len(s.ledger.drains)
-		s.ledger.drains = append(s.ledger.drains, soakDrain{server: v.name, at: time.Now()})
+		s.ledger.drains = append(s.ledger.drains, hostDrain{host: h.name, ackedAt: time.Now()})
 	})
-	s.sleep(s.now() + 9*time.Second + t.last)
-	v.set(serverDown)
-	s.sleep(s.now() + 200*time.Millisecond)
-	v.set(serverWell)
-	v.mu.Lock()
-	v.started = time.Now()
-	v.mu.Unlock()
-	s.ledger.note(func() { s.ledger.drains[i].back = time.Now() })
-	if s.list.put(v, stateReady) == nil {
-		s.ledger.note(func() { s.ledger.starts = append(s.ledger.starts, soakStart{server: v.name, at: time.Now()}) })
+	s.sleepUntil(s.elapsed() + 9*time.Second + d.duration)
+	h.setMode(hostDown)
+	s.sleepUntil(s.elapsed() + 200*time.Millisecond)
+	h.setMode(hostHealthy)
+	h.mu.Lock()
+	h.started = time.Now()
+	h.mu.Unlock()
+	s.ledger.update(func() { s.ledger.drains[i].relistedAt = time.Now() })
+	if s.catalogs.put(h, stateReady) == nil {
+		s.ledger.update(func() {
+			s.ledger.hostStarts = append(s.ledger.hostStarts, hostStart{host: h.name, ackedAt: time.Now()})
+		})
 	}
-	v.mu.Lock()
-	v.draining = false
-	v.mu.Unlock()
+	h.mu.Lock()
+	h.draining = false
+	h.mu.Unlock()
 }
 
-// badClients is in soak_client.go; the group ends with the trouble.
-func (s *soak) badClients(g *soakGateway, t *trouble) {
-	var peers sync.WaitGroup
-	for end := s.now() + t.last; s.now() < end; s.sleep(s.now() + 50*time.Millisecond) {
-		for i := range badKinds {
-			peers.Add(1)
+// runBadClients is in soak_client.go; the group ends with the trouble.
+func (s *soak) runBadClients(g *soakGateway, d *disruption) {
+	var clients sync.WaitGroup
+	for end := s.elapsed() + d.duration; s.elapsed() < end; s.sleepUntil(s.elapsed() + 50*time.Millisecond) {
+		for i := range badClientKinds {
+			clients.Add(1)
 			go func() {
-				defer peers.Done()
-				s.badClient(g, &badKinds[i])
+				defer clients.Done()
+				s.runBadClient(g, &badClientKinds[i])
 			}()
 		}
 	}
-	peers.Wait()
+	clients.Wait()
 }
