--- a/internal/fleetlab/soak.go
+++ b/internal/fleetlab/soak.go
@@ -45,7 +45,8 @@
 	Violations []SoakViolation
 }
 
-// SoakCounts says how much a run exercised.
+// SoakCounts says how much a run exercised. Left counts abandoned requests, Runs the attempts that hosts
+// received, Restarts the exits of gateway processes, and Troubles the disruptions.
 type SoakCounts struct {
 	Requests, Served, Refused, Failed, Left int
 	BadClients, Runs, Restarts, Troubles    int
--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -30,11 +30,11 @@
 
 // Slow start, draining and termination in the settings of the soak.
 const (
-	soakColdFrom       = 0.2 // share of its full load that a host gets when it has just started
-	soakWarmAfter      = 8 * time.Second
-	soakOverloadFactor = 2.5         // of the share that a host can serve, sent over soakOverloadPeriod
-	soakOverloadPeriod = time.Second // a host fails when it is overloaded for this long
-	soakWarmRate       = 60          // requests per second that a warm host can serve
+	soakColdFrom       = 0.2             // share of its capacity that a host starts with
+	soakWarmAfter      = 8 * time.Second // a host has its full capacity this long after its start
+	soakOverloadFactor = 2.5             // multiple of its present capacity at which a cold host fails
+	soakOverloadPeriod = time.Second     // an overload makes a host fail when it lasts this long
+	soakWarmRate       = 60              // requests per second that a warm host can serve
 	soakDrainGrace     = time.Second
 	soakKillMargin     = 700 * time.Millisecond // time between the longest deadline, counted as at least 3 s, and SIGKILL
 )
--- a/internal/fleetlab/soak_list.go
+++ b/internal/fleetlab/soak_list.go
@@ -131,8 +131,8 @@
 	return fmt.Errorf("host %s could not be listed: %w", id, lastErr)
 }
 
-// restartEmpty kills all instances, starts them with empty data folders, whose versions begin anew, and
-// writes the list as it was.
+// restartEmpty kills all instances, starts them with empty data folders, so that their versions start
+// again, and writes the list as it was.
 func (l *soakCatalogs) restartEmpty() {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
