--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -14,12 +14,12 @@
 	"lynxspool/internal/faultnet"
 )
 
-// What gateways of a soak are told of requests.
+// soakClass is a request class in the settings of the gateways.
 type soakClass struct {
 	name, effect string
 	deadline     time.Duration
-	window       time.Duration // of keyed requests
-	share        float64
+	window       time.Duration // for deduplicated requests
+	share        float64       // of all requests
 }
 
 var soakClasses = []soakClass{
@@ -28,70 +28,72 @@
 	{name: "report", effect: "deduplicated", deadline: 1500 * time.Millisecond, window: 600 * time.Millisecond, share: 0.2},
 }
 
-// Figures of slow start, and of ends, that the soak's settings give.
+// Slow start, draining and termination in the settings of the soak.
 const (
-	soakColdFrom  = 0.2
-	soakWarm      = 8 * time.Second
-	soakOverload  = 2.5
-	soakFall      = time.Second
-	soakRateWarm  = 60 // requests a second that a warm server can do
-	soakGrace     = time.Second
-	soakKillAfter = 700 * time.Millisecond // ... beyond the longest deadline, counted as 3 s at the least here
+	soakColdFrom       = 0.2             // share of its capacity that a host starts with
+	soakWarmAfter      = 8 * time.Second // a host has its full capacity this long after its start
+	soakOverloadFactor = 2.5             // multiple of its present capacity at which a cold host fails
+	soakOverloadPeriod = time.Second     // an overload makes a host fail when it lasts this long
+	soakWarmRate       = 60              // requests per second that a warm host can serve
+	soakDrainGrace     = time.Second
+	soakKillMargin     = 700 * time.Millisecond // time between the longest deadline, counted as at least 3 s, and SIGKILL
 )
 
-// soakGateway is a gateway under its name, over all its processes.
+// soakGateway is a gateway under one name, through all its processes.
 type soakGateway struct {
-	s                    *soak
-	name, addr, operator string
-	config, dir          string
-	socket               *os.File // its listening socket, which its processes inherit; nil: they have one each
+	s                        *soak
+	name, addr, operatorAddr string
+	configPath, dir          string
+	sharedSocket             *os.File // listening socket that its processes inherit; nil: each opens its own
 
-	mu    sync.Mutex
-	proc  *faultnet.Proc
-	life  int
-	began time.Time
-	ready time.Time // zero: not yet
-	first time.Time // any process was ready
-	term  time.Time // of this life
-	over  bool      // no process is to come
-	tune  int       // changes of its settings
+	mu              sync.Mutex
+	proc            *faultnet.Proc
+	generation      int // number of the present process
+	startedAt       time.Time
+	readyAt         time.Time // of the present process; zero: not yet
+	firstReadyAt    time.Time // of the first process that was ready
+	termAt          time.Time // when its termination began; zero: it has not
+	retired         bool      // no process is to be started any more
+	settingsVersion int       // number of changes of its settings
 }
 
+// newSoakGateway returns a gateway that has no process yet.
 func newSoakGateway(s *soak, i int) *soakGateway {
 	name := fmt.Sprintf("g%02d", i)
-	g := &soakGateway{s: s, name: name, addr: fmt.Sprintf("%s1.%d:9000", s.net, i+1), operator: fmt.Sprintf("%s1.%d:9001", s.net, i+1),
-		config: filepath.Join(s.dir, name+".json"), dir: filepath.Join(s.dir, name)}
+	g := &soakGateway{s: s, name: name, addr: fmt.Sprintf("%s1.%d:9000", s.netPrefix, i+1), operatorAddr: fmt.Sprintf("%s1.%d:9001", s.netPrefix, i+1),
+		configPath: filepath.Join(s.dir, name+".json"), dir: filepath.Join(s.dir, name)}
 	os.MkdirAll(g.dir, 0o755)
 	return g
 }
 
-// life0 is the life that clients see of a gateway whose processes share a socket: they cannot tell
-// which of them has a connection.
-const life0 = 0
+// sharedGeneration is the generation that clients see of a gateway whose processes share a socket: they
+// cannot tell which process has a connection.
+const sharedGeneration = 0
 
-// soakUpgraded says whether the processes of a gateway share a listening socket: every sixth's do.
-func soakUpgraded(i int) bool { return i%6 == 5 }
+// sharesSocket says whether the processes of a gateway share a listening socket, as those of every
+// sixth gateway do.
+func sharesSocket(i int) bool { return i%6 == 5 }
 
-// share opens the listening socket that the processes of the gateway inherit.
-func (g *soakGateway) share() error {
+// openSharedSocket opens the listening socket that the processes of the gateway inherit.
+func (g *soakGateway) openSharedSocket() error {
 	ln, err := net.Listen("tcp", g.addr)
 	if err != nil {
 		return err
 	}
 	defer ln.Close() // the file has a descriptor of its own
-	g.socket, err = ln.(*net.TCPListener).File()
+	g.sharedSocket, err = ln.(*net.TCPListener).File()
 	return err
 }
 
-// configure writes the configuration file. A higher tune gives another deadline of one class
-// and another first address of discovery.
-func (g *soakGateway) configure(tune int) error {
+// configure writes the configuration file. Another settings version changes the deadline of one class
+// and the discovery address that comes first.
+func (g *soakGateway) configure(settingsVersion int) error {
 	type obj map[string]any
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var classes []obj
 	for _, c := range soakClasses {
 		deadline := c.deadline
-		if c.name == "look" && tune%2 == 1 {
+		if c.name == "look" && settingsVersion%2 == 1 {
 			deadline += 200 * time.Millisecond
 		}
 		classes = append(classes, obj{"name": c.name, "effect": c.effect, "group": "all", "hard_limit": us(deadline),
@@ -105,63 +107,65 @@
 		"classes": classes, "tenants": []obj{}, "over_share_worth": 0.05,
 		"caps": obj{"cancel": true, "max_attempts": 4, "conn_idle": 10000000, "dial_timeout": 250000, "may_duplicate": false,
 			"max_retry_after": 2000000, "retry_after": true},
-		"obligations": obj{"ask_within": 10000000, "cold_from": soakColdFrom, "warm_after": us(soakWarm), "overload_factor": soakOverload,
-			"fall": us(soakFall), "drain_grace": us(soakGrace), "grace_to_answer": 58000}}
-	return writeJSON(g.config, obj{"name": g.name, "listen": g.addr, "operator": g.operator, "discovery": g.s.list.addrs(rank + tune),
-		"seed":   fmt.Sprintf("%x", g.s.opt.Seed*1_000_003+uint64(rank*100+g.life)+1),
+		"obligations": obj{"ask_within": 10000000, "cold_from": soakColdFrom, "warm_after": us(soakWarmAfter), "overload_factor": soakOverloadFactor,
+			"fall": us(soakOverloadPeriod), "drain_grace": us(soakDrainGrace), "grace_to_answer": 58000}}
+	return writeJSON(g.configPath, obj{"name": g.name, "listen": g.addr, "operator": g.operatorAddr, "discovery": g.s.catalogs.discoveryAddrs(rank + settingsVersion),
+		"seed":   fmt.Sprintf("%x", g.s.opt.Seed*1_000_003+uint64(rank*100+g.generation)+1),
 		"limits": obj{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": obj{"version": 0, "full": true, "servers": []obj{}},
 		"settings": settings})
 }
 
-// startProcess starts a process under the name and asks for its health until it is ready.
+// startProcess starts a process of the gateway and checks its health in the background until it is ready.
 func (g *soakGateway) startProcess() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.proc != nil || g.over {
+	if g.proc != nil || g.retired {
 		return nil
 	}
-	g.life++
-	if g.socket != nil { // beside the operator's address of the process before
-		g.operator = fmt.Sprintf("%s:%d", strings.TrimSuffix(g.addr, ":9000"), 9000+g.life)
+	g.generation++
+	if g.sharedSocket != nil { // the previous process may still listen on its operator address
+		g.operatorAddr = fmt.Sprintf("%s:%d", strings.TrimSuffix(g.addr, ":9000"), 9000+g.generation)
 	}
-	if err := g.configure(g.tune); err != nil {
+	if err := g.configure(g.settingsVersion); err != nil {
 		return err
 	}
 	bin, inject := filepath.Join(g.s.opt.Bin, "dunemoor"), ""
-	if faulty := filepath.Join(g.s.opt.Bin, FaultyGateway); g.name[2]%2 == 1 && isThere(faulty) {
-		bin, inject = faulty, fmt.Sprintf("%d %g", g.s.opt.Seed*100+uint64(g.life), soakFaultShare)
+	if faulty := filepath.Join(g.s.opt.Bin, FaultyGateway); g.name[2]%2 == 1 && fileExists(faulty) {
+		bin, inject = faulty, fmt.Sprintf("%d %g", g.s.opt.Seed*100+uint64(g.generation), systemCallFaultShare)
 	}
 	var files []*os.File
-	env := []string{"GW_CONFIG=" + g.config, "GW_LOG=debug", "TMPDIR=" + g.dir, "GW_INJECT=" + inject}
-	if g.socket != nil {
-		files, env = []*os.File{g.socket}, append(env, "GW_ACCEPT_FD=3")
+	env := []string{"GW_CONFIG=" + g.configPath, "GW_LOG=debug", "TMPDIR=" + g.dir, "GW_INJECT=" + inject}
+	if g.sharedSocket != nil {
+		files, env = []*os.File{g.sharedSocket}, append(env, "GW_ACCEPT_FD=3")
 	}
-	proc, began, err := g.s.start.startWith(files, g.s.dir, fmt.Sprintf("%s.%d", g.name, g.life), bin, nil, env...)
+	proc, startedAt, err := g.s.starter.startWith(files, g.s.dir, fmt.Sprintf("%s.%d", g.name, g.generation), bin, nil, env...)
 	if err != nil {
 		return err
 	}
-	g.proc, g.began, g.ready, g.term = proc, began, time.Time{}, time.Time{}
-	go g.await(g.life)
+	g.proc, g.startedAt, g.readyAt, g.termAt = proc, startedAt, time.Time{}, time.Time{}
+	go g.awaitHealth(g.generation)
 	return nil
 }
 
-// FaultyGateway is the gateway built with the tag faultinject. Every second gateway runs it, where
-// it is in the folder of the binaries.
+// FaultyGateway is the gateway built with the tag faultinject. Every second gateway runs it when the
+// folder of the binaries has it.
 const FaultyGateway = "dunemoor-faults"
 
-// soakFaultShare is the share of its system calls that fail, in bouts.
-const soakFaultShare = 0.02
+// systemCallFaultShare is the share of the system calls of a FaultyGateway that fail, in bursts.
+const systemCallFaultShare = 0.02
 
-func isThere(path string) bool {
+// fileExists says whether a path exists.
+func fileExists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
 
-func (g *soakGateway) await(life int) {
+// awaitHealth checks the health of the process of a generation until it is ready or has been replaced.
+func (g *soakGateway) awaitHealth(generation int) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + g.addr + "/_health"
-	if g.socket != nil { // another process may answer there
-		url = "http://" + g.operator + "/healthcheck"
+	if g.sharedSocket != nil { // another process may answer on the shared socket
+		url = "http://" + g.operatorAddr + "/healthcheck"
 	}
 	for {
 		resp, err := client.Get(url)
@@ -169,14 +173,14 @@
 			resp.Body.Close()
 		}
 		g.mu.Lock()
-		if g.life != life || g.proc == nil {
+		if g.generation != generation || g.proc == nil {
 			g.mu.Unlock()
 			return
 		}
 		if err == nil && resp.StatusCode == http.StatusOK {
-			g.ready = time.Now()
-			if g.first.IsZero() {
-				g.first = g.ready
+			g.readyAt = time.Now()
+			if g.firstReadyAt.IsZero() {
+				g.firstReadyAt = g.readyAt
 			}
 			g.mu.Unlock()
 			return
@@ -186,8 +190,9 @@
 	}
 }
 
-func (g *soakGateway) awaitReady(most time.Duration) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// awaitServing waits until the gateway serves clients.
+func (g *soakGateway) awaitServing(limit time.Duration) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if up, _ := g.serving(); up {
 			return true
 		}
@@ -195,17 +200,17 @@
 	return false
 }
 
-// serving says whether the front sends clients here, and which life it is.
+// serving says whether clients may open connections to the gateway, and the generation that serves them.
 func (g *soakGateway) serving() (bool, int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.socket != nil {
-		return g.proc != nil && !g.first.IsZero(), life0
+	if g.sharedSocket != nil {
+		return g.proc != nil && !g.firstReadyAt.IsZero(), sharedGeneration
 	}
-	return g.proc != nil && !g.ready.IsZero() && g.term.IsZero(), g.life
+	return g.proc != nil && !g.readyAt.IsZero() && g.termAt.IsZero(), g.generation
 }
 
-// signal signals the process, if there is one.
+// signal sends a signal to the process, if there is one.
 func (g *soakGateway) signal(sig syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -214,8 +219,9 @@
 	}
 }
 
-// holdUp stops the process for a time, the same one however many come after it.
-func (g *soakGateway) holdUp(d time.Duration) {
+// pause stops the present process for a time. It continues the same process even when another one has
+// been started meanwhile.
+func (g *soakGateway) pause(d time.Duration) {
 	g.mu.Lock()
 	proc := g.proc
 	g.mu.Unlock()
@@ -227,99 +233,100 @@
 	proc.Cont()
 }
 
-// reload changes the settings and signals that.
+// reload changes the settings and sends SIGHUP.
 func (g *soakGateway) reload() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Not in the first second, and not before it is ready.
-	if g.proc == nil || g.ready.IsZero() || time.Since(g.began) < 1100*time.Millisecond || !g.term.IsZero() {
+	// A process is not reloaded in its first second, nor before it is ready.
+	if g.proc == nil || g.readyAt.IsZero() || time.Since(g.startedAt) < 1100*time.Millisecond || !g.termAt.IsZero() {
 		return
 	}
-	g.tune++
-	if g.configure(g.tune) == nil {
+	g.settingsVersion++
+	if g.configure(g.settingsVersion) == nil {
 		g.proc.Signal(syscall.SIGHUP)
 	}
 }
 
-// kill ends the process outright.
-func (g *soakGateway) kill() { g.end(false, nil) }
+// kill ends the process with SIGKILL.
+func (g *soakGateway) kill() { g.stop(false, nil) }
 
-// endInOrder ends the process by SIGTERM, and outright once it had its time: the longest deadline,
-// counted as 3 s at the least, and 0.7 s. around runs beside it until the process has ended.
-func (g *soakGateway) endInOrder(around ...func(ended <-chan struct{})) { g.end(true, around) }
+// terminate ends the process with SIGTERM, and with SIGKILL after the longest deadline, counted as at
+// least 3 s, and soakKillMargin. The functions of alongside run until the process has exited.
+func (g *soakGateway) terminate(alongside ...func(ended <-chan struct{})) { g.stop(true, alongside) }
 
-func (g *soakGateway) end(inOrder bool, around []func(ended <-chan struct{})) {
+// stop ends the present process, unless it is already being stopped.
+func (g *soakGateway) stop(graceful bool, alongside []func(ended <-chan struct{})) {
 	g.mu.Lock()
-	proc, life := g.proc, g.life
-	if proc == nil || !g.term.IsZero() {
+	proc, generation := g.proc, g.generation
+	if proc == nil || !g.termAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
-	g.term = time.Now()
+	g.termAt = time.Now()
 	g.mu.Unlock()
-	g.endProcess(proc, life, inOrder, around)
+	g.stopProcess(proc, generation, graceful, alongside)
 	g.mu.Lock()
 	g.proc = nil
 	g.mu.Unlock()
 }
 
-// endProcess ends a process and notes how.
-func (g *soakGateway) endProcess(proc *faultnet.Proc, life int, inOrder bool, around []func(ended <-chan struct{})) {
-	d := death{gateway: g.name, life: life, log: proc.Log}
+// stopProcess ends a process and records its exit.
+func (g *soakGateway) stopProcess(proc *faultnet.Proc, generation int, graceful bool, alongside []func(ended <-chan struct{})) {
+	exit := processExit{gateway: g.name, generation: generation, logPath: proc.Log}
 	if ended, err := proc.Exited(); ended {
-		d.ended, d.code = time.Now(), exitCode(err)
-	} else if !inOrder {
-		d.kill = time.Now()
+		exit.endedAt, exit.exitCode = time.Now(), exitCode(err)
+	} else if !graceful {
+		exit.killAt = time.Now()
 		proc.Kill()
-		d.ended = time.Now()
+		exit.endedAt = time.Now()
 	} else {
-		d.term = time.Now()
-		longest := 3 * time.Second
-		over := make(chan struct{})
-		for _, do := range around {
-			g.s.busy.Add(1)
-			go func() { defer g.s.busy.Done(); do(over) }()
+		exit.termAt = time.Now()
+		longestDeadline := 3 * time.Second
+		ended := make(chan struct{})
+		for _, do := range alongside {
+			g.s.background.Add(1)
+			go func() { defer g.s.background.Done(); do(ended) }()
 		}
-		err := proc.Term(longest + soakKillAfter)
-		close(over)
-		if d.ended = time.Now(); d.ended.Sub(d.term) >= longest+soakKillAfter {
-			d.kill = d.ended
+		err := proc.Term(longestDeadline + soakKillMargin)
+		close(ended)
+		if exit.endedAt = time.Now(); exit.endedAt.Sub(exit.termAt) >= longestDeadline+soakKillMargin {
+			exit.killAt = exit.endedAt
 		} else {
-			d.code = exitCode(err)
+			exit.exitCode = exitCode(err)
 		}
 	}
-	g.s.ledger.note(func() { g.s.ledger.deaths = append(g.s.ledger.deaths, d) })
+	g.s.ledger.update(func() { g.s.ledger.exits = append(g.s.ledger.exits, exit) })
 }
 
-// upgrade starts a process beside the present one on the same socket and, once it is ready, ends
-// that one in order. Another upgrade may follow while it is still ending.
-func (g *soakGateway) upgrade(around ...func(ended <-chan struct{})) {
+// upgrade starts a new process on the same socket and, once that is ready, terminates the old one.
+// Another upgrade may start while the old process is still terminating.
+func (g *soakGateway) upgrade(alongside ...func(ended <-chan struct{})) {
 	g.mu.Lock()
-	old, life := g.proc, g.life
-	if old == nil || g.ready.IsZero() || g.over {
+	old, generation := g.proc, g.generation
+	if old == nil || g.readyAt.IsZero() || g.retired {
 		g.mu.Unlock()
 		return
 	}
 	g.proc = nil
 	g.mu.Unlock()
-	if err := g.startProcess(); err != nil || !g.awaitProcess(30*time.Second) {
-		g.s.ledger.note(func() {
-			g.s.ledger.failures = append(g.s.ledger.failures, fmt.Sprintf("%s (life %d) is not ready 30 s after its start: %v", g.name, life+1, err))
+	if err := g.startProcess(); err != nil || !g.awaitProcessReady(30*time.Second) {
+		g.s.ledger.update(func() {
+			g.s.ledger.startFailures = append(g.s.ledger.startFailures, fmt.Sprintf("%s (process %d) is not ready 30 s after its start: %v", g.name, generation+1, err))
 		})
-		return // the old one serves on
+		return // the old process goes on serving
 	}
-	g.s.busy.Add(1)
+	g.s.background.Add(1)
 	go func() {
-		defer g.s.busy.Done()
-		g.endProcess(old, life, true, around)
+		defer g.s.background.Done()
+		g.stopProcess(old, generation, true, alongside)
 	}()
 }
 
-// awaitProcess waits until the present process is ready.
-func (g *soakGateway) awaitProcess(most time.Duration) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// awaitProcessReady waits until the present process is ready.
+func (g *soakGateway) awaitProcessReady(limit time.Duration) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		g.mu.Lock()
-		ready := !g.ready.IsZero()
+		ready := !g.readyAt.IsZero()
 		g.mu.Unlock()
 		if ready {
 			return true
@@ -328,6 +335,7 @@
 	return false
 }
 
+// exitCode returns the exit code in an error of a process; -1: there is none.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
@@ -338,7 +346,7 @@
 	return -1
 }
 
-// Server states, as the list has them.
+// States of hosts in the catalog.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
--- a/internal/fleetlab/soak_ledger.go
+++ b/internal/fleetlab/soak_ledger.go
@@ -5,133 +5,136 @@
 	"time"
 )
 
-// ledger is what clients and servers of a soak have seen, by request.
+// ledger records what the clients and hosts of a soak have seen, by request.
 type ledger struct {
-	mu       sync.Mutex
-	ops      map[string]*soakOp
-	order    []string
-	again    map[string]bool // ids of requests that their clients sent once more under another
-	bad      []badClient
-	drains   []soakDrain
-	starts   []soakStart
-	outages  []outage
-	crowds   []crowd
-	deaths   []death
-	failures []string // of processes to start
-	heldUp   []string // of the soak itself
+	mu            sync.Mutex
+	requests      map[string]*soakRequest
+	order         []string        // ids in the order of their first record
+	resent        map[string]bool // ids of requests that their clients sent again under another id
+	badClients    []badClient
+	drains        []hostDrain
+	hostStarts    []hostStart
+	outages       []outage
+	connFloods    []connFlood
+	exits         []processExit
+	startFailures []string // of gateway processes
+	pauses        []string // of the soak process
 }
 
-func newLedger() *ledger { return &ledger{ops: map[string]*soakOp{}, again: map[string]bool{}} }
+func newLedger() *ledger {
+	return &ledger{requests: map[string]*soakRequest{}, resent: map[string]bool{}}
+}
 
-// span is a stretch of time; an end of zero means that it lasts.
+// span is a period of time. A zero end means that it still lasts.
 type span struct{ from, to time.Time }
 
-// end is when a span ended, or now.
-func (s span) end() time.Time {
+// endOrNow returns the end of the span, or the current time while it lasts.
+func (s span) endOrNow() time.Time {
 	if s.to.IsZero() {
 		return time.Now()
 	}
 	return s.to
 }
 
-// outage is a trouble of discovery, or of the way to it.
+// outage is a disruption of discovery or of the connections to it.
 type outage struct {
 	span
-	reachable bool // it is slow, or one instance of several is away
+	reachable bool // discovery is slow, or one of several instances is down
 }
 
-// crowd is a time for which idle clients hold all the places of a gateway.
-type crowd struct {
+// connFlood is a period in which idle clients hold all connections of a gateway.
+type connFlood struct {
 	span
 	gateway string
 }
 
-// soakOp is one request of a client as the client saw it, and its runs as servers saw them.
-type soakOp struct {
-	id      string
-	class   *soakClass
-	gateway string
-	life    int // of the gateway's process
-	fresh   bool
-	slow    bool
-	began   time.Time // first byte
-	whole   time.Time // last byte written
-	left    time.Time // the client closed its connection; zero: it stayed
-	ended   time.Time // it had its answer, or the end of the connection
-	status  int       // 0: no whole answer
-	err     error
-	retryOf string // the request that this one is in place of, as it crossed a close
-	runs    []soakRun
+// soakRequest is one request as its client saw it, with its attempts as the hosts saw them.
+type soakRequest struct {
+	id          string
+	class       *soakClass
+	gateway     string
+	generation  int       // of the process of the gateway
+	newConn     bool      // the request is the first on its connection
+	slowWrite   bool      // the request was written in pieces
+	firstByteAt time.Time // just before the first byte is written
+	sentAt      time.Time // last byte written
+	abandonedAt time.Time // the client closed its connection; zero: it waited for the answer
+	endedAt     time.Time // the answer arrived or the connection ended
+	status      int       // HTTP status; 0: no complete answer
+	err         error
+	retryOf     string // id of the request that this one replaces, because it crossed a close
+	attempts    []soakAttempt
 }
 
-// soakRun is one request as a server got it.
-type soakRun struct {
-	server  string
-	first   time.Time // its first byte
-	whole   time.Time // its last byte
-	told    time.Duration
-	turned  bool // turned away: it never ran
-	stalled bool // it took the body late, whenever that had come
+// soakAttempt is one attempt as a host received it.
+type soakAttempt struct {
+	host        string
+	firstByteAt time.Time     // first byte received
+	receivedAt  time.Time     // last byte received
+	timeout     time.Duration // X-Timeout that the gateway sent
+	rejected    bool          // the host answered X-Not-Processed and did not execute it
+	stalled     bool          // the host read the body late, so the body may have arrived before receivedAt
 }
 
-// badClient is a peer that brought no proper request, and when it was let go.
+// badClient is a client that sends no valid request, and how long its connection was kept.
 type badClient struct {
 	kind, gateway string
-	life          int
-	from          time.Time
-	took          time.Duration // until an error or the end; 0: neither came
+	generation    int
+	sentAt        time.Time     // just before its last bytes are written
+	closedAfter   time.Duration // time until an answer or the end of the connection; 0: neither came
 }
 
-// soakDrain is a server that began to drain, as discovery acknowledged it.
-type soakDrain struct {
-	server string
-	at     time.Time
-	back   time.Time // it was listed anew; zero: not yet
+// hostDrain is a host that began to drain.
+type hostDrain struct {
+	host       string
+	ackedAt    time.Time // discovery acknowledged the change
+	relistedAt time.Time // the host is listed as ready again; zero: not yet
 }
 
-// soakStart is a server that was listed as just started.
-type soakStart struct {
-	server string
-	at     time.Time
+// hostStart is a host that was listed as just started.
+type hostStart struct {
+	host    string
+	ackedAt time.Time // discovery acknowledged the change
 }
 
-// death is the end of a process of a gateway.
-type death struct {
-	gateway string
-	life    int
-	term    time.Time // SIGTERM; zero: it was killed outright
-	kill    time.Time // SIGKILL; zero: it ended by itself
-	ended   time.Time
-	code    int
-	log     string // its log from its last start on
+// processExit is the end of a gateway process.
+type processExit struct {
+	gateway    string
+	generation int
+	termAt     time.Time // SIGTERM; zero: it was not sent
+	killAt     time.Time // SIGKILL; zero: it was not sent
+	endedAt    time.Time
+	exitCode   int
+	logPath    string // log file of this process
 }
 
-func (l *ledger) begin(op *soakOp) {
+// addRequest records a request that a client is about to send.
+func (l *ledger) addRequest(req *soakRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ops[op.id] = op
-	l.order = append(l.order, op.id)
-	if op.retryOf != "" {
-		l.again[op.retryOf] = true
+	l.requests[req.id] = req
+	l.order = append(l.order, req.id)
+	if req.retryOf != "" {
+		l.resent[req.retryOf] = true
 	}
 }
 
-// note changes something under the lock.
-func (l *ledger) note(do func()) {
+// update runs a change under the lock.
+func (l *ledger) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	do()
+	change()
 }
 
-// run notes a request that came to a server; an id that no client sent is noted too.
-func (l *ledger) run(id string, r soakRun) {
+// addAttempt records an attempt that a host received, also under an id that no client sent.
+func (l *ledger) addAttempt(id string, attempt soakAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	op := l.ops[id]
-	if op == nil {
-		op = &soakOp{id: id}
-		l.ops[id] = op
+	req := l.requests[id]
+	if req == nil {
+		req = &soakRequest{id: id}
+		l.requests[id] = req
 		l.order = append(l.order, id)
 	}
-	op.runs = append(op.runs, r)
+	req.attempts = append(req.attempts, attempt)
 }
