--- a/aperture.go
+++ b/aperture.go
@@ -1,7 +1,7 @@
 package lynxspool
 
-// Which hosts an instance draws from, apart from how it picks among them: an aperture
-// on a ring of all hosts that is the same at every instance.
+// Which hosts an instance uses: a subset (aperture) taken from a ring of all hosts that is the same
+// at every instance. How it picks among them is decided in balancer.go.
 
 import (
 	"math"
@@ -9,25 +9,25 @@
 )
 
 const (
-	reachSamples = 6    // samples that an instance wants of each host within the decay
-	reachSharers = 4    // instances that draw from each host at least: none hangs on the view of one
-	reachLeast   = 3    // hosts that an instance draws from at least: two may be out and leave a choice
-	redrawShare  = 0.25 // time between two moves on the ring, in warm-up times: new hosts are cold
+	subsetSamples   = 6    // samples that an instance needs of each host within the decay time
+	minSharers      = 4    // least instances that use a host: it must not depend on the view of one
+	minSubset       = 3    // least hosts that an instance uses: a choice remains with one or two ejected
+	subsetMoveShare = 0.25 // time between two moves in the ring, in WarmAfters: new hosts are cold
 
-	golden = 0.6180339887498949 // the golden section
+	goldenSection = 0.6180339887498949
 )
 
-// layRing puts the hosts into an order that is the same at every instance and has
-// the kinds of machine spread evenly, so that every stretch is a fair part of the
-// fleet. Few places change when hosts come and go.
-func (b *Balancer) layRing() {
+// buildRing orders the hosts in a way that is the same at every instance and spreads each kind of host
+// evenly, so that every section is a fair sample of the fleet. Few positions change when hosts are
+// added or removed.
+func (b *Balancer) buildRing() {
 	b.ring = append(b.ring[:0], b.hosts...)
 	sort.Slice(b.ring, func(i, j int) bool {
 		x, y := b.ring[i], b.ring[j]
 		if x.Kind != y.Kind {
 			return x.Kind < y.Kind
 		}
-		return x.mark < y.mark || x.mark == y.mark && x.ID < y.ID
+		return x.hash < y.hash || x.hash == y.hash && x.ID < y.ID
 	})
 	for i := 0; i < len(b.ring); {
 		j := i
@@ -35,130 +35,130 @@
 			j++
 		}
 		for k := i; k < j; k++ {
-			b.ring[k].place = (float64(k-i) + 0.5) / float64(j-i)
+			b.ring[k].ringPosition = (float64(k-i) + 0.5) / float64(j-i)
 		}
 		i = j
 	}
-	sort.SliceStable(b.ring, func(i, j int) bool { return b.ring[i].place < b.ring[j].place })
-	b.order()
+	sort.SliceStable(b.ring, func(i, j int) bool { return b.ring[i].ringPosition < b.ring[j].ringPosition })
+	b.orderPreferred()
 }
 
-// reach is how many hosts this instance draws from: as many as its own traffic
-// brings reachSamples each within the decay, no fewer than a choice of two needs
-// with one out, nor than give each host reachSharers instances. It acts where that is
-// less than the list. It guards against scores and limits that rest on no sample, and
-// against a connection from every instance to every host, which fills their tables.
-func (b *Balancer) reach() int {
-	shared := float64(reachSharers*len(b.hosts)) / float64(b.set.Instances)
+// subsetSize is how many hosts this instance uses: as many as its traffic can give subsetSamples each
+// within the decay time, but enough for a choice of two with one ejected, and enough to give each host
+// minSharers instances. It acts where that is less than the whole list. It guards against scores and
+// limits without samples, and against a connection from every instance to every host, which fills the
+// hosts' connection tables.
+func (b *Balancer) subsetSize() int {
+	shared := float64(minSharers*len(b.hosts)) / float64(b.settings.Instances)
 	if b.peers != nil {
-		shared = b.shared
+		shared = b.viewSubset
 	}
-	return b.reachOf(b.rate.now(b.now, b.rateSpan()), shared)
+	return b.subsetSizeFor(b.arrivals.value(b.now, b.rateSpan()), shared)
 }
 
-func (b *Balancer) reachOf(rate, shared float64) int {
-	sampled := rate * b.decay / reachSamples
-	return min(len(b.hosts), max(reachLeast, int(math.Ceil(max(sampled, shared)))))
+// subsetSizeFor is subsetSize for a request rate a second and a least number of hosts.
+func (b *Balancer) subsetSizeFor(rate, shared float64) int {
+	sampled := rate * b.decay / subsetSamples
+	return min(len(b.hosts), max(minSubset, int(math.Ceil(max(sampled, shared)))))
 }
 
-// order lists the ring as this instance prefers it. With a view of the bank, the first few
-// lie apart, so that instances that share one host share few others: what one host has too
-// much of can then be moved on through the bank.
-func (b *Balancer) order() {
+// orderPreferred lists the ring in this instance's order of preference. With a view of the fleet, the
+// first scatteredHosts hosts are far apart, so that instances that share one host share few others and
+// the excess load of a host can be spread over the fleet.
+func (b *Balancer) orderPreferred() {
 	n := len(b.ring)
 	for i, h := range b.ring {
-		h.index, h.slot = i, n
+		h.ringIndex, h.preferIndex = i, n
 	}
-	b.prefer = b.prefer[:0]
-	for k := 0; len(b.prefer) < n; k++ {
-		if h := b.at(b.set.Rank, k); h.slot == n {
-			h.slot = len(b.prefer)
-			b.prefer = append(b.prefer, h)
+	b.preferred = b.preferred[:0]
+	for k := 0; len(b.preferred) < n; k++ {
+		if h := b.preferredHost(b.settings.Rank, k); h.preferIndex == n {
+			h.preferIndex = len(b.preferred)
+			b.preferred = append(b.preferred, h)
 		}
 	}
 }
 
-// at is the k-th host that an instance of a rank prefers; with a view, one may come twice.
-// It begins at the rank's place in the multiples of the golden section, of which any run
-// is spread evenly over the ring, and so are those left of it when a run, or every second,
-// is not there.
-func (b *Balancer) at(rank, k int) *host {
+// preferredHost is the k-th host in the order of preference of a rank; with a view, a host may come
+// twice. The order starts at the rank's multiple of the golden section. Any run of these multiples is
+// spread evenly over the ring, and so is what remains when a run of ranks, or every second rank, is
+// absent.
+func (b *Balancer) preferredHost(rank, k int) *host {
 	n := len(b.ring)
-	_, part := math.Modf(float64(rank) * golden)
+	_, start := math.Modf(float64(rank) * goldenSection)
 	switch {
 	case b.peers == nil:
-	case k < jumps:
+	case k < scatteredHosts:
 		k = k * (k + 1) * (2*k + 1) / 6
 	default:
-		k -= jumps
+		k -= scatteredHosts
 	}
-	return b.ring[(int(part*float64(n))+k)%n]
+	return b.ring[(int(start*float64(n))+k)%n]
 }
 
-// sharers is how many instances draw from a host.
+// sharers is how many instances use a host.
 func (b *Balancer) sharers() float64 {
-	return max(1, b.bank()*float64(b.reach())/max(float64(len(b.hosts)), 1))
+	return max(1, b.instances()*float64(b.subsetSize())/max(float64(len(b.hosts)), 1))
 }
 
-// redraw keeps the hosts that this instance draws from: reach of them in use, and the
-// cold and ejected beside them. A host stays drawn while it serves, as its samples are
-// here; one at a time is given up for one nearer, so that new hosts are not rushed. Where
-// most hosts are cold it looks no further than coldSharers instances a cold host allow:
-// else every instance would hold a connection to every host, and all would meet at the
-// few that are warm.
-func (b *Balancer) redraw() {
-	n, reach, used, cold := len(b.ring), b.reach(), 0, 0
-	most := max(reach, int(coldSharers*float64(n)/b.bank()))
-	for i := len(b.drawn) - 1; i >= 0; i-- {
-		if h := b.drawn[i]; !h.takes() {
-			b.undraw(i)
+// updateSubset updates the hosts that this instance uses: subsetSize of them in use, and cold and
+// ejected hosts besides. A host stays while it serves, as this instance has samples of it; one at a
+// time is replaced by a preferred one, so that new hosts get no rush of traffic. Where most hosts are
+// cold, the subset grows no further than maxColdSharers instances a host allow: otherwise every
+// instance would hold a connection to every host, and all would meet at the few warm hosts.
+func (b *Balancer) updateSubset() {
+	n, size, used, cold := len(b.ring), b.subsetSize(), 0, 0
+	maxHosts := max(size, int(maxColdSharers*float64(n)/b.instances()))
+	for i := len(b.subset) - 1; i >= 0; i-- {
+		if h := b.subset[i]; !h.available() {
+			b.removeFromSubset(i)
 		} else if b.inUse(h) {
 			used++
 		} else if h.cold {
 			cold++
 		}
 	}
-	for k := 0; k < n && (k < reach || used < reach && cold < most); k++ {
-		h := b.prefer[k]
+	for k := 0; k < n && (k < size || used < size && cold < maxHosts); k++ {
+		h := b.preferred[k]
 		inUse := b.inUse(h)
-		if h.drawn || !h.takes() || inUse && used >= reach && b.now < b.redrawAt {
+		if h.inSubset || !h.available() || inUse && used >= size && b.now < b.subsetMoveAt {
 			continue
 		}
-		if inUse && used >= reach {
-			b.redrawAt = b.now + Time(redrawShare*float64(b.set.WarmAfter))
+		if inUse && used >= size {
+			b.subsetMoveAt = b.now + Time(subsetMoveShare*float64(b.settings.WarmAfter))
 		}
 		if inUse {
 			used++
 		} else if h.cold {
 			cold++
 		}
-		h.drawn = true
-		b.drawn = append(b.drawn, h)
+		h.inSubset = true
+		b.subset = append(b.subset, h)
 	}
-	for ; used > reach; used-- {
-		far, most := 0, -1
-		for i, h := range b.drawn {
-			if h.slot > most && b.inUse(h) {
-				far, most = i, h.slot
+	for ; used > size; used-- {
+		farthest, maxIndex := 0, -1
+		for i, h := range b.subset {
+			if h.preferIndex > maxIndex && b.inUse(h) {
+				farthest, maxIndex = i, h.preferIndex
 			}
 		}
-		b.undraw(far)
+		b.removeFromSubset(farthest)
 	}
-	b.used = used
-	b.even()
+	b.activeHosts = used
+	b.rebalance()
 }
 
-// takes says whether a host may be sent anything new: it is listed as ready, and no
-// operator has taken it out.
-func (h *host) takes() bool { return h.State == Ready && !h.banned }
+// available reports whether a host may get new requests: it is listed as ready and not in maintenance.
+func (h *host) available() bool { return h.State == Ready && !h.inMaintenance }
 
-// inUse says whether a drawn host counts: one that is cold or out does not.
+// inUse reports whether a host of the subset counts toward its size: neither cold nor ejected.
 func (b *Balancer) inUse(h *host) bool { return !h.cold && !b.ejected(h) }
 
-// undraw gives up a host and the connections to it, as its table may be short.
-func (b *Balancer) undraw(i int) {
-	h := b.drawn[i]
-	h.drawn = false
-	b.drawn = append(b.drawn[:i], b.drawn[i+1:]...)
-	b.act(Action{Kind: Close, Host: h.ID})
+// removeFromSubset stops using a host and closes the connections to it, as its connection table may be
+// small.
+func (b *Balancer) removeFromSubset(i int) {
+	h := b.subset[i]
+	h.inSubset = false
+	b.subset = append(b.subset[:i], b.subset[i+1:]...)
+	b.emit(Action{Kind: Close, Host: h.ID})
 }
--- a/aperture_test.go
+++ b/aperture_test.go
@@ -26,7 +26,7 @@
 				set.Instances, set.Rank = instances, rank
 				g := start(t, set, list...)
 				g.request(0, time.Second)
-				for _, h := range g.b.drawn {
+				for _, h := range g.b.subset {
 					sharers[h.ID]++
 					sum++
 				}
--- a/asking.go
+++ b/asking.go
@@ -1,62 +1,71 @@
 package lynxspool
 
-// When discovery is asked for the list: a bank that starts, or loses discovery, together
-// must not swamp it with calls, and yet hear of each change by the clock of notifications.
+// When to call discovery for the host list: a fleet that starts, or loses discovery, at once must
+// not overload it with calls, but each instance must get changes before they count as notified.
 
 const (
-	// NotifiedAfter counts from when discovery had a change and could be reached: it is notified then.
-	NotifiedAfter   = Time(6e9)
-	SilentAfter     = NotifiedAfter / 2 // a call, or a watch (a line is due every 2 s), failed
-	MaxWatchBackoff = NotifiedAfter / 2 // longest wait for the next call, for any MaxWatchGap
+	// NotifiedAfter is the time after which a change counts as notified, from when discovery has
+	// it and can be reached.
+	NotifiedAfter = Time(6e9)
+	// SilentAfter is the silence after which a call or a watch has failed. A watch has a line
+	// every 2 s.
+	SilentAfter = NotifiedAfter / 2
+	// MaxWatchBackoff is the longest wait for the next call, whatever Instances and MaxWatchGap are.
+	MaxWatchBackoff = NotifiedAfter / 2
 
-	resumeMost  = Time(500e6) // all of a fleet whose watches ended ask anew within it: its clock is 2 s
-	resumeLeast = Time(500e6) // ... unless the watch was open for less: it may end each time
+	// A fleet whose watches ended calls again within maxResumeSpread: such a change counts as
+	// notified after 2 s. A watch that was open for less than minResumeWatch does not resume in
+	// this way, as it may end each time.
+	maxResumeSpread = Time(500e6)
+	minResumeWatch  = Time(500e6)
 
-	firstGap   = Time(6e6)   // between the first calls of two ranks: a bank of 300 is done in 1.8 s
-	firstMost  = 0.25        // ... but all of them come within this share of MaxWatchGap
-	askGap     = Time(10e6)  // between two calls of the whole bank while discovery fails: 100 a second
-	askUnheard = Time(500e6) // ... and at least between two of one instance while nobody is at the address
-	askLeast   = 1.0 / 16    // time between two calls of one instance, in MaxWatchGaps: the first,
-	askSteady  = 0.25        // ... and after that, growing by doublings, for a small bank
+	firstCallGap       = Time(6e6)   // between the first calls of two ranks: 1.8 s for a fleet of 300
+	firstCallShare     = 0.25        // share of MaxWatchGap within which all first calls are made
+	fleetCallGap       = Time(10e6)  // between two calls of the fleet while discovery fails: 100 a second
+	unreachableCallGap = Time(500e6) // least gap of an instance while discovery's address is unreachable
+	minBackoffShare    = 1.0 / 16    // first backoff of an instance of a small fleet, in MaxWatchGaps
+	maxBackoffShare    = 0.25        // backoff that doublings lead to in a small fleet, in MaxWatchGaps
 )
 
-// firstCall is how long after its start an instance asks first; one alone does not wait.
-func firstCall(set *Settings) Time {
-	all := min(firstGap*Time(set.Instances), Time(firstMost*float64(set.MaxWatchGap)))
-	return all * Time(set.Rank) / Time(set.Instances)
+// firstCallDelay is the time from the start of an instance to its first call; a single instance does
+// not wait.
+func firstCallDelay(set *Settings) Time {
+	spread := min(firstCallGap*Time(set.Instances), Time(firstCallShare*float64(set.MaxWatchGap)))
+	return spread * Time(set.Rank) / Time(set.Instances)
 }
 
-// resumeCall is how long after its watch ended an instance asks anew: as soon as a fleet can
-// without calling in one moment. Discovery's queue then holds each once, and the last is told
-// as soon as discovery can serve all, which no other order improves.
-func resumeCall(set *Settings) Time {
-	all := min(firstGap*Time(set.Instances), resumeMost)
-	return all * Time(set.Rank) / Time(set.Instances)
+// resumeDelay is the time from the end of a watch to the next call: as short as it can be without all
+// instances of the fleet calling at the same moment. The queue of discovery then holds each instance
+// once, and the last is notified as soon as discovery can serve all, which no other order improves.
+func resumeDelay(set *Settings) Time {
+	spread := min(firstCallGap*Time(set.Instances), maxResumeSpread)
+	return spread * Time(set.Rank) / Time(set.Instances)
 }
 
-// NextWatchCall is when an instance asks next after its calls have failed so many times in a
-// row: in its rank's slot of a period that gives the whole bank askGap a call. A slot on
-// the clock needs no luck: no two ranks meet, and each asks within one period of the
-// return. The period is at most MaxWatchGap, as a list may not be older unasked, and
-// MaxWatchBackoff.
-// jitter, from 0 to 1, is the place in the slot; listed says that there are hosts to send to.
+// NextWatchCall is the time of an instance's next call after its calls have failed the given number of
+// times in a row: in its rank's slot of a period that gives the whole fleet one call per fleetCallGap.
+// With fixed slots no two ranks collide, and each instance calls within one period of the return of
+// discovery. The period is at most MaxWatchBackoff, and at most MaxWatchGap, as a list must not get
+// older without a call. jitter, from 0 to 1, is the position in the slot; listed says that there are
+// hosts to send to.
 func NextWatchCall(set *Settings, now Time, fails int, listed bool, jitter float64) Time {
-	within, n := set.MaxWatchGap, Time(set.Instances)
-	least := Time(min(askLeast*float64(int(1)<<min(fails, 3)), askSteady) * float64(within))
-	least = min(least, MaxWatchBackoff*n/(n+1)) // a wait may be longer than a period by a slot
-	period := min(max(askGap*n, least), within, MaxWatchBackoff)
+	maxGap, n := set.MaxWatchGap, Time(set.Instances)
+	backoff := Time(min(minBackoffShare*float64(int(1)<<min(fails, 3)), maxBackoffShare) * float64(maxGap))
+	backoff = min(backoff, MaxWatchBackoff*n/(n+1)) // a wait may exceed a period by a slot
+	period := min(max(fleetCallGap*n, backoff), maxGap, MaxWatchBackoff)
 	gap := period / 2
-	if listed { // two calls fit into the clock of notifications: just the last call's slot is passed over
+	if listed { // two calls fit into NotifiedAfter: only the slot of the last call is skipped
 		gap = period / max(n, 2)
 	}
-	if fails == 0 { // nothing was asked just now
-		gap = least / 2
+	if fails == 0 { // the last call did not fail
+		gap = backoff / 2
 	}
-	return slotAfter(set, now, gap, period, jitter)
+	return nextSlot(set, now, gap, period, jitter)
 }
 
-// slotAfter is the slot of an instance's rank in a period of the whole bank, gap from now at least.
-func slotAfter(set *Settings, now, gap, period Time, jitter float64) Time {
+// nextSlot is the next time in the slot of an instance's rank, in a period of the whole fleet, that is
+// at least gap after now.
+func nextSlot(set *Settings, now, gap, period Time, jitter float64) Time {
 	next := now - now%period + Time((float64(set.Rank)+jitter)/float64(set.Instances)*float64(period))
 	for next < now+gap {
 		next += period
@@ -64,58 +73,60 @@
 	return next
 }
 
-// askUnheardAgain is when an instance asks next that found nobody at discovery's address. Such calls
-// cost nobody a turn, and discovery may be back for a moment only: whatever it has then counts as notified
-// NotifiedAfter later. So only askGap between the calls of the whole bank is kept.
-func askUnheardAgain(set *Settings, now Time, jitter float64) Time {
-	period := min(max(askGap*Time(set.Instances), askUnheard), set.MaxWatchGap, MaxWatchBackoff)
-	return slotAfter(set, now, period/2, period, jitter)
+// nextUnreachableCall is the time of the next call of an instance that could not connect to
+// discovery's address. Such calls take no turn from others, and discovery may be back only for a
+// moment: changes that it has then count as notified NotifiedAfter later. So only fleetCallGap between
+// the calls of the whole fleet, and unreachableCallGap between those of one instance, are kept.
+func nextUnreachableCall(set *Settings, now Time, jitter float64) Time {
+	period := min(max(fleetCallGap*Time(set.Instances), unreachableCallGap), set.MaxWatchGap, MaxWatchBackoff)
+	return nextSlot(set, now, period/2, period, jitter)
 }
 
-// watchIn asks discovery for changes after d.
-func (b *Balancer) watchIn(d Time) {
+// scheduleWatch calls discovery after the delay d.
+func (b *Balancer) scheduleWatch(d Time) {
 	b.watchAt = b.now + d
 	b.wake(b.watchAt, tokenWatch<<tokenShift)
 }
 
-// lostList asks again, at once after a watch that ended and else in this rank's slot; the old
-// list stands.
-func (b *Balancer) lostList(kind ListKind) {
-	if b.set.WatchHosts {
-		b.unfollowed(kind)
+// handleListLoss schedules a new call: soon after a watch that ended in order, and else in this rank's
+// slot. The last list stays in use.
+func (b *Balancer) handleListLoss(kind ListKind) {
+	if b.settings.WatchHosts {
+		b.scheduleHold(kind)
 	}
 	if kind == ListSilent || kind == ListMoved {
-		return // the gateway has asked anew
+		return // the gateway has called again by itself
 	}
-	resumes := kind == ListEnded && b.watching && b.now-b.watchedAt >= resumeLeast
+	resumes := kind == ListEnded && b.watching && b.now-b.watchingSince >= minResumeWatch
 	if b.watching || b.watchFails == 0 {
 		b.log(logLost, "host list lost, asking again")
 	}
 	fails := max(b.watchFails, 1)
 	if b.watching {
-		fails = 0 // a watch broke; else a call failed, and the bank keeps to askGap
+		fails = 0 // a watch broke; after a failed call the fleet keeps to fleetCallGap
 	}
 	b.watching = false
-	if b.set.WatchHosts {
+	if b.settings.WatchHosts {
 		b.watchFails++
 		if resumes {
-			b.watchIn(resumeCall(&b.set))
+			b.scheduleWatch(resumeDelay(&b.settings))
 			return
 		}
-		next := NextWatchCall(&b.set, b.now, fails, len(b.hosts) > 0, b.float())
+		next := NextWatchCall(&b.settings, b.now, fails, len(b.hosts) > 0, b.randFloat())
 		if kind == ListUnreachable {
-			next = min(next, askUnheardAgain(&b.set, b.now, b.float()))
+			next = min(next, nextUnreachableCall(&b.settings, b.now, b.randFloat()))
 		}
-		b.watchIn(next - b.now)
+		b.scheduleWatch(next - b.now)
 	}
 }
 
-func (b *Balancer) foundList() {
+// handleListReceived notes that a watch is open and the list current.
+func (b *Balancer) handleListReceived() {
 	if b.watchFails > 0 {
 		b.log(logFound, "host list regained")
 	}
 	if !b.watching {
-		b.watchedAt = b.now
+		b.watchingSince = b.now
 	}
 	b.watching, b.watchFails, b.holdFrom = true, 0, 0
 }
--- a/asking_test.go
+++ b/asking_test.go
@@ -68,13 +68,13 @@
 			for rank := range n {
 				set.Rank = rank
 				rng := &Balancer{rng: uint64(rank)}
-				now, fails := firstCall(&set), 1
+				now, fails := firstCallDelay(&set), 1
 				for now < span {
-					next := NextWatchCall(&set, now, fails, true, rng.float())
+					next := NextWatchCall(&set, now, fails, true, rng.randFloat())
 					if wait := next - now; wait <= 0 || wait > MaxWatchBackoff+MaxWatchBackoff/Time(n) {
 						t.Fatalf("%d instances, %v unasked: rank %d waits %v after %d fails", n, within, rank, wait, fails)
 					}
-					if broken := NextWatchCall(&set, now, 0, true, rng.float()) - now; broken > MaxWatchBackoff+MaxWatchBackoff/Time(n)+within/32 {
+					if broken := NextWatchCall(&set, now, 0, true, rng.randFloat()) - now; broken > MaxWatchBackoff+MaxWatchBackoff/Time(n)+within/32 {
 						t.Fatalf("%d instances, %v unasked: rank %d waits %v after its watch broke", n, within, rank, broken)
 					}
 					now, fails, calls = next, fails+1, calls+1
--- a/balancer.go
+++ b/balancer.go
@@ -1,147 +1,149 @@
 package lynxspool
 
-// The decisions of the balancer, but for which hosts it draws from (aperture.go), how
-// cold hosts are paced (cold.go), when discovery is asked (asking.go) and until when a list
-// that it no longer tells of may be used (notified.go). The types it speaks in are in api.go.
+// The decisions of the balancer. The exported types are in api.go, the state in state.go. Which
+// hosts an instance uses is decided in aperture.go, how cold hosts are paced in cold.go, when to
+// call discovery in asking.go, how long an outdated host list may be used in notified.go.
 //
-// Reading order: the constants; New (what a Balancer keeps is in state.go); one method
-// per event, from Start to Timer; then what they call: place and pick (the ordinary
-// path), load to sample (the score), allows to atLimit (who is ready), observe, adjust
-// and press (what is learnt), settle to end (what follows an attempt), enqueue to serve
-// (waiting), listen (silence), and last discovery.
+// Reading order: the constants; New; one method per event, from Start to Timer; then what they
+// call: dispatch and pick (the ordinary path), score to addSample (the RTT estimate), allows to
+// atLimit (which hosts are ready), observe, adjustLimit and adjustRate (feedback), afterAttempt
+// to answerUnserved (retries and answers), enqueue to serveQueue, and checkSilence.
 //
 // The ordinary path is failure-aware peak EWMA with two choices: of two random
 // ready hosts the one with the lower estimate x (own pending + 1) gets the
-// request. Departures from it decide who is ready, and each says when it acts.
+// request. Departures from it decide which hosts are ready, and each says when it acts.
 
 import (
 	"math"
 	"sort"
 )
 
-// The constants, each relative to settings or to what is measured.
+// Constants named Targets are in multiples of the shortest latency target of all classes, unless
+// the comment names another. "Class targets" are latency targets of the request's class.
 const (
-	decayAims   = 8         // the estimate's decay, in shortest aims: it outlasts a gap between samples
-	decayGaps   = 4         // ... or in gaps between two samples of a host, if that is more
-	decayMost   = 8         // ... but this many times the former at most
-	kindsMost   = 255       // kinds told apart
-	seedShare   = 0.25      // RTT of an unknown host, in shortest aims: it must not look free
-	penaltyAims = 1         // base penalty of an error or refusal, in longest aims: above ordinary answers
-	meanWeight  = 0.1       // weight of a sample in a mean: about the last ten count
-	longWeight  = 1.0 / 256 // weight of a sample in what is usual: a jam must not become usual
-	backoffAims = 2         // first ejection, in shortest aims
-	backoffMax  = 5         // doublings of an ejection at most
-	patience    = 4         // deviations above the mean RTT after which an unheard host counts as silent
-	backAfter   = 3         // seconds until a host that was called back is tried at the latest
-	rateFalls   = 4         // span of a host's rate of answers, in OverloadWindows
-	limitStart  = 4         // attempts a new host may hold from the whole bank
-	limitAims   = 0.375     // mean RTT that the in-flight limit of a host steers to, in aims
-	limitTimes  = 2         // ... or in times what is usual for the class, if that is less
-	aloneTimes  = 1.25      // ... or in times what an attempt alone at its host takes, if that is more
-	limitMost   = 0.5       // ... but this many aims at most
-	recentAims  = 0.5       // span of a host's recent mean RTT, in shortest aims: faster than hosts tip
-	recentMost  = 0.5       // weight of one answer in that mean at most: one may be odd
-	limitLeast  = 2         // ... and is never kept from holding: one runs while the next arrives
-	growth      = 0.3       // attempts that the bank adds at a host in a round while requests wait
-	overdueAims = 0.5       // age of an attempt, in aims, from which its host gets no other
-	pressAims   = 0.45      // RTT that the rate of sends steers to, in aims of the class: half is for spread
-	pressTimes  = 1.5       // ... or in times what is usual for the class, if that is less
-	pressMost   = 3         // RTT that one answer counts as at most, in times the target: it may be odd
-	pressWeight = 1.0 / 8   // weight of an answer in that mean: few samples must do
-	boundShare  = 8         // instances at a host from which the bound acts: each has part of an attempt
-	boundDecays = 2         // time in which the bound on the rate grows by e, in decays
-	boundBurst  = 4         // sends that may be saved up under the bound
-	quotaBurst  = 1.0       // seconds of its quota a tenant may save up
-	repeatWorth = 0.5       // worth of a client's repeat while others wait, as a share: it may come late
-	waitShare   = 0.2       // of its aim that a request waits for a host at most
-	sweepShare  = 1.0 / 16  // time between looks at waiting requests and silent hosts, in shortest aims
-	answerSteps = 2         // steps ahead of its deadline that a request is answered at the latest
+	decayTargets      = 8         // decay time of an RTT estimate: it outlasts a gap between samples
+	decayGaps         = 4         // decay time in gaps between samples of a host, where that is longer
+	decayMaxFactor    = 8         // longest decay time by decayGaps, in times that by decayTargets
+	maxKinds          = 255       // highest kind of host with an RTT mean of its own
+	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
+	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
+	meanWeight        = 0.1       // weight of a sample in a mean: about the last ten count
+	longTermWeight    = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
+	backoffTargets    = 2         // first ejection
+	backoffDoublings  = 5         // most doublings of an ejection
+	silenceDeviations = 4         // deviations above the mean RTT after which a host counts as silent
+	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
+	rateSpanWindows   = 4         // time constant of the event rates, in OverloadWindows
+	initialLimit      = 4         // in-flight attempts that the whole fleet may have at a new host
+	limitTargets      = 0.375     // RTT goal of a host's in-flight limit, in class targets
+	limitFactor       = 2         // RTT goal of the limit in mean RTTs of the class, where lower
+	aloneFactor       = 1.25      // RTT goal of the limit in RTTs of lone attempts, where higher
+	maxLimitTargets   = 0.5       // highest RTT goal of the limit, in class targets
+	recentTargets     = 0.5       // time constant of a host's mean RTT: hosts collapse more slowly
+	maxRecentWeight   = 0.5       // highest weight of an answer in that mean: it may be an outlier
+	minLimit          = 2         // least in-flight limit of the fleet: one runs, the next arrives
+	limitGrowth       = 0.3       // attempts that the fleet adds at a host a round while requests wait
+	overdueTargets    = 0.5       // age of an attempt, in class targets, that blocks its host
+	rateTargets       = 0.45      // RTT goal of the send rate, in class targets: half is for variation
+	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, where lower
+	maxRateRatio      = 3         // most that an answer counts, in RTT goals: it may be an outlier
+	rateRatioWeight   = 1.0 / 8   // weight of an answer in the mean RTT ratio, which has few samples
+	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has part of an attempt
+	rateGrowthDecays  = 2         // time in which the rate limit grows by e, in decay times
+	rateBurst         = 4         // sends that may be saved up under the rate limit
+	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
+	retryFactor       = 0.5       // priority factor of a client's retry: it may be answered too late
+	queueShare        = 0.2       // longest wait in a queue, in class targets
+	sweepShare        = 1.0 / 16  // time between sweeps of queues and hosts, in shortest targets
+	answerIntervals   = 2         // least EventIntervals from an answer for want of time to the deadline
 )
 
+// Kinds of timer token.
 const (
-	tokenSweep = iota + 1 // look at queue and hosts
-	tokenWatch            // ask discovery
-	tokenAnswer
+	tokenSweep    = iota + 1 // check queues and hosts
+	tokenWatch               // call discovery
+	tokenDeadline            // answer a request that nears its deadline
 )
 
-const tokenShift = 56 // a token is its kind above the request ID
+const tokenShift = 56 // a token holds its kind above the bits of a request ID
 
-// New returns a Balancer for the settings, or an error if they cannot be served.
+// New returns a Balancer for the settings, or an error if they are invalid.
 func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := check(&set); err != nil {
+	if err := checkSettings(&set); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		rng: seed, byID: map[HostID]*host{}, reqs: map[RequestID]*request{}, banned: map[HostID]bool{},
-		back: map[HostID]Time{},
+		rng: seed, byID: map[HostID]*host{}, requests: map[RequestID]*request{},
+		inMaintenance: map[HostID]bool{}, returnedAt: map[HostID]Time{},
 	}
-	b.adopt(set)
+	b.applySettings(set)
 	return b, nil
 }
 
-// layBands orders the waiting lines: each class has one within quota and one
-// beyond it, and the same again for repeats. The line worth most is served first;
-// of equal worth, the one with the tighter aim.
-func (b *Balancer) layBands() {
-	type line struct {
-		class *class
-		part  int
-		worth float64
+// orderQueues lays out the queues by priority: each class has one for requests within quota and one
+// for those beyond it, and two more for client retries. Of equal priorities, the class with the
+// shorter latency target is served first.
+func (b *Balancer) orderQueues() {
+	type queueKey struct {
+		class    *class
+		flags    int
+		priority float64
 	}
-	var lines []line
+	var keys []queueKey
 	for _, c := range b.classes {
-		for part := range len(c.bands) {
-			lines = append(lines, line{c, part, partWorth(&c.Class, part, &b.set)})
+		for flags := range len(c.queues) {
+			keys = append(keys, queueKey{c, flags, queuePriority(&c.Class, flags, &b.settings)})
 		}
 	}
-	sort.SliceStable(lines, func(i, j int) bool {
-		if lines[i].worth != lines[j].worth {
-			return lines[i].worth > lines[j].worth
+	sort.SliceStable(keys, func(i, j int) bool {
+		if keys[i].priority != keys[j].priority {
+			return keys[i].priority > keys[j].priority
 		}
-		return lines[i].class.LatencyTarget < lines[j].class.LatencyTarget
+		return keys[i].class.LatencyTarget < keys[j].class.LatencyTarget
 	})
-	b.bands, b.worths = make([]list[request], len(lines)), b.worths[:0]
-	for k, l := range lines {
-		l.class.bands[l.part] = k
-		b.worths = append(b.worths, l.worth)
+	b.queues, b.priorities = make([]list[request], len(keys)), b.priorities[:0]
+	for k, key := range keys {
+		key.class.queues[key.flags] = k
+		b.priorities = append(b.priorities, key.priority)
 	}
 }
 
-// partWorth is what a request of a part of its class is worth.
-func partWorth(c *Class, part int, set *Settings) float64 {
-	worth := c.PriorityWeight
-	if part&overQuota != 0 {
-		worth *= set.OverQuotaFactor
+// queuePriority is the priority of the requests of a class with the given queue flags.
+func queuePriority(c *Class, flags int, set *Settings) float64 {
+	priority := c.PriorityWeight
+	if flags&overQuota != 0 {
+		priority *= set.OverQuotaFactor
 	}
-	if part&repeated != 0 {
-		worth *= repeatWorth
+	if flags&clientRetry != 0 {
+		priority *= retryFactor
 	}
-	return worth
+	return priority
 }
 
-// lineOf is the first line that is worth no more, or the last.
-func (b *Balancer) lineOf(worth float64) int {
-	return min(sort.Search(len(b.worths), func(i int) bool { return b.worths[i] <= worth }), len(b.worths)-1)
+// queueFor returns the first queue whose priority is not higher, or the last queue.
+func (b *Balancer) queueFor(priority float64) int {
+	return min(sort.Search(len(b.priorities), func(i int) bool { return b.priorities[i] <= priority }),
+		len(b.priorities)-1)
 }
 
-// Start is the first event: the gateway has come up. Where the list must be
-// asked for, the watch begins here.
+// Start is the first event: the gateway is running. It schedules the first call to discovery where the
+// host list has to be watched.
 func (b *Balancer) Start(now Time) {
 	b.now = now
-	if b.set.WatchHosts {
-		b.watchIn(firstCall(&b.set))
+	if b.settings.WatchHosts {
+		b.scheduleWatch(firstCallDelay(&b.settings))
 	}
 }
 
-// UpdateHosts is news of the host list.
+// UpdateHosts applies a host list, or the loss of the watch on it.
 func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
 	b.now = now
 	if kind.IsLoss() {
-		b.lostList(kind)
+		b.handleListLoss(kind)
 		return
 	}
 	if kind != ListSaved {
-		b.foundList()
+		b.handleListReceived()
 	}
 	if kind != ListChanges {
 		for _, h := range b.hosts {
@@ -149,281 +151,282 @@
 		}
 	}
 	for _, e := range list {
-		b.learn(e)
+		b.applyEntry(e)
 	}
 	for i := len(b.hosts) - 1; i >= 0; i-- {
-		b.forget(b.hosts[i])
+		b.dropIfRemoved(b.hosts[i])
 	}
-	b.layRing()
+	b.buildRing()
 	for _, h := range b.hosts {
 		if h.limit == 0 { // it is new
-			h.limit = limitStart / b.sharers()
+			h.limit = initialLimit / b.sharers()
 		}
 	}
-	b.pump()
+	b.processQueues()
 }
 
-// SetMaintenance takes a host out of use, or calls it back. It is keyed by ID alone: what the
-// list says of the host meanwhile changes nothing. A host that is called back may be
-// another process on another machine; what was learnt of it is void, and it is cold.
-func (b *Balancer) SetMaintenance(now Time, id HostID, out bool) {
+// SetMaintenance puts a host into maintenance or ends it. It is keyed by ID alone and holds whatever
+// the host list says meanwhile. A host back from maintenance may be another process on another
+// machine: its statistics are reset, and it is cold.
+func (b *Balancer) SetMaintenance(now Time, id HostID, on bool) {
 	b.now = now
-	was := b.banned[id]
+	was := b.inMaintenance[id]
 	h := b.byID[id]
-	if out {
-		b.banned[id] = true
-		delete(b.back, id)
+	if on {
+		b.inMaintenance[id] = true
+		delete(b.returnedAt, id)
 	} else {
-		delete(b.banned, id)
+		delete(b.inMaintenance, id)
 	}
-	if was == out {
+	if was == on {
 		return
 	}
-	if !out {
-		b.back[id] = now // it may be listed again only later
+	if !on {
+		b.returnedAt[id] = now // the host may be listed again later
 	}
 	if h == nil {
 		return
 	}
-	h.banned = out
-	if !out {
-		b.renew(h)
-		b.chill(h, now)
-		// Called back it is wanted back, however little is learnt of what it can take.
-		h.coldBy = now + Time(1e9*backAfter*(0.5+b.float()/2))
+	h.inMaintenance = on
+	if !on {
+		b.resetHost(h)
+		b.markCold(h, now)
+		// The operator wants it in use, however little is known of its capacity.
+		h.coldDeadline = now + Time(1e9*returnSeconds*(0.5+b.randFloat()/2))
 	}
-	b.pump()
+	b.processQueues()
 }
 
-// MaintenanceEnded tells of a call back that this instance has not seen itself, as another served
-// then: the host is cold as of it, listed yet or not.
+// MaintenanceEnded reports an end of maintenance that another process of this instance saw: the host,
+// listed or not yet, is cold as of that time.
 func (b *Balancer) MaintenanceEnded(now Time, id HostID, since Time) {
 	b.now = now
-	b.back[id] = since
+	b.returnedAt[id] = since
 	if h := b.byID[id]; h != nil {
-		b.chill(h, since)
+		b.markCold(h, since)
 	}
 }
 
-// decayNow is the decay of the estimates. Where traffic is thin it follows the gap
-// between two samples of a host, or every estimate would fade before the next.
-func (b *Balancer) decayNow(h *host) float64 {
-	rate := b.rate.now(b.now, b.rateSpan())
+// effectiveDecay is the decay time of the RTT estimates in seconds. With little traffic it follows the
+// gap between two samples of a host, or every estimate would fade before the next sample.
+func (b *Balancer) effectiveDecay(h *host) float64 {
+	rate := b.arrivals.value(b.now, b.rateSpan())
 	if rate == 0 {
 		return b.decay
 	}
-	gap := float64(b.reach()) / rate
+	gap := float64(b.subsetSize()) / rate
 	if b.peers != nil {
-		gap = 1 / (rate * b.weight(h)) // what is sampled seldom must not look fast for that
+		gap = 1 / (rate * b.trafficShare(h)) // a host that is seldom sampled must not look fast
 	}
-	return max(b.decay, min(decayGaps*gap, decayMost*b.decay))
+	return max(b.decay, min(decayGaps*gap, decayMaxFactor*b.decay))
 }
 
-// learn takes over one entry of the list.
-func (b *Balancer) learn(e Host) {
-	h := b.byID[e.ID]
+// applyEntry applies one entry of the host list.
+func (b *Balancer) applyEntry(entry Host) {
+	h := b.byID[entry.ID]
 	if h == nil {
-		if e.State == Removed {
+		if entry.State == Removed {
 			return
 		}
-		h = &host{heard: b.now, rttAt: b.now, banned: b.banned[e.ID]}
-		h.mark = mix(uint64(e.ID))
-		b.byID[e.ID] = h
+		h = &host{answeredAt: b.now, rttAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
+		h.hash = mix(uint64(entry.ID))
+		b.byID[entry.ID] = h
 		b.hosts = append(b.hosts, h)
 	}
 	started := h.Started
-	h.Host = e
-	if since, ok := b.back[e.ID]; ok && h.coldAt < since {
-		b.chill(h, since)
+	h.Host = entry
+	if since, ok := b.returnedAt[entry.ID]; ok && h.coldSince < since {
+		b.markCold(h, since)
 	}
-	if e.Started > 0 && e.Started != started {
-		b.chill(h, e.Started)
+	if entry.Started > 0 && entry.Started != started {
+		b.markCold(h, entry.Started)
 	}
 }
 
-// Request is a client's request, owed one final answer from here on.
+// Request is a new client request, which gets exactly one final answer.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
-	if b.reqs[q.ID] != nil || q.Class < 0 || q.Class >= len(b.classes) {
+	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.classes) {
 		return
 	}
 	r := b.newRequest()
-	r.Request, r.class, r.attempts = q, b.classes[q.Class], b.set.MaxAttempts
+	r.Request, r.class, r.maxAttempts = q, b.classes[q.Class], b.settings.MaxAttempts
 	r.arrived = now - max(q.Age, 0)
 	r.deadline = now + min(max(q.Remaining, 0), r.class.Deadline)
-	r.part = b.part(r)
-	r.band = r.class.bands[r.part]
-	b.reqs[q.ID] = r
-	b.rate.add(now, b.rateSpan())
-	b.long.add(now, ratesSpan)
+	r.flags = b.queueFlags(r)
+	r.queueIndex = r.class.queues[r.flags]
+	b.requests[q.ID] = r
+	b.arrivals.add(now, b.rateSpan())
+	b.longArrivals.add(now, peerRateSpan)
 	if q.Upload {
-		r.deadline = now + maxTime // it has none until it is whole
-	} else if b.due(r); r.done {
+		r.deadline = now + maxTime // the deadline starts when the upload is complete
+	} else if b.setDeadlineTimer(r); r.done {
 		return
 	}
-	b.place(r, false)
+	b.dispatch(r, false)
 }
 
-// due sets the timer that every request has ahead of its deadline: an attempt that is
-// still connecting then ends only later, too late to answer on its outcome. One that
-// came too late to be sent is answered.
-func (b *Balancer) due(r *request) {
-	b.wake(max(b.now, r.deadline-answerSteps*b.set.EventInterval), tokenAnswer<<tokenShift|uint64(r.ID))
-	if b.now+answerSteps*b.set.EventInterval >= r.deadline {
-		b.answer(r)
+// setDeadlineTimer sets the timer that every request has ahead of its deadline: the outcome of an
+// attempt that is still connecting then would come too late to answer on. A request that arrived too
+// late to be sent is answered at once.
+func (b *Balancer) setDeadlineTimer(r *request) {
+	b.wake(max(b.now, r.deadline-answerIntervals*b.settings.EventInterval),
+		tokenDeadline<<tokenShift|uint64(r.ID))
+	if b.now+answerIntervals*b.settings.EventInterval >= r.deadline {
+		b.answerUnserved(r)
 	}
 }
 
-// UploadComplete says that the last byte of a request that was sent as it came is with the host.
-// Its time begins here, and so does what its host is judged by.
+// UploadComplete reports that the last byte of a request that was forwarded while it arrived is with
+// the host. Its deadline and the measured time of its attempt start here.
 func (b *Balancer) UploadComplete(now Time, id RequestID, left Time) {
 	b.now = now
-	r := b.reqs[id]
+	r := b.requests[id]
 	if r == nil || r.done || !r.Upload {
 		return
 	}
 	r.Upload, r.arrived = false, now
 	r.deadline = now + min(max(left, 0), r.class.Deadline)
-	for _, a := range r.atts {
+	for _, a := range r.attempts {
 		if !a.ended {
 			a.sent = now
-			b.fly(a)
+			b.addPending(a)
 		}
 	}
-	b.due(r)
-	b.sweepSoon()
+	b.setDeadlineTimer(r)
+	b.scheduleSweep()
 }
 
-// The parts of a class that wait in lines of their own.
+// Queue flags: each combination has a queue of its own in a class.
 const (
-	overQuota = 1 << iota // beyond the tenant's quota
-	repeated              // the client has asked before
+	overQuota   = 1 << iota // beyond the tenant's quota
+	clientRetry             // the client marked the request as a retry
 )
 
-// part says which part of its class a request belongs to.
-func (b *Balancer) part(r *request) (part int) {
-	if r.Tenant >= 0 && r.Tenant < len(b.quota) && !b.quota[r.Tenant].take(b.now) {
-		part |= overQuota
+// queueFlags returns the queue flags of a request and charges the quota of its tenant.
+func (b *Balancer) queueFlags(r *request) (flags int) {
+	if r.Tenant >= 0 && r.Tenant < len(b.quotas) && !b.quotas[r.Tenant].take(b.now) {
+		flags |= overQuota
 	}
 	if r.ClientRetry {
-		part |= repeated
+		flags |= clientRetry
 	}
-	return part
+	return flags
 }
 
-// ResponseStarted says that a stream has begun: the request belongs to that attempt.
+// ResponseStarted reports that a response is being streamed from attempt n: no other may answer.
 func (b *Balancer) ResponseStarted(now Time, id RequestID, n int) {
 	b.now = now
-	r := b.reqs[id]
-	if r == nil || r.done || n < 0 || n >= len(r.atts) {
+	r := b.requests[id]
+	if r == nil || r.done || n < 0 || n >= len(r.attempts) {
 		return
 	}
-	r.bound = true
-	b.cancelOthers(r, n)
-	// The host has answered; how long the client takes from here on is not its doing.
-	a := r.atts[n]
-	a.host.passed = max(a.host.passed, a.sent)
-	b.land(a)
+	r.streaming = true
+	b.cancelAttempts(r, n)
+	// The host has answered; the rest of the time depends on the client.
+	a := r.attempts[n]
+	a.host.servedSentAt = max(a.host.servedSentAt, a.sent)
+	b.removePending(a)
 	b.readmit(a.host)
 }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt.
 func (b *Balancer) Outcome(now Time, o Outcome) {
 	b.now = now
-	r := b.reqs[o.Request]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.atts) || r.atts[o.Attempt].ended {
+	r := b.requests[o.Request]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
-	a := r.atts[o.Attempt]
+	a := r.attempts[o.Attempt]
 	a.ended, a.result = true, o.Result
-	r.out--
-	a.host.open--
-	b.land(a)
-	r.spent = r.spent || o.NotReplayable
+	r.inFlight--
+	a.host.openAttempts--
+	b.removePending(a)
+	r.notReplayable = r.notReplayable || o.NotReplayable
 	b.observe(a, max(o.Elapsed, 0).Seconds())
-	b.settle(r, a, o.Answered)
-	b.forget(a.host)
-	b.pump()
+	b.afterAttempt(r, a, o.Answered)
+	b.dropIfRemoved(a.host)
+	b.processQueues()
 }
 
-// ClientGone says that nobody waits for the request any more.
+// ClientGone reports that the client no longer waits for the request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
-	if r := b.reqs[id]; r != nil && !r.done {
-		b.end(r)
+	if r := b.requests[id]; r != nil && !r.done {
+		b.finish(r)
 	}
 }
 
-// Timer is a Wake that has come due.
+// Timer reports that the time of a Wake action has come.
 func (b *Balancer) Timer(now Time, token uint64) {
 	b.now = now
 	switch token >> tokenShift {
 	case tokenSweep:
 		if now >= b.sweepAt {
 			b.sweepAt = 0
-			b.listen()
-			b.pump()
+			b.checkSilence()
+			b.processQueues()
 		}
 	case tokenWatch:
 		if now >= b.watchAt && !b.watching {
-			b.act(Action{Kind: Watch})
-			b.watchIn(b.set.MaxWatchGap)
+			b.emit(Action{Kind: Watch})
+			b.scheduleWatch(b.settings.MaxWatchGap)
 		}
-	case tokenAnswer:
-		if r := b.reqs[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.bound {
-			b.answer(r)
+	case tokenDeadline:
+		if r := b.requests[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.streaming {
+			b.answerUnserved(r)
 		}
 	}
 }
 
-// place sends the request if a host is ready for it and else lets it wait. It
-// does not overtake what waits already.
-func (b *Balancer) place(r *request, again bool) {
+// dispatch sends the request if a host is ready for it and else queues it. It does not overtake queued
+// requests.
+func (b *Balancer) dispatch(r *request, retry bool) {
 	if b.queued == 0 {
 		if h := b.pick(r); h != nil {
 			b.send(r, h)
 			return
 		}
 	}
-	b.enqueue(r, again)
-	b.pump()
+	b.enqueue(r, retry)
+	b.processQueues()
 }
 
-// pick is the ordinary path: of two random ready hosts, the less loaded.
+// pick is the ordinary path: it takes the less loaded of two random ready hosts.
 func (b *Balancer) pick(r *request) *host {
 	if !b.admit(r) {
 		return nil
 	}
-	if b.held() {
+	if b.holding() {
 		b.log(logHold, "sending nothing: discovery does not say who drains")
 		return nil
 	}
-	b.redraw()
-	from := b.drawn
-	if r.class.Effect == Deduplicated && r.first() != nil {
-		from = b.ring // its group may lie outside
+	b.updateSubset()
+	candidates := b.subset
+	if r.class.Effect == Deduplicated && r.firstMayHaveRun() != nil {
+		candidates = b.ring // its DedupScope may lie outside the subset
 	}
-	listed, out := 0, 0
+	eligible, ejected := 0, 0
 	b.ready = b.ready[:0]
-	for _, h := range from {
-		if !h.takes() || !b.allows(r, h) {
+	for _, h := range candidates {
+		if !h.available() || !b.allows(r, h) {
 			continue
 		}
-		listed++
+		eligible++
 		switch {
 		case b.ejected(h):
-			out++
-		case b.coldHold(h) || b.atLimit(h):
+			ejected++
+		case b.coldLimited(h) || b.atLimit(h):
 		default:
 			b.ready = append(b.ready, h)
 		}
 	}
-	// Fail open: when most hosts are out, the fault is more likely the path or
-	// the load than every host, and the few left must not take it all.
-	if out*2 > listed {
-		b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", out, listed)
-		for _, h := range from {
-			if h.takes() && b.allows(r, h) && b.ejected(h) && !b.coldHold(h) && !b.atLimit(h) {
+	// Fail open: when most hosts are ejected, the fault is more likely in the network or
+	// the load than in every host, and the few others must not get all requests.
+	if ejected*2 > eligible {
+		b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", ejected, eligible)
+		for _, h := range candidates {
+			if h.available() && b.allows(r, h) && b.ejected(h) && !b.coldLimited(h) && !b.atLimit(h) {
 				b.ready = append(b.ready, h)
 			}
 		}
@@ -435,62 +438,60 @@
 	if n == 1 {
 		return b.ready[0]
 	}
-	i, j := b.two()
-	if b.load(b.ready[j]) < b.load(b.ready[i]) {
+	i, j := b.pickTwo()
+	if b.score(b.ready[j]) < b.score(b.ready[i]) {
 		i = j
 	}
 	return b.ready[i]
 }
 
-// load is the score of a host: its estimate now x (own pending + 1).
-func (b *Balancer) load(h *host) float64 { return b.estimate(h) * float64(h.pending+1) }
+// score is the load of a host for the comparison of two: estimate x (own pending + 1).
+func (b *Balancer) score(h *host) float64 { return b.estimate(h) * float64(h.pending+1) }
 
-// estimate reads the RTT decayed toward zero, so that a host that was
-// penalised and then left alone drifts back into use.
+// estimate is the RTT estimate, decayed toward zero so that a host that was penalized and then left
+// idle drifts back into use.
 func (b *Balancer) estimate(h *host) float64 {
 	if !h.sampled {
-		return b.seed(h) * b.fade(h)
+		return b.initialRTT(h) * b.decayWeight(h)
 	}
-	return h.rtt * b.fade(h)
+	return h.rtt * b.decayWeight(h)
 }
 
-// seed is the RTT of a host that has given no sample yet: what others of its kind
-// take, or any others; it must not look free. A restarted instance has a default.
-func (b *Balancer) seed(h *host) float64 {
-	if h.Kind >= 0 && h.Kind < len(b.kinds) && b.kinds[h.Kind].seen {
-		return b.kinds[h.Kind].mean
+// initialRTT is the RTT assumed of a host without samples: the mean of its kind, or of all hosts, so
+// that it does not look idle. An instance without any samples has a default.
+func (b *Balancer) initialRTT(h *host) float64 {
+	if h.Kind >= 0 && h.Kind < len(b.kindRTT) && b.kindRTT[h.Kind].seen {
+		return b.kindRTT[h.Kind].mean
 	}
-	if b.all.seen {
-		return b.all.mean
+	if b.meanRTT.seen {
+		return b.meanRTT.mean
 	}
-	return seedShare * b.aim.Seconds()
+	return initialRTTShare * b.shortestTarget.Seconds()
 }
 
-// typical enters a good answer into what is usual for its class and kind of host, and
-// returns its RTT as one of a typical class: a host that last served a slow class
-// must not look slow for it.
-func (b *Balancer) typical(a *attempt, rtt float64) float64 {
-	a.req.class.lat.addLong(rtt)
-	b.all.add(rtt)
-	rtt *= b.all.mean / a.req.class.lat.mean
-	if k := a.host.Kind; k >= 0 && k <= kindsMost {
-		for len(b.kinds) <= k {
-			b.kinds = append(b.kinds, mean{})
+// normalize adds a good answer to the means of its class and kind of host, and returns its RTT scaled
+// to the mean over all classes: a host that last served a slow class must not look slow.
+func (b *Balancer) normalize(a *attempt, rtt float64) float64 {
+	a.request.class.rtt.addLongTerm(rtt)
+	b.meanRTT.add(rtt)
+	rtt *= b.meanRTT.mean / a.request.class.rtt.mean
+	if k := a.host.Kind; k >= 0 && k <= maxKinds {
+		for len(b.kindRTT) <= k {
+			b.kindRTT = append(b.kindRTT, movingAverage{})
 		}
-		b.kinds[k].add(rtt)
+		b.kindRTT[k].add(rtt)
 	}
 	return rtt
 }
 
-// fade is the weight that a host's estimate has kept since its last sample.
-func (b *Balancer) fade(h *host) float64 {
-	return math.Exp(-(b.now - h.rttAt).Seconds() / b.decayNow(h))
+// decayWeight is the weight that a host's estimate has kept since its last sample.
+func (b *Balancer) decayWeight(h *host) float64 {
+	return math.Exp(-(b.now - h.rttAt).Seconds() / b.effectiveDecay(h))
 }
 
-// sample enters an RTT: above the estimate decayed to now it replaces it, below
-// it is blended in.
-func (b *Balancer) sample(h *host, rtt float64) {
-	w := b.fade(h)
+// addSample adds an RTT sample: above the decayed estimate it replaces it, below it is blended in.
+func (b *Balancer) addSample(h *host, rtt float64) {
+	w := b.decayWeight(h)
 	if old := b.estimate(h); rtt > old {
 		h.rtt = rtt
 	} else {
@@ -499,10 +500,10 @@
 	h.rttAt, h.sampled = b.now, true
 }
 
-// allows says whether the class rules let the request go to the host now: no
-// effect twice, and a repeated key only where and while repeats are dropped.
+// allows reports whether the effect rules let the request go to the host now: nothing runs twice, and
+// a deduplicated request is repeated only where and while repeats are dropped.
 func (b *Balancer) allows(r *request, h *host) bool {
-	first := r.first()
+	first := r.firstMayHaveRun()
 	switch c := r.class; {
 	case !b.repeatable(&c.Class, first):
 		return false
@@ -516,308 +517,308 @@
 	return true
 }
 
-// repeatable says whether a request of the class may be sent (again) somewhere,
-// given its first attempt that may have run: an unsafe one never, a keyed one only
-// while repeats are sure to be dropped.
+// repeatable reports whether a request of the class may be sent (again) somewhere, given its first
+// attempt that may have run: an at-most-once request never, a deduplicated one only while repeats are
+// sure to be dropped.
 func (b *Balancer) repeatable(c *Class, first *attempt) bool {
 	if first == nil || c.Effect == Idempotent {
 		return true
 	}
-	return c.Effect == Deduplicated && b.now <= b.repeatBy(c, first)
+	return c.Effect == Deduplicated && b.now <= b.repeatDeadline(c, first)
 }
 
-// ejected says whether a host that failed is out of the draw: until its back-off
-// ends, and then for all but one trial at a time.
+// ejected reports whether a failed host is excluded: until its backoff ends, and then for all but one
+// trial at a time.
 func (b *Balancer) ejected(h *host) bool {
-	return h.fails > 0 && (b.now < h.ejectUntil || h.trialOut)
+	return h.ejections > 0 && (b.now < h.ejectUntil || h.trialInFlight)
 }
 
-// eject takes a host out of the draw, longer each time in a row.
+// eject excludes a host, for longer with each ejection in a row.
 func (b *Balancer) eject(h *host, why string) {
-	if h.fails > 0 && b.now < h.ejectUntil {
+	if h.ejections > 0 && b.now < h.ejectUntil {
 		return
 	}
-	d := float64(backoffAims*b.aim) * float64(int(1)<<min(h.fails, backoffMax))
-	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.float()))
-	h.fails++
-	if h.fails == 1 {
+	d := float64(backoffTargets*b.shortestTarget) * float64(int(1)<<min(h.ejections, backoffDoublings))
+	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.randFloat()))
+	h.ejections++
+	if h.ejections == 1 {
 		b.log(logEject, "host %x ejected: %s", h.ID, why)
 	}
 }
 
-// atLimit says whether a host holds as much from this instance as it may. A
-// limit below one, on a host whose mean RTT is over the target, means that it is
-// used for that share of the time.
+// atLimit reports whether a host has as many attempts from this instance as it may. A limit below one,
+// at a host whose mean RTT is above the goal, means that it is used for that share of the time.
 func (b *Balancer) atLimit(h *host) bool {
-	oldest, n := h.unpassed()
-	if h.fails > 0 && !b.ejected(h) {
-		// What is out there has ejected it, and a trial shows whether that is merely lost.
+	oldest, n := h.notOvertaken()
+	if h.ejections > 0 && !b.ejected(h) {
+		// Its pending attempts caused the ejection; a trial shows whether only those are lost.
 		oldest, n = nil, 0
 	}
-	return n > 0 && float64(n+1) > h.limit || b.now < h.restUntil || b.overdue(oldest)
+	return n > 0 && float64(n+1) > h.limit || b.now < h.idleUntil || b.overTarget(oldest)
 }
 
-// overdue says whether the oldest attempt that a host has yet to come to has taken
-// longer than the target of the limit already.
-func (b *Balancer) overdue(oldest *attempt) bool {
-	return oldest != nil && float64(b.now-oldest.sent) > overdueAims*float64(oldest.req.class.LatencyTarget)
+// overTarget reports whether the oldest attempt that a host has yet to answer has already taken longer
+// than overdueTargets.
+func (b *Balancer) overTarget(oldest *attempt) bool {
+	return oldest != nil &&
+		float64(b.now-oldest.sent) > overdueTargets*float64(oldest.request.class.LatencyTarget)
 }
 
-func (b *Balancer) rateSpan() float64 { return rateFalls * b.set.OverloadWindow.Seconds() }
+// rateSpan is the time constant of the event rates in seconds.
+func (b *Balancer) rateSpan() float64 { return rateSpanWindows * b.settings.OverloadWindow.Seconds() }
 
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
 	a := b.newAttempt()
-	a.req, a.host, a.sent = r, h, b.now
-	by := b.sendBy(r)
-	a.trial = h.fails > 0
-	h.trialOut = h.trialOut || a.trial
-	r.atts = append(r.atts, a)
-	r.out++
+	a.request, a.host, a.sent = r, h, b.now
+	by := b.sendDeadline(r)
+	a.trial = h.ejections > 0
+	h.trialInFlight = h.trialInFlight || a.trial
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
 	a.alone = h.pending == 0
-	h.open++
+	h.openAttempts++
 	if !r.Upload {
-		b.fly(a)
+		b.addPending(a)
 	}
 	if h.cold {
-		b.paceCold(h)
+		b.recordColdSend(h)
 	}
-	b.act(Action{Kind: Send, Request: r.ID, Host: h.ID, WriteBy: by})
+	b.emit(Action{Kind: Send, Request: r.ID, Host: h.ID, WriteBy: by})
 	b.sends.add(b.now, b.rateSpan())
-	b.tokens = max(b.tokens-1, 0)
-	b.sweepSoon()
+	b.rateTokens = max(b.rateTokens-1, 0)
+	b.scheduleSweep()
 }
 
-// observe learns from the end of an attempt.
+// observe updates the statistics of a host and its class with the end of an attempt.
 func (b *Balancer) observe(a *attempt, rtt float64) {
 	h := a.host
-	if a.sent < h.renewed {
-		return // it tells nothing of the process that is there now
+	if a.sent < h.resetAt {
+		return // it ran on a former process of that host
 	}
-	// In aims of the class, or as much over what is usual for it, whichever is more.
-	aims := rtt / a.req.class.LatencyTarget.Seconds()
-	if l := &a.req.class.lat; l.seen {
-		aims = max(aims, limitAims/limitTimes*rtt/l.mean)
+	// In class targets, or relative to the mean of the class where that gives more.
+	ratio := rtt / a.request.class.LatencyTarget.Seconds()
+	if l := &a.request.class.rtt; l.seen {
+		ratio = max(ratio, limitTargets/limitFactor*rtt/l.mean)
 	}
-	// What takes long with nothing else of ours there is not crowding; but where boundShare
-	// instances or more share a host, each is alone by itself and the host still crowded.
-	if l := &a.req.class.alone; l.seen && b.sharers() < boundShare {
-		aims /= min(max(1, aloneTimes*l.mean/(limitAims*a.req.class.LatencyTarget.Seconds())),
-			limitMost/limitAims)
+	// A long RTT of a lone attempt is no congestion; but where rateMinSharers instances or more
+	// share a host, the attempts of each are mostly alone and the host is still congested.
+	if l := &a.request.class.aloneRTT; l.seen && b.sharers() < rateMinSharers {
+		ratio /= min(max(1, aloneFactor*l.mean/(limitTargets*a.request.class.LatencyTarget.Seconds())),
+			maxLimitTargets/limitTargets)
 	}
 	if a.trial {
-		h.trialOut = false
+		h.trialInFlight = false
 	}
 	switch a.result {
 	case OK:
 		if a.alone {
-			a.req.class.alone.addLong(rtt)
+			a.request.class.aloneRTT.addLongTerm(rtt)
 		}
-		h.passed = max(h.passed, a.sent)
-		typical := b.typical(a, rtt)
-		b.sample(h, typical)
+		h.servedSentAt = max(h.servedSentAt, a.sent)
+		normalized := b.normalize(a, rtt)
+		b.addSample(h, normalized)
 		if h.cold {
-			h.able.addAt(max(typical, 1e-6)*b.coldShare(h), b.now, b.set.OverloadWindow.Seconds())
+			h.warmRTT.addTimed(max(normalized, 1e-6)*b.coldShare(h), b.now,
+				b.settings.OverloadWindow.Seconds())
 		}
-		b.adjust(h, aims, a.req.class.LatencyTarget, a.sent)
-		b.press(a, rtt)
-		if !h.cold && b.used > 0 {
+		b.adjustLimit(h, ratio, a.request.class.LatencyTarget, a.sent)
+		b.adjustRate(a, rtt)
+		if !h.cold && b.activeHosts > 0 {
 			b.served.add(b.now, b.rateSpan())
-			if served, ok := b.served.steady(b.now, b.rateSpan()); ok {
-				b.warm.add(served / float64(b.used))
+			if served, ok := b.served.corrected(b.now, b.rateSpan()); ok {
+				b.warmRate.add(served / float64(b.activeHosts))
 			}
 		}
 		b.readmit(h)
 	case Full:
-		// What is full takes no more: its refusals come at once, and a host that
-		// gives nothing else would draw all that waits. Acts on each such refusal.
-		b.adjust(h, max(aims, 1), a.req.class.LatencyTarget, a.sent)
-		// The limit cannot hold it back, with nothing out there. It rests until some of
-		// what it holds can have ended (one that drains unknown to the list gives no
-		// more), but not so long that what waits for it alone cannot be sent again.
-		rest := min(b.seed(h), waitShare/2*b.aim.Seconds())
-		h.restUntil = max(h.restUntil, b.now+Time(1e9*rest))
-		b.press(a, max(rtt, a.req.class.LatencyTarget.Seconds()))
+		// Refusals of a full host come at once: without a cut for each, a host that only
+		// refuses would attract all queued requests.
+		b.adjustLimit(h, max(ratio, 1), a.request.class.LatencyTarget, a.sent)
+		// The limit does not act on a host without pending attempts. It idles until some of its
+		// work can have ended (a host that drains unlisted takes no more), but not so long
+		// that requests which can go only there cannot be sent again.
+		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
+		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
+		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
 		fallthrough
 	case Failed:
-		b.sample(h, max(rtt, b.penalty))
+		b.addSample(h, max(rtt, b.penalty))
 		b.readmit(h)
 	case Rejected:
-		b.readmit(h) // it has answered; that came too soon to tell of its RTT
+		b.readmit(h) // an answer, but too early to be a sample of the RTT
 	case Canceled:
-		// Called off at the deadline it has timed out all the same. What the client
-		// gave up, or another copy answered, tells nothing of the host.
-		if !a.req.overdue && !a.req.stuck {
+		// An attempt canceled at the deadline or as lost has timed out. One whose client is
+		// gone, or whose request another attempt answered, says nothing about the host.
+		if !a.request.unserved && !a.request.attemptLost {
 			return
 		}
 		fallthrough
 	case TimedOut:
-		b.sample(h, rtt)
-		if a.sent < h.passed {
-			return // the host lost this one and answers others: it is not crowded
+		b.addSample(h, rtt)
+		if a.sent < h.servedSentAt {
+			return // the host lost this one but answers others: it is not congested
 		}
-		b.adjust(h, aims, a.req.class.LatencyTarget, a.sent)
-		b.press(a, rtt)
+		b.adjustLimit(h, ratio, a.request.class.LatencyTarget, a.sent)
+		b.adjustRate(a, rtt)
 	case ConnectFailed, Reset:
-		b.sample(h, rtt)
-		// A connection may break by itself. When another does before the host has
-		// answered anything, or none comes up, it is the host.
-		if a.result == ConnectFailed || h.broke > h.heard {
+		b.addSample(h, rtt)
+		// A single connection may break. The host is at fault if another one breaks
+		// before it has answered anything, or if no connection can be made.
+		if a.result == ConnectFailed || h.connFailedAt > h.answeredAt {
 			b.eject(h, "connections fail")
 		}
-		h.broke = b.now
-	}
-}
-
-// adjust steers a host's in-flight limit so that its mean RTT stays at a share
-// of the aim. It guards against crowding, which wastes the work of requests that
-// come too late and can tip a host into a slow state; it acts when a host's mean RTT
-// passes that share, and then once a round: only an attempt sent after the last cut
-// can tell whether that was enough.
-func (b *Balancer) adjust(h *host, aims float64, aim, sent Time) {
-	h.lat.addAt(aims, b.now, recentAims*b.aim.Seconds())
-	bank := b.sharers()
-	if h.lat.mean > limitAims {
-		if sent >= h.cutAt {
-			h.limit = max(limitLeast/bank, h.limit*limitAims/h.lat.mean)
-			h.cutAt = b.now
+		h.connFailedAt = b.now
+	}
+}
+
+// adjustLimit steers a host's in-flight limit so that its mean RTT stays at a share of the latency
+// target. It guards against congestion, which wastes work on requests that are answered too late and
+// can drive a host into a slow state. It acts when the mean RTT passes that share, and then once a
+// round: only an attempt sent after the last cut can show whether that was enough.
+func (b *Balancer) adjustLimit(h *host, ratio float64, target, sent Time) {
+	h.rttRatio.addTimed(ratio, b.now, recentTargets*b.shortestTarget.Seconds())
+	sharers := b.sharers()
+	if h.rttRatio.mean > limitTargets {
+		if sent >= h.limitCutAt {
+			h.limit = max(minLimit/sharers, h.limit*limitTargets/h.rttRatio.mean)
+			h.limitCutAt = b.now
 		}
 		if h.limit < 1 {
-			h.restUntil = b.now + Time(float64(aim)*h.lat.mean*(1/h.limit-1))
+			h.idleUntil = b.now + Time(float64(target)*h.rttRatio.mean*(1/h.limit-1))
 		}
 	} else if h.pending+1 >= int(h.limit) && b.queued > 0 {
-		h.limit += growth / (bank * h.limit)
+		h.limit += limitGrowth / (sharers * h.limit)
 	}
 }
 
-// press steers the rate at which this instance sends by the RTT of its last answers, against
-// what is usual for their class and within its aim. It guards the fleet against overload,
-// once a round, where boundShare instances or more have part of an attempt at a host. A cold
-// host has its pacing as the guard; its answers let the bound grow.
-func (b *Balancer) press(a *attempt, rtt float64) {
-	target := pressAims * a.req.class.LatencyTarget.Seconds()
-	if l := &a.req.class.lat; l.seen {
-		target = min(target, pressTimes*l.mean)
+// adjustRate steers this instance's send rate by the RTT of its last answers, against the mean of
+// their class and its latency target. It guards the fleet against overload, once a round, where
+// rateMinSharers instances or more have part of an attempt at a host. A cold host is guarded by its
+// pacing; its answers only let the limit grow.
+func (b *Balancer) adjustRate(a *attempt, rtt float64) {
+	target := rateTargets * a.request.class.LatencyTarget.Seconds()
+	if l := &a.request.class.rtt; l.seen {
+		target = min(target, rateFactor*l.mean)
 	}
 	if !a.host.cold {
-		b.pressure.blend(min(rtt/target, pressMost), pressWeight)
+		b.rttRatio.blend(min(rtt/target, maxRateRatio), rateRatioWeight)
 	}
 	switch {
-	case b.sharers() < boundShare:
-		b.bound = 0 // not in force: its cuts would change nothing, and add up to nothing
-	case b.pressure.mean > 1 && a.sent >= b.pressedAt && !a.host.cold:
-		if sends := b.sends.now(b.now, b.rateSpan()); b.bound == 0 || sends < b.bound {
-			b.bound = sends
+	case b.sharers() < rateMinSharers:
+		b.rateLimit = 0 // without effect here: cuts must not accumulate
+	case b.rttRatio.mean > 1 && a.sent >= b.rateCutAt && !a.host.cold:
+		if sends := b.sends.value(b.now, b.rateSpan()); b.rateLimit == 0 || sends < b.rateLimit {
+			b.rateLimit = sends
 		}
-		b.bound = max(b.bound/b.pressure.mean, 1/b.rateSpan())
-		b.pressure.mean, b.pressedAt, b.grownAt = 1, b.now, b.now
-	case b.bound > 0 && b.pressure.mean <= 1:
-		b.bound *= math.Exp((b.now - b.grownAt).Seconds() / (boundDecays * b.decay))
-		b.grownAt = b.now
-		if b.bound > 2*b.rate.now(b.now, b.rateSpan()) {
-			b.bound = 0
+		b.rateLimit = max(b.rateLimit/b.rttRatio.mean, 1/b.rateSpan())
+		b.rttRatio.mean, b.rateCutAt, b.rateGrownAt = 1, b.now, b.now
+	case b.rateLimit > 0 && b.rttRatio.mean <= 1:
+		b.rateLimit *= math.Exp((b.now - b.rateGrownAt).Seconds() / (rateGrowthDecays * b.decay))
+		b.rateGrownAt = b.now
+		if b.rateLimit > 2*b.arrivals.value(b.now, b.rateSpan()) {
+			b.rateLimit = 0
 		}
 	}
 }
 
-// admit says whether the bound on the rate lets a request be sent now. What is worth
-// little leaves room in the bucket for what is worth more, so that overload is turned
-// away from the lowest line up.
+// admit reports whether the rate limit lets a request be sent now. Requests of low priority leave
+// tokens in the bucket for those of higher priority, so that the lowest are shed first.
 func (b *Balancer) admit(r *request) bool {
-	if b.bound == 0 || b.sharers() < boundShare {
+	if b.rateLimit == 0 || b.sharers() < rateMinSharers {
 		return true
 	}
-	b.tokens = min(b.tokens+b.bound*(b.now-b.filledAt).Seconds(), boundBurst)
-	b.filledAt = b.now
-	return b.tokens >= 1+(boundBurst-1)*float64(r.band)/float64(len(b.bands))
+	b.rateTokens = min(b.rateTokens+b.rateLimit*(b.now-b.rateFilledAt).Seconds(), rateBurst)
+	b.rateFilledAt = b.now
+	return b.rateTokens >= 1+(rateBurst-1)*float64(r.queueIndex)/float64(len(b.queues))
 }
 
-// readmit ends an ejection: the host has answered.
+// readmit ends the ejection of a host that has answered.
 func (b *Balancer) readmit(h *host) {
-	h.heard = b.now
-	if h.fails == 0 {
+	h.answeredAt = b.now
+	if h.ejections == 0 {
 		return
 	}
-	h.fails = 0
+	h.ejections = 0
 	b.log(logReturn, "host %x is back", h.ID)
 }
 
-// settle decides what follows the end of an attempt: nothing if the request
-// has its answer, another attempt if class and time allow it, and else
-// the final answer.
-func (b *Balancer) settle(r *request, a *attempt, closed bool) {
+// afterAttempt decides what follows the end of an attempt: nothing if the request has its answer,
+// another attempt if class and time allow it, and else the final answer.
+func (b *Balancer) afterAttempt(r *request, a *attempt, closed bool) {
 	switch {
 	case r.done:
 		b.release(r)
-	case closed || a.result == OK && r.bound:
-		b.end(r)
-	case r.out > 0 || r.queued:
+	case closed || a.result == OK && r.streaming:
+		b.finish(r)
+	case r.inFlight > 0 || r.queued:
 	case b.mayRetry(r):
-		b.place(r, true)
+		b.dispatch(r, true)
 	default:
-		b.answer(r)
+		b.answerUnserved(r)
 	}
 }
 
-// mayRetry says whether the request gets another attempt. The in-flight limits
-// keep repeats from feeding an overload.
+// mayRetry reports whether the request gets another attempt. The in-flight limits keep retries from
+// adding to an overload.
 func (b *Balancer) mayRetry(r *request) bool {
-	if r.bound || r.spent || r.rejected() || len(r.atts) >= r.attempts ||
-		b.now+2*answerSteps*b.set.EventInterval >= r.deadline {
+	if r.streaming || r.notReplayable || r.rejected() || len(r.attempts) >= r.maxAttempts ||
+		b.now+2*answerIntervals*b.settings.EventInterval >= r.deadline {
 		return false
 	}
-	return b.repeatable(&r.class.Class, r.first())
+	return b.repeatable(&r.class.Class, r.firstMayHaveRun())
 }
 
-// answer gives the final answer to a request that will not be served: a refusal
-// only where trying again is known to be harmless.
-func (b *Balancer) answer(r *request) {
-	r.overdue = true
+// answerUnserved gives the final answer to a request that will not be served: a refusal only where
+// another request of the client is known to be harmless.
+func (b *Balancer) answerUnserved(r *request) {
+	r.unserved = true
 	harmless := r.class.Effect == Idempotent ||
 		r.class.Effect == Deduplicated && r.class.DedupScope == DedupAll
-	if r.first() == nil || harmless && !r.rejected() {
-		b.act(Action{Kind: Refuse, Request: r.ID, RetryAfter: min(b.aim/4, b.set.MaxRetryAfter)})
+	if r.firstMayHaveRun() == nil || harmless && !r.rejected() {
+		b.emit(Action{Kind: Refuse, Request: r.ID,
+			RetryAfter: min(b.shortestTarget/4, b.settings.MaxRetryAfter)})
 	} else {
-		b.act(Action{Kind: Fail, Request: r.ID})
+		b.emit(Action{Kind: Fail, Request: r.ID})
 	}
-	b.end(r)
+	b.finish(r)
 }
 
-// enqueue lets a request wait in its line, a repeat at the front. It waits a small
-// share of its aim: refused early, a client may yet be served in time elsewhere or
-// later, and what is sent has the rest of its aim left.
-func (b *Balancer) enqueue(r *request, front bool) {
-	r.expires = r.arrived + Time(waitShare*float64(r.class.LatencyTarget))
-	b.push(r, front)
-	b.sweepSoon()
+// enqueue queues a request, a retry at the front. It waits for a small share of its latency target: a
+// client that is refused early may still be served in time elsewhere or later, and a request that is
+// sent has the rest of its target left.
+func (b *Balancer) enqueue(r *request, atFront bool) {
+	r.expires = r.arrived + Time(queueShare*float64(r.class.LatencyTarget))
+	b.pushQueued(r, atFront)
+	b.scheduleSweep()
 }
 
-// pump turns away what has waited too long and sends what waits, the line worth
-// most first, as far as hosts are ready.
-func (b *Balancer) pump() {
-	for i := range b.bands {
-		for n := b.bands[i].head; n != nil && b.now >= n.item.expires; n = b.bands[i].head {
+// processQueues answers requests that have waited too long and sends others as far as hosts are ready,
+// in order of priority.
+func (b *Balancer) processQueues() {
+	for i := range b.queues {
+		for n := b.queues[i].head; n != nil && b.now >= n.item.expires; n = b.queues[i].head {
 			b.log(logRefuse, "refusing: hosts are full, %d requests wait", b.queued)
-			b.answer(n.item)
+			b.answerUnserved(n.item)
 		}
 	}
-	for i := range b.bands {
-		if full := b.serve(&b.bands[i]); full {
+	for i := range b.queues {
+		if full := b.serveQueue(&b.queues[i]); full {
 			break
 		}
 	}
-	b.sweepSoon()
+	b.scheduleSweep()
 }
 
-// serve sends what waits in a line. A repeat bound to its group does not hold up
-// those behind it. It says whether no host is ready for a request sent nowhere yet.
-func (b *Balancer) serve(line *list[request]) (full bool) {
-	for n := line.head; n != nil; {
+// serveQueue sends the requests of a queue. A retry that is bound to its DedupScope does not block
+// those behind it. It reports whether no host is ready for a request without an attempt.
+func (b *Balancer) serveQueue(queue *list[request]) (noneReady bool) {
+	for n := queue.head; n != nil; {
 		r, next := n.item, n.next
 		if h := b.pick(r); h != nil {
 			b.dequeue(r)
 			b.send(r, h)
-		} else if r.first() == nil {
+		} else if r.firstMayHaveRun() == nil {
 			return true
 		}
 		n = next
@@ -825,54 +826,53 @@
 	return false
 }
 
-// patience is how long an attempt may take before its host counts as silent.
-func (b *Balancer) patience(r *request) Time {
-	if l := &r.class.lat; l.seen {
-		return Time(1e9 * (l.mean + patience*l.dev))
+// silenceTimeout is how long an attempt may take before its host counts as silent.
+func (b *Balancer) silenceTimeout(r *request) Time {
+	if l := &r.class.rtt; l.seen {
+		return Time(1e9 * (l.mean + silenceDeviations*l.dev))
 	}
 	return r.class.LatencyTarget / 2
 }
 
-// listen looks for silent hosts: those that have answered nothing since their
-// oldest attempt was sent, longer ago than such a request should take. They are
-// ejected until they answer or a trial does. It guards against hosts that take
-// requests and answer none; a host that is only slow, or has one costly request,
-// answers others meanwhile. What waits there stays: most often it is answered
-// yet, and sending it again costs more than it saves.
-func (b *Balancer) listen() {
-	b.outNow = 0
+// checkSilence ejects silent hosts: those that have answered nothing since their oldest pending
+// attempt was sent, for longer than such a request should take. The ejection ends with an answer. It
+// guards against hosts that accept requests and answer none; a host that is only slow, or has one
+// costly request, answers others meanwhile. Attempts there are not canceled: most are still answered,
+// and sending them again costs more than it saves.
+func (b *Balancer) checkSilence() {
+	b.inFlight = 0
 	for _, h := range b.hosts {
-		b.outNow += h.pending
-		b.callOff(h)
-		a := h.sentAfter(h.heard)
-		if a == nil || b.now-a.sent < b.patience(a.req) {
+		b.inFlight += h.pending
+		b.cancelLost(h)
+		a := h.oldestSentSince(h.answeredAt)
+		if a == nil || b.now-a.sent < b.silenceTimeout(a.request) {
 			continue
 		}
-		if h.fails == 0 {
-			// Its RTT is that long at least: overload shows before the answers come.
-			b.press(a, (b.now - a.sent).Seconds())
+		if h.ejections == 0 {
+			// The RTT is at least this long: overload shows before the answers arrive.
+			b.adjustRate(a, (b.now - a.sent).Seconds())
 		}
 		b.eject(h, "silent")
 	}
 }
 
-// callOff ends attempts that a host has lost: passed by later ones and out for longer
-// than the aim, after which an answer is worth nothing. Each holds one of the few
-// connections that the host accepts. A safe request goes elsewhere while there is time,
-// as soon as its attempt is overdue and such a request should have been answered; once,
-// as one that is slow wherever it runs is not helped by a new start.
-func (b *Balancer) callOff(h *host) {
-	for n := h.flight.head; n != nil && n.item.sent < h.passed; {
-		a, r := n.item, n.item.req
+// cancelLost cancels attempts that a host has lost: later ones were answered, and they are older than
+// the latency target, after which an answer has no value. Each holds one of the few connections that
+// the host accepts. An idempotent request goes elsewhere while there is time, as soon as its attempt
+// is overdue and should have been answered; only once, as a request that is slow on any host gains
+// nothing from a restart.
+func (b *Balancer) cancelLost(h *host) {
+	for n := h.pendingList.head; n != nil && n.item.sent < h.servedSentAt; {
+		a, r := n.item, n.item.request
 		n = n.next
 		switch age := b.now - a.sent; {
-		case r.done || r.bound || !b.set.CancelAllowed:
+		case r.done || r.streaming || !b.settings.CancelAllowed:
 		case age >= r.class.LatencyTarget:
-			b.answer(r)
-		case r.class.Effect == Idempotent && !r.stuck && b.overdue(a) &&
-			age >= b.patience(r) && b.mayRetry(r):
-			r.stuck = true
-			b.cancelOthers(r, -1)
+			b.answerUnserved(r)
+		case r.class.Effect == Idempotent && !r.attemptLost && b.overTarget(a) &&
+			age >= b.silenceTimeout(r) && b.mayRetry(r):
+			r.attemptLost = true
+			b.cancelAttempts(r, -1)
 		}
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -172,7 +172,7 @@
 	}
 	for _, s := range steps {
 		g.b.now += s.after
-		g.b.sample(h, s.rtt)
+		g.b.addSample(h, s.rtt)
 		if math.Abs(h.rtt-s.want) > 1e-12 {
 			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt, s.want)
 		}
@@ -291,7 +291,7 @@
 			drawn[h]++
 			kinds[list[h-1].Kind] = true
 		}
-		if len(got) < reachLeast || len(got) > n*2/3 {
+		if len(got) < minSubset || len(got) > n*2/3 {
 			t.Errorf("instance %d uses %d of %d hosts", rank, len(got), n)
 		}
 		if len(kinds) != 3 {
@@ -315,7 +315,7 @@
 	}
 	set := basic()
 	g := start(t, set, list...)
-	if e := g.b.estimate(g.b.hosts[0]); e != seedShare*0.4 {
+	if e := g.b.estimate(g.b.hosts[0]); e != initialRTTShare*0.4 {
 		t.Errorf("estimate %v with nothing known, want the seed", e)
 	}
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
@@ -364,9 +364,9 @@
 			g.advance(600 * ms)
 		}
 		g.outcome(id, 0, Canceled, 600*ms)
-		if h.sampled == gone || (h.restUntil > g.now) == gone || (g.b.pressure.seen) == gone {
+		if h.sampled == gone || (h.idleUntil > g.now) == gone || (g.b.rttRatio.seen) == gone {
 			t.Errorf("client gone %v: sampled %v, rest until %v at %v, pressure %v",
-				gone, h.sampled, h.restUntil, g.now, g.b.pressure)
+				gone, h.sampled, h.idleUntil, g.now, g.b.rttRatio)
 		}
 	}
 }
@@ -379,14 +379,14 @@
 	g := start(t, set, hosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if p := g.b.pressure.mean; p > 1 || g.b.bound != 0 {
-		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.bound)
+	if p := g.b.rttRatio.mean; p > 1 || g.b.rateLimit != 0 {
+		t.Fatalf("pressure %v, bound %v at usual answers, want neither over", p, g.b.rateLimit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the aim
-	if g.b.bound == 0 {
-		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.pressure.mean)
+	if g.b.rateLimit == 0 {
+		t.Errorf("no bound at two and a half times the usual RTT, pressure %v", g.b.rttRatio.mean)
 	}
-	if l := g.b.classes[0].lat.mean; l > 0.05 {
+	if l := g.b.classes[0].rtt.mean; l > 0.05 {
 		t.Errorf("usual RTT %v after a short jam, want about 0.04", l)
 	}
 }
@@ -398,11 +398,11 @@
 	set.Instances = 100
 	g := start(t, set, hosts(10)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
-	before := g.b.pressure.mean
+	before := g.b.rttRatio.mean
 	g.request(0, time.Second)
 	g.sole(Send)
 	g.advance(300 * ms)
-	if p := g.b.pressure.mean; p <= before {
+	if p := g.b.rttRatio.mean; p <= before {
 		t.Errorf("pressure %v after 300 ms without an answer, %v before", p, before)
 	}
 }
@@ -455,14 +455,14 @@
 			t.Errorf("closed host %d, which was not drawn", h)
 		}
 	}
-	if n := len(g.b.drawn); n != g.b.reach() {
-		t.Errorf("%d hosts drawn, want %d", n, g.b.reach())
+	if n := len(g.b.subset); n != g.b.subsetSize() {
+		t.Errorf("%d hosts drawn, want %d", n, g.b.subsetSize())
 	}
-	left := g.b.drawn[0]
+	left := g.b.subset[0]
 	g.closed = nil
 	g.list(ListChanges, Host{ID: left.ID, State: Draining})
 	g.serve(5, 0, quick)
-	if len(g.closed) == 0 || g.closed[0] != left.ID || left.drawn {
+	if len(g.closed) == 0 || g.closed[0] != left.ID || left.inSubset {
 		t.Errorf("closed %v, want first the drained host %d", g.closed, left.ID)
 	}
 }
@@ -501,7 +501,7 @@
 // have all of it.
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
-	for class := range g.b.set.Classes {
+	for class := range g.b.settings.Classes {
 		g.request(class, 0)
 		g.sole(Refuse)
 	}
@@ -513,7 +513,7 @@
 		g := start(t, basic(), hosts(2)...)
 		g.request(class, 500*ms)
 		g.sole(Send)
-		done := g.advance(500*ms - g.b.set.EventInterval)
+		done := g.advance(500*ms - g.b.settings.EventInterval)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
 			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
 		}
@@ -671,7 +671,7 @@
 		t.Fatal("forgotten with an attempt in flight")
 	}
 	g.outcome(id, 0, OK, ms)
-	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.reqs) != 0 {
+	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.requests) != 0 {
 		t.Error("host or request kept")
 	}
 }
@@ -703,7 +703,7 @@
 		g.outcome(id, 0, OK, ms)
 	}
 	g.outcome(trial, 0, OK, ms)
-	if h := g.b.hosts[0]; h.fails != 0 {
+	if h := g.b.hosts[0]; h.ejections != 0 {
 		t.Error("still ejected after the trial's answer")
 	}
 }
@@ -718,7 +718,7 @@
 	took := func(HostID) time.Duration { return 10 * ms }
 	for range 3 {
 		g.outcome(g.request(2, time.Second), 0, Reset, ms)
-		if h.fails != 0 {
+		if h.ejections != 0 {
 			t.Fatal("ejected though it has answered since the last reset")
 		}
 		g.serve(2, 0, took)
@@ -727,7 +727,7 @@
 		g.advance(ms)
 		g.outcome(g.request(2, time.Second), 0, Reset, ms)
 	}
-	if h.fails == 0 {
+	if h.ejections == 0 {
 		t.Error("not ejected after two resets with no answer between")
 	}
 }
@@ -741,7 +741,7 @@
 		t.Fatalf("%d sends to the silent host", got[1])
 	}
 	g.outcome(held, 0, OK, 250*ms) // it only paused
-	if h := g.b.hosts[0]; h.fails != 0 {
+	if h := g.b.hosts[0]; h.ejections != 0 {
 		t.Error("still ejected after its answer")
 	}
 	g.advance(10 * time.Second) // its one long RTT decays
@@ -761,7 +761,7 @@
 		g.advance(20 * ms)
 		g.outcome(id, 0, OK, 10*ms)
 	}
-	if g.b.hosts[0].fails != 0 {
+	if g.b.hosts[0].ejections != 0 {
 		t.Error("ejected")
 	}
 }
@@ -773,7 +773,7 @@
 	h := g.b.hosts[0]
 	took := func(HostID) time.Duration { return 10 * ms }
 	g.serve(30, 0, took)
-	h.limit = limitLeast // two at a time
+	h.limit = minLimit // two at a time
 	lost := g.request(2, time.Second)
 	g.sole(Send)
 	g.serve(90, 0, took) // all are sent at once
@@ -804,12 +804,12 @@
 	g.advance(ms)
 	trial := g.request(0, time.Second)
 	g.sole(Send)
-	if !h.trialOut || !g.b.ejected(h) {
+	if !h.trialInFlight || !g.b.ejected(h) {
 		t.Error("more than one trial may go out")
 	}
 	g.outcome(trial, 0, OK, 10*ms)
 	g.advance(ms)
-	if g.serve(1, 0, took); h.fails != 0 {
+	if g.serve(1, 0, took); h.ejections != 0 {
 		t.Error("not back after the trial's answer")
 	}
 }
@@ -865,7 +865,7 @@
 	g.serve(5, 0, took)
 	g.request(0, time.Second)
 	g.advance(200 * ms)
-	if h.fails == 0 {
+	if h.ejections == 0 {
 		t.Error("not ejected, though it has answered nothing since the last was sent")
 	}
 }
@@ -891,7 +891,7 @@
 			out[a.Request] = true
 		}
 	}
-	if most := 2 * limitStart; len(out) != most {
+	if most := 2 * initialLimit; len(out) != most {
 		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
 	}
 	worth := g.request(2, time.Second)
@@ -915,7 +915,7 @@
 		if a.Kind != Refuse {
 			t.Fatalf("action %v", a)
 		}
-		if g.b.reqs[a.Request] != nil {
+		if g.b.requests[a.Request] != nil {
 			t.Error("refused request kept")
 		}
 	}
@@ -937,7 +937,7 @@
 			t.Errorf("action %v, want only the late request of the lower line refused", a)
 		}
 	}
-	if g.b.reqs[low] != nil || g.b.reqs[high] == nil {
+	if g.b.requests[low] != nil || g.b.requests[high] == nil {
 		t.Error("the late request waits on, or the other was refused")
 	}
 }
@@ -947,24 +947,24 @@
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 300 * ms
-		g.b.adjust(h, 0.8, g.b.aim, g.b.now)
+		g.b.adjustLimit(h, 0.8, g.b.shortestTarget, g.b.now)
 	}
-	if h.limit != limitLeast {
+	if h.limit != minLimit {
 		t.Errorf("limit %v after slow answers, want the least", h.limit)
 	}
 	g.b.now += time.Second
 	for range 20 {
 		g.b.now += 300 * ms
-		g.b.adjust(h, 0.01, g.b.aim, g.b.now)
+		g.b.adjustLimit(h, 0.01, g.b.shortestTarget, g.b.now)
 	}
-	if h.limit != limitLeast {
+	if h.limit != minLimit {
 		t.Errorf("limit %v, want no growth while nothing waits", h.limit)
 	}
 	g.b.queued = 1
 	for range 60 {
 		g.b.now += 300 * ms
 		h.pending = int(h.limit) - 1
-		g.b.adjust(h, 0.01, g.b.aim, g.b.now)
+		g.b.adjustLimit(h, 0.01, g.b.shortestTarget, g.b.now)
 	}
 	if h.limit < 4 {
 		t.Errorf("limit %v, want it to grow while requests wait", h.limit)
@@ -984,7 +984,7 @@
 		g.outcome(id, 0, OK, 250*ms)
 	}
 	for _, h := range g.b.hosts {
-		if h.restUntil > 0 {
+		if h.idleUntil > 0 {
 			t.Errorf("host %d rests after ordinary answers", h.ID)
 		}
 	}
@@ -1009,7 +1009,7 @@
 					g.outcome(id, 0, OK, Time(aims*400)*ms)
 				}
 				for _, h := range g.b.hosts { // keeps the hosts' own limits out of this
-					h.limit, h.restUntil = 10, 0
+					h.limit, h.idleUntil = 10, 0
 				}
 				g.advance(400 * ms)
 			}
@@ -1044,22 +1044,22 @@
 				g.outcome(id, 0, OK, took)
 			}
 			for _, h := range g.b.hosts { // keeps the hosts' own limits out of this
-				h.limit, h.restUntil = 10, 0
+				h.limit, h.idleUntil = 10, 0
 			}
 			g.advance(gap)
 		}
 		return sent
 	}
 	run(100, 250*ms, 40*ms)
-	if n := run(100, 250*ms, 360*ms); n != 100 || g.b.sharers() >= boundShare {
-		t.Fatalf("%d of 100 sent with %.1f instances at a host, want all with fewer than %d", n, g.b.sharers(), boundShare)
+	if n := run(100, 250*ms, 360*ms); n != 100 || g.b.sharers() >= rateMinSharers {
+		t.Fatalf("%d of 100 sent with %.1f instances at a host, want all with fewer than %d", n, g.b.sharers(), rateMinSharers)
 	}
 	run(60, 50*ms, 40*ms) // more traffic, and usual answers
-	if s := g.b.sharers(); s < boundShare {
-		t.Fatalf("%.1f instances at a host, want %d", s, boundShare)
+	if s := g.b.sharers(); s < rateMinSharers {
+		t.Fatalf("%.1f instances at a host, want %d", s, rateMinSharers)
 	}
 	if n := run(60, 50*ms, 40*ms); n < 50 {
-		t.Errorf("%d of 60 sent after the bound came into force, bound %.2f a second", n, g.b.bound)
+		t.Errorf("%d of 60 sent after the bound came into force, bound %.2f a second", n, g.b.rateLimit)
 	}
 }
 
@@ -1069,17 +1069,17 @@
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
 	h.limit = 40
-	target := limitAims
+	target := limitTargets
 	sent := g.b.now
 	g.b.now += 300 * ms
 	for range 5 { // the answers of one round
-		g.b.adjust(h, 2*target, g.b.aim, sent)
+		g.b.adjustLimit(h, 2*target, g.b.shortestTarget, sent)
 	}
 	if math.Abs(h.limit-20) > 1e-9 {
 		t.Fatalf("limit %v after a round at twice the target, want half of 40", h.limit)
 	}
 	g.b.now += 300 * ms
-	g.b.adjust(h, 2*target, g.b.aim, g.b.now-300*ms)
+	g.b.adjustLimit(h, 2*target, g.b.shortestTarget, g.b.now-300*ms)
 	if math.Abs(h.limit-10) > 1e-9 {
 		t.Errorf("limit %v after the next round, want a quarter of 40", h.limit)
 	}
@@ -1098,8 +1098,8 @@
 	if len(g.acts) != 0 {
 		t.Fatalf("actions %v right after the refusal, want the request to wait", g.acts)
 	}
-	if h := g.b.hosts[0]; h.limit >= 1 || h.restUntil <= g.now {
-		t.Errorf("limit %v, rest until %v at %v, want both cut", h.limit, h.restUntil, g.now)
+	if h := g.b.hosts[0]; h.limit >= 1 || h.idleUntil <= g.now {
+		t.Errorf("limit %v, rest until %v at %v, want both cut", h.limit, h.idleUntil, g.now)
 	}
 }
 
@@ -1119,7 +1119,7 @@
 		for i := 0; i < len(acts); i++ {
 			if acts[i].Kind == Send {
 				turnedAway++
-				g.outcome(acts[i].Request, len(g.b.reqs[acts[i].Request].atts)-1, Full, 0)
+				g.outcome(acts[i].Request, len(g.b.requests[acts[i].Request].attempts)-1, Full, 0)
 				acts = append(acts, g.acts...)
 			}
 		}
@@ -1177,7 +1177,7 @@
 	}
 }
 
-func (b *Balancer) drainQuiet() { b.acts = b.acts[:0] }
+func (b *Balancer) drainQuiet() { b.actions = b.actions[:0] }
 
 func TestRepeatsWaitBehind(t *testing.T) {
 	tests := []struct {
@@ -1189,7 +1189,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := start(t, basic(), hosts(1)...)
-			for range limitStart {
+			for range initialLimit {
 				g.request(0, time.Second)
 			}
 			tt.repeat.ID = 1000
@@ -1244,7 +1244,7 @@
 				set.Rank = rank
 				g := start(t, set, list...)
 				if learnt {
-					g.b.warm.add(capacity / g.b.sharers())
+					g.b.warmRate.add(capacity / g.b.sharers())
 				}
 				g.list(ListChanges, Host{ID: cold, Cell: list[0].Cell, Zone: list[0].Zone, Started: g.now})
 				for range 40 { // an OverloadWindow, more asked than the cold host can do
@@ -1257,7 +1257,7 @@
 					}
 					g.advance(set.OverloadWindow / 40)
 				}
-				if g.b.byID[cold].drawn {
+				if g.b.byID[cold].inSubset {
 					drawn++
 				}
 			}
@@ -1294,7 +1294,7 @@
 		g.now += idle
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
-		if gap := h.coldGap / g.b.coldRate(h); !(gap > 0 && gap <= 1.5*g.b.set.OverloadWindow.Seconds()) {
+		if gap := h.coldGap / g.b.coldRate(h); !(gap > 0 && gap <= 1.5*g.b.settings.OverloadWindow.Seconds()) {
 			t.Errorf("next send to the cold host %v s from now after %v, want at most one and a half Falls", gap, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
@@ -1391,8 +1391,8 @@
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Answered: true})
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.reqs) != 0 {
-		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.reqs))
+	if len(g.acts) != 0 || len(g.b.requests) != 0 {
+		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.requests))
 	}
 }
 
@@ -1417,7 +1417,7 @@
 	g.outcome(id, 0, OK, ms)
 	g.b.ClientGone(g.now, id)
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.reqs) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
+	if len(g.acts) != 0 || len(g.b.requests) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
 		t.Errorf("actions %v, state kept", g.acts)
 	}
 }
@@ -1429,7 +1429,7 @@
 	g.drain()
 	g.sole(Cancel)
 	g.outcome(id, 0, Canceled, ms)
-	if len(g.b.reqs) != 0 {
+	if len(g.b.requests) != 0 {
 		t.Error("request kept")
 	}
 }
@@ -1472,7 +1472,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := b.set
+	s := b.settings
 	if s.MaxAttempts != 3 || s.MaxWatchGap != 10*time.Second || s.ColdCapacity != 1 || s.OverloadWindow != time.Second ||
 		s.Classes[0].LatencyTarget != time.Second || s.Classes[0].PriorityWeight != 1 {
 		t.Errorf("defaults %+v", s)
@@ -1498,7 +1498,7 @@
 	if len(g.logs) != 1 || g.logs[0] != "host 1 ejected: silent" {
 		t.Fatalf("logs %q, want the first only", g.logs)
 	}
-	g.b.now += logEvery
+	g.b.now += logInterval
 	g.b.eject(g.b.hosts[20], "connections fail")
 	g.drain()
 	if want := "host 15 ejected: connections fail (9 more such lines held back)"; g.logs[1] != want {
@@ -1712,17 +1712,17 @@
 	g.b.SetMaintenance(g.now, 3, false)
 	g.drain()
 	g.outcome(stale, 0, Failed, time.Second)
-	if h.fails != 0 || h.sampled || !h.cold || h.coldAt != g.now {
-		t.Errorf("fails %d, sampled %v, cold %v as of %v; want a new host, cold as of %v", h.fails, h.sampled,
-			h.cold, h.coldAt, g.now)
+	if h.ejections != 0 || h.sampled || !h.cold || h.coldSince != g.now {
+		t.Errorf("fails %d, sampled %v, cold %v as of %v; want a new host, cold as of %v", h.ejections, h.sampled,
+			h.cold, h.coldSince, g.now)
 	}
 	// The list may tell of the start, which was before the call back: it has had no work since.
 	e := hosts(3)[2]
 	e.Started = g.now - 50*ms
-	back := h.coldAt
+	back := h.coldSince
 	g.list(ListChanges, e)
-	if h.coldAt != back {
-		t.Errorf("cold as of %v, want %v", h.coldAt, back)
+	if h.coldSince != back {
+		t.Errorf("cold as of %v, want %v", h.coldSince, back)
 	}
 	got := g.serve(200, 0, func(HostID) time.Duration { return 10 * ms }) // 2 s
 	if got[3] == 0 || got[3] > 100 {
@@ -1739,7 +1739,7 @@
 	g.b.SetMaintenance(g.now, 1, true)
 	g.b.SetMaintenance(g.now, 1, false)
 	g.drain()
-	if wait := g.b.byID[1].coldBy - g.now; wait <= 0 || wait > 4*time.Second {
+	if wait := g.b.byID[1].coldDeadline - g.now; wait <= 0 || wait > 4*time.Second {
 		t.Errorf("the host is tried after %v", wait)
 	}
 }
@@ -1782,8 +1782,8 @@
 	if g.request(2, time.Second); len(g.acts) != 0 {
 		t.Errorf("actions %v for a class that is no more", g.acts)
 	}
-	if g.b.classes[0].lat.seen || g.b.aim != 400*ms || len(g.b.reqs) != 0 {
-		t.Errorf("class %+v, aim %v, %d requests", g.b.classes[0], g.b.aim, len(g.b.reqs))
+	if g.b.classes[0].rtt.seen || g.b.shortestTarget != 400*ms || len(g.b.requests) != 0 {
+		t.Errorf("class %+v, aim %v, %d requests", g.b.classes[0], g.b.shortestTarget, len(g.b.requests))
 	}
 }
 
@@ -1796,7 +1796,7 @@
 	}
 	g := start(t, set, hosts(1)...)
 	g.serve(50, 2, func(HostID) time.Duration { return 10 * ms })
-	learnt := g.b.classes[2].lat
+	learnt := g.b.classes[2].rtt
 	g.b.SetMaintenance(g.now, 1, true)
 	gone, stays := g.request(0, time.Second), g.request(2, time.Second)
 	next := set
@@ -1804,8 +1804,8 @@
 	if err := g.b.UpdateSettings(g.now, next); err != nil {
 		t.Fatal(err)
 	}
-	if g.b.classes[0].lat != learnt {
-		t.Errorf("learnt %+v, want %+v", g.b.classes[0].lat, learnt)
+	if g.b.classes[0].rtt != learnt {
+		t.Errorf("learnt %+v, want %+v", g.b.classes[0].rtt, learnt)
 	}
 	g.drain()
 	if len(g.acts) != 0 || g.b.queued != 2 {
@@ -1840,12 +1840,12 @@
 	for _, a := range g.advance(10 * time.Second) { // ten deadlines
 		t.Errorf("while it comes: %v", a)
 	}
-	if h := g.b.byID[1]; h.fails != 0 || h.open != 1 || h.pending != 0 || h.flight.head != nil {
-		t.Errorf("fails %d, pending %d, judged by %v", h.fails, h.pending, h.flight.head)
+	if h := g.b.byID[1]; h.ejections != 0 || h.openAttempts != 1 || h.pending != 0 || h.pendingList.head != nil {
+		t.Errorf("fails %d, pending %d, judged by %v", h.ejections, h.pending, h.pendingList.head)
 	}
 	g.b.UploadComplete(g.now, id, time.Second)
 	g.drain()
-	if g.b.byID[1].flight.head == nil {
+	if g.b.byID[1].pendingList.head == nil {
 		t.Error("the host is not judged by a request that is whole")
 	}
 	began := g.now
@@ -1885,15 +1885,15 @@
 	g.advance(10 * ms)
 	g.b.ResponseStarted(g.now, id, 0)
 	g.drain()
-	if done := g.advance(10 * time.Second); len(done) != 0 || g.b.byID[1].fails != 0 {
-		t.Errorf("actions %v, fails %d", done, g.b.byID[1].fails)
+	if done := g.advance(10 * time.Second); len(done) != 0 || g.b.byID[1].ejections != 0 {
+		t.Errorf("actions %v, fails %d", done, g.b.byID[1].ejections)
 	}
-	if h := g.b.byID[1]; h.open != 1 || h.pending != 0 {
-		t.Errorf("%d open, %d pending; a stream that has begun is no load", h.open, h.pending)
+	if h := g.b.byID[1]; h.openAttempts != 1 || h.pending != 0 {
+		t.Errorf("%d open, %d pending; a stream that has begun is no load", h.openAttempts, h.pending)
 	}
 	g.outcome(id, 0, OK, 10*ms)
-	if h := g.b.byID[1]; h.open != 0 || h.pending != 0 || len(g.b.reqs) != 0 {
-		t.Errorf("pending %d, %d requests", h.pending, len(g.b.reqs))
+	if h := g.b.byID[1]; h.openAttempts != 0 || h.pending != 0 || len(g.b.requests) != 0 {
+		t.Errorf("pending %d, %d requests", h.pending, len(g.b.requests))
 	}
 }
 
@@ -1901,15 +1901,15 @@
 // has counted so far must not pass for what a warm host gives, or it paces them too low.
 func TestYoungCountTellsTheRate(t *testing.T) {
 	const span, perSecond = 4.0, 50
-	var r rate
+	var r eventRate
 	now := Time(time.Hour)
-	if _, ok := r.steady(now, span); ok {
+	if _, ok := r.corrected(now, span); ok {
 		t.Error("a count of nothing tells a rate")
 	}
 	for i := range 40 * perSecond {
 		now += time.Second / perSecond
 		r.add(now, span)
-		if got, ok := r.steady(now, span); ok != (i > fewest) && i != fewest && i != fewest-1 {
+		if got, ok := r.corrected(now, span); ok != (i > minEvents) && i != minEvents && i != minEvents-1 {
 			t.Fatalf("after %d events: told %v", i+1, ok)
 		} else if ok && math.Abs(got-perSecond) > 0.15*perSecond {
 			t.Fatalf("after %d events: %.1f a second, want about %d", i+1, got, perSecond)
@@ -1923,7 +1923,7 @@
 	set.OverloadWindow = 4 * time.Second
 	g := start(t, set, hosts(2)...)
 	g.serve(300, 0, func(HostID) time.Duration { return 10 * ms }) // 3 s, with a span of 16 s
-	if got := g.b.warm.mean; got < 40 {
+	if got := g.b.warmRate.mean; got < 40 {
 		t.Errorf("a warm host gives %.0f a second, want about 50", got)
 	}
 }
@@ -1939,8 +1939,8 @@
 	g.list(ListFull, hosts(3)...)
 	g.list(ListFull, hosts(3)...)
 	for id, want := range map[HostID]bool{1: true, 2: true, 3: false} {
-		if h := g.b.byID[id]; h.cold != want || want && h.coldAt != since {
-			t.Errorf("host %d: cold %v as of %v, want %v as of %v", id, h.cold, h.coldAt, want, since)
+		if h := g.b.byID[id]; h.cold != want || want && h.coldSince != since {
+			t.Errorf("host %d: cold %v as of %v, want %v as of %v", id, h.cold, h.coldSince, want, since)
 		}
 	}
 }
@@ -1957,7 +1957,7 @@
 		took := func(share float64) time.Duration { return time.Duration(share * float64(aim)) }
 		g.serve(50, 0, func(HostID) time.Duration { return took(alone) })
 		h.limit = 8 // as it was before any of this
-		g.b.set.Instances = instances
+		g.b.settings.Instances = instances
 		before, more := g.request(0, time.Second), []RequestID{}
 		for range 3 {
 			more = append(more, g.request(0, time.Second))
@@ -1978,8 +1978,8 @@
 	if got := limit(0.48, 0.7); got >= 8 {
 		t.Errorf("limit %.1f: not cut by answers that take most of the aim", got)
 	}
-	instances = boundShare // each of which is alone there as it sees it
+	instances = rateMinSharers // each of which is alone there as it sees it
 	if got := limit(0.39, 0.42); got >= 8 {
-		t.Errorf("limit %.1f: not cut by answers of a host that %d instances share", got, boundShare)
+		t.Errorf("limit %.1f: not cut by answers of a host that %d instances share", got, rateMinSharers)
 	}
 }
--- a/cold_test.go
+++ b/cold_test.go
@@ -27,12 +27,12 @@
 		g := allCold(t, instances, rank, n)
 		g.request(0, 0)
 		g.request(0, time.Second)
-		for _, h := range g.b.drawn {
+		for _, h := range g.b.subset {
 			sharers[h.ID]++
 		}
 	}
 	for id, k := range sharers {
-		if k > coldSharers+reachLeast {
+		if k > maxColdSharers+minSubset {
 			t.Errorf("%d instances draw from cold host %d", k, id)
 		}
 	}
@@ -84,7 +84,7 @@
 	for _, cold := range []bool{true, false} {
 		g := allCold(t, 8, 0, 2)
 		if !cold {
-			g.advance(g.b.set.WarmAfter)
+			g.advance(g.b.settings.WarmAfter)
 		}
 		for range 200 {
 			g.request(0, time.Second)
@@ -94,12 +94,12 @@
 					g.outcome(a.Request, 0, OK, 300*ms) // of an aim of 400
 				}
 			}
-			if g.now-g.b.hosts[0].Started > g.b.set.WarmAfter && cold {
+			if g.now-g.b.hosts[0].Started > g.b.settings.WarmAfter && cold {
 				break
 			}
 		}
-		if bounded := g.b.bound > 0; bounded == cold {
-			t.Errorf("cold %v: the rate is bounded to %v", cold, g.b.bound)
+		if bounded := g.b.rateLimit > 0; bounded == cold {
+			t.Errorf("cold %v: the rate is bounded to %v", cold, g.b.rateLimit)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 // of warm hosts moved it.
 func TestBoundGrowsOnColdAnswers(t *testing.T) {
 	g := allCold(t, 8, 0, 2)
-	g.b.bound, g.b.grownAt, g.b.pressure.mean = 0.5, g.now, 1
+	g.b.rateLimit, g.b.rateGrownAt, g.b.rttRatio.mean = 0.5, g.now, 1
 	for range 60 {
 		g.request(0, time.Second)
 		for _, a := range append(append([]Action(nil), g.acts...), g.advance(50*ms)...) {
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	if g.b.bound > 0 && g.b.bound < 0.7 {
-		t.Errorf("the bound is %.2f after %v of answers from cold hosts", g.b.bound, g.now-g.b.hosts[0].Started)
+	if g.b.rateLimit > 0 && g.b.rateLimit < 0.7 {
+		t.Errorf("the bound is %.2f after %v of answers from cold hosts", g.b.rateLimit, g.now-g.b.hosts[0].Started)
 	}
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -121,11 +121,11 @@
 			h.finish(id, n, Canceled)
 		}
 	}
-	if len(h.b.reqs) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.reqs), h.b.queued)
+	if len(h.b.requests) != 0 || h.b.queued != 0 {
+		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.requests), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
-		if x.pending != 0 || x.flight.head != nil {
+		if x.pending != 0 || x.pendingList.head != nil {
 			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.pending)
 		}
 	}
@@ -328,8 +328,8 @@
 		}
 	}
 	share := h.set.ColdCapacity + (1-h.set.ColdCapacity)*age.Seconds()/h.set.WarmAfter.Seconds()
-	able := share / (seedShare * h.b.aim.Seconds())
-	if own := &h.b.byID[host.ID].able; own.seen {
+	able := share / (initialRTTShare * h.b.shortestTarget.Seconds())
+	if own := &h.b.byID[host.ID].warmRTT; own.seen {
 		able = 1 / own.mean
 	}
 	h.able[i] = max(h.able[i], able)
--- a/notified.go
+++ b/notified.go
@@ -1,24 +1,28 @@
 package lynxspool
 
-// Until when an instance may send by a list that discovery no longer keeps current for it.
-// A change that a lost watch kept back counts as notified after a fixed time, whether or not
-// it arrived, and sends to a draining host have to stop DrainGrace after that. Discovery may
-// take longer to answer a whole fleet, in turn. An instance whose turn has not come by then
-// cannot know which hosts drain, and a draining host answers as before, so its answers tell
-// nothing either: it sends nothing until it is told, up to heldWithin of the loss.
+// How long an instance may send by a host list that discovery no longer keeps current. A change
+// that a lost watch held back counts as notified after a fixed time, whether or not it arrived,
+// and sends to a draining host have to stop DrainGrace after that. Discovery may take longer to
+// answer a whole fleet in turn. An instance that it has not answered by then cannot know which
+// hosts drain, and a draining host answers as usual, so its answers do not show it either: the
+// instance sends nothing until it gets a list, but for no longer than holdLimit after the loss.
 
 const (
-	NotifiedAfterEnd  = Time(2e9) // what a watch that ended in order kept back counts as notified
-	NotifiedAfterMove = Time(4e9) // ... and what is known at the address that discovery moved to
+	// NotifiedAfterEnd is the time after which a change held back by a watch that ended in order
+	// counts as notified.
+	NotifiedAfterEnd = Time(2e9)
+	// NotifiedAfterMove is the same for a change known at the address that discovery moved to.
+	NotifiedAfterMove = Time(4e9)
 
-	holdMargin = Time(200e6) // sends stop this long before they must: a process may be held up for 150 ms
-	// So long after a loss sends go on, told or not: a discovery that answers nobody must not
-	// end service.
-	heldMost = 2 * NotifiedAfter
+	holdMargin = Time(200e6) // sends stop this long before they must: a process may stall for 150 ms
+	// Sends resume at the latest this long after a loss, with or without a list: a discovery that
+	// answers nobody must not end service.
+	maxHoldDelay = 2 * NotifiedAfter
 )
 
-// unfollowed notes that discovery no longer keeps the list current, and by when that matters.
-func (b *Balancer) unfollowed(kind ListKind) {
+// scheduleHold notes that discovery no longer keeps the list current, and from when sends are held for
+// that.
+func (b *Balancer) scheduleHold(kind ListKind) {
 	var notified Time
 	switch kind {
 	case ListEnded:
@@ -28,29 +32,30 @@
 	case ListMoved:
 		notified = NotifiedAfterMove
 	case ListUnreachable:
-		b.holdFrom = 0 // discovery is down: nothing is notified before it is back
+		b.holdFrom = 0 // discovery is down: changes count as notified only after it is back
 		return
 	default:
-		return // two questions fit into the clock of the loss
+		return // two calls fit into the notification time after such a loss
 	}
-	if from := b.now + notified + b.set.DrainGrace - holdMargin; b.holdFrom == 0 || from < b.holdFrom {
-		b.holdFrom, b.holdUntil = from, b.now+heldWithin(&b.set)
+	if holdFrom := b.now + notified + b.settings.DrainGrace - holdMargin; b.holdFrom == 0 ||
+		holdFrom < b.holdFrom {
+		b.holdFrom, b.holdUntil = holdFrom, b.now+holdLimit(&b.settings)
 	}
 }
 
-// heldWithin is the time after a loss within which a discovery with the capacity that the
-// settings give has answered a whole fleet: each may ask once in MaxWatchGap.
-func heldWithin(set *Settings) Time { return min(set.MaxWatchGap, heldMost) }
+// holdLimit is the time after a loss within which a discovery with the capacity given by the settings
+// has answered a whole fleet: each instance may call once in MaxWatchGap.
+func holdLimit(set *Settings) Time { return min(set.MaxWatchGap, maxHoldDelay) }
 
-// held says whether sends wait for a list.
-func (b *Balancer) held() bool {
+// holding reports whether sends are held until a list arrives.
+func (b *Balancer) holding() bool {
 	return b.holdFrom > 0 && b.now >= b.holdFrom && b.now < b.holdUntil
 }
 
-// sendBy is until when an attempt that starts now may go out: within the window of a repeat,
-// and before sends are held. 0: there is no such limit.
-func (b *Balancer) sendBy(r *request) Time {
-	by := b.repeatBy(&r.class.Class, r.first())
+// sendDeadline is the time until which an attempt that starts now may be written: within the window of
+// a deduplicated request, and before sends are held. 0 means no limit.
+func (b *Balancer) sendDeadline(r *request) Time {
+	by := b.repeatDeadline(&r.class.Class, r.firstMayHaveRun())
 	if b.now < b.holdFrom && (by == 0 || b.holdFrom < by) {
 		by = b.holdFrom
 	}
--- a/notified_test.go
+++ b/notified_test.go
@@ -82,7 +82,7 @@
 			g.advance(5 * time.Second)
 			g.list(ListEnded)
 			asked := g.untilWatch()
-			if asked > resumeMost || asked < last {
+			if asked > maxResumeSpread || asked < last {
 				t.Errorf("rank %d of %d asks %v after the end of its watch, the one before it %v", rank, n, asked, last)
 			}
 			last = asked
--- a/settings.go
+++ b/settings.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Settings beyond these are a mistake of whoever wrote them, and would overflow.
+// Upper bounds of settings: larger values are mistakes and would overflow.
 const (
 	maxTime   = 1000 * time.Hour
 	maxCount  = 1 << 20
-	maxFigure = 1e12
+	maxNumber = 1e12
 
-	defaultAskWithin  = Time(10e9)
-	defaultDrainGrace = Time(1e9)
+	defaultMaxWatchGap = Time(10e9)
+	defaultDrainGrace  = Time(1e9)
 )
 
-// check rejects what cannot be served, naming the field, and fills in defaults.
-func check(set *Settings) error {
+// checkSettings rejects invalid settings, naming the field, and fills in defaults.
+func checkSettings(set *Settings) error {
 	switch {
 	case set.Instances < 1 || set.Instances > maxCount:
 		return fmt.Errorf("settings: instances: %d is not between 1 and %d", set.Instances, maxCount)
@@ -46,8 +46,8 @@
 		{"cold from", set.ColdCapacity}, {"overload factor", set.OverloadFactor},
 		{"over-quota worth", set.OverQuotaFactor},
 	} {
-		if !isFigure(f.x) {
-			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxFigure)
+		if !validNumber(f.x) {
+			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxNumber)
 		}
 	}
 	set.Classes = append([]Class(nil), set.Classes...)
@@ -64,88 +64,87 @@
 			return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Effect)
 		case c.DedupScope > DedupCell:
 			return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
-		case !isFigure(c.PriorityWeight):
-			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxFigure)
+		case !validNumber(c.PriorityWeight):
+			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxNumber)
 		}
 		if c.LatencyTarget == 0 || c.LatencyTarget > c.Deadline {
 			c.LatencyTarget = c.Deadline
 		}
-		orDefault(&c.PriorityWeight, 1)
+		setDefault(&c.PriorityWeight, 1)
 	}
 	for i, t := range set.Tenants {
-		if !isFigure(t.Quota) {
-			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxFigure)
+		if !validNumber(t.Quota) {
+			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxNumber)
 		}
 	}
-	orDefault(&set.MaxAttempts, 3)
-	orDefault(&set.MaxWatchGap, defaultAskWithin)
-	orDefault(&set.ColdCapacity, 1)
-	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.OverloadWindow, 1e9)
-	orDefault(&set.DrainGrace, defaultDrainGrace)
+	setDefault(&set.MaxAttempts, 3)
+	setDefault(&set.MaxWatchGap, defaultMaxWatchGap)
+	setDefault(&set.ColdCapacity, 1)
+	setDefault(&set.OverloadFactor, 2)
+	setDefault(&set.OverloadWindow, 1e9)
+	setDefault(&set.DrainGrace, defaultDrainGrace)
 	set.ColdCapacity = min(set.ColdCapacity, 1)
 	return nil
 }
 
-// isFigure is false for NaN too.
-func isFigure(x float64) bool { return x >= 0 && x <= maxFigure }
+// validNumber reports whether x is within 0 and maxNumber; it is false for NaN.
+func validNumber(x float64) bool { return x >= 0 && x <= maxNumber }
 
-func orDefault[T int | float64 | Time](v *T, def T) {
+func setDefault[T int | float64 | Time](v *T, def T) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-// UpdateSettings is a change of the settings. Open requests keep the rules they came under, their
-// attempts included; what was learnt of a class stays with its name. Settings that cannot
-// be served change nothing.
+// UpdateSettings replaces the settings. Open requests and their attempts keep the rules that they came
+// under; statistics of a class stay with its name. Invalid settings change nothing.
 func (b *Balancer) UpdateSettings(now Time, set Settings) error {
 	b.now = now
-	if err := check(&set); err != nil {
+	if err := checkSettings(&set); err != nil {
 		return err
 	}
 	var waiting []*request
-	for i := range b.bands {
-		for n := b.bands[i].head; n != nil; n = b.bands[i].head {
+	for i := range b.queues {
+		for n := b.queues[i].head; n != nil; n = b.queues[i].head {
 			waiting = append(waiting, n.item)
 			b.dequeue(n.item)
 		}
 	}
-	b.adopt(set)
-	b.order()
+	b.applySettings(set)
+	b.orderPreferred()
 	for _, r := range waiting {
-		// Its class may be gone: it waits where it would, were it there still.
-		r.band = b.lineOf(partWorth(&r.class.Class, r.part, &b.set))
-		b.push(r, false)
+		// The class may be gone: the request is queued by the priority that it had.
+		r.queueIndex = b.queueFor(queuePriority(&r.class.Class, r.flags, &b.settings))
+		b.pushQueued(r, false)
 	}
-	b.pump()
+	b.processQueues()
 	return nil
 }
 
-// adopt puts settings that are checked into force.
-func (b *Balancer) adopt(set Settings) {
-	old, quota := b.classes, b.quota
-	b.set, b.classes, b.quota = set, nil, nil
-	b.aim, b.penalty = set.Classes[0].LatencyTarget, 0
+// applySettings puts checked settings into force.
+func (b *Balancer) applySettings(set Settings) {
+	old, quota := b.classes, b.quotas
+	b.settings, b.classes, b.quotas = set, nil, nil
+	b.shortestTarget, b.penalty = set.Classes[0].LatencyTarget, 0
 	for _, c := range set.Classes {
-		b.aim = min(b.aim, c.LatencyTarget)
-		b.penalty = max(b.penalty, penaltyAims*c.LatencyTarget.Seconds())
+		b.shortestTarget = min(b.shortestTarget, c.LatencyTarget)
+		b.penalty = max(b.penalty, penaltyTargets*c.LatencyTarget.Seconds())
 		k := &class{Class: c}
 		for _, o := range old {
 			if o.Name == c.Name && c.Name != "" {
-				k.lat = o.lat
+				k.rtt = o.rtt
 			}
 		}
 		b.classes = append(b.classes, k)
 	}
-	b.decay = decayAims * b.aim.Seconds()
+	b.decay = decayTargets * b.shortestTarget.Seconds()
 	for i, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
-		q := bucket{tokens: r * quotaBurst, rate: r, at: b.now}
+		q := tokenBucket{tokens: r * quotaBurstSeconds, rate: r, filledAt: b.now}
 		if i < len(quota) && quota[i].rate == r {
 			q = quota[i]
 		}
-		b.quota = append(b.quota, q)
+		b.quotas = append(b.quotas, q)
 	}
-	b.layBands()
+	b.orderQueues()
 }
--- a/view.go
+++ b/view.go
@@ -1,7 +1,7 @@
 package lynxspool
 
-// What a view of the bank changes: how many instances share a host, and how much of its
-// traffic each sends to which of those that it draws from.
+// What a view of the fleet changes: how many instances share a host, and which share of its traffic
+// each instance sends to each host of its subset.
 
 import (
 	"math"
@@ -11,105 +11,106 @@
 )
 
 const (
-	jumps       = 8    // hosts of an instance's order that lie apart
-	viewSharers = 7    // instances that draw from each host at least: with six the fit stays uneven
-	viewDoubt   = 3    // ... but that few are there is believed to a third of the settings' count
-	viewEvery   = 1e9  // time between two looks at who sends where
-	viewHold    = 30e9 // a count of the bank holds this long after it was last so high,
-	viewFade    = 30.0 // ... and then fades by e in so many seconds
-	viewRounds  = 30   // rounds of fitting: loads then differ by some hundredths
-	viewMost    = 0.5  // of its traffic that an instance sends a host at most: a pick takes two
-	ratesSpan   = 30.0 // seconds that the rate told to peers looks back
-	rateLeast   = 0.01 // a rate told lower than this counts as this
+	scatteredHosts    = 8    // first hosts of an instance's preference order that are far apart
+	viewMinSharers    = 7    // least instances that use a host: with six the fitted loads stay uneven
+	viewMaxShrink     = 3    // a view counts as at least the settings' Instances divided by this
+	rebalanceInterval = 1e9  // nanoseconds between two fits of the traffic shares
+	peakHold          = 30e9 // nanoseconds that a peak of the instance count is kept
+	peakDecaySeconds  = 30.0 // time constant of the decay of that peak afterwards
+	fitRounds         = 30   // rounds of the fit: loads then differ by some hundredths
+	maxTrafficShare   = 0.5  // largest share of its traffic that an instance sends a host: a pick takes two
+	peerRateSpan      = 30.0 // time constant in seconds of the request rate reported to peers
+	minPeerRate       = 0.01 // least request rate a second that a peer counts with
 )
 
-// UpdatePeers is news of the bank: the instances that are there, suspect ones and this one among
-// them. Who draws from where moves slowly after it; caps and ramps of hosts are shared by
-// the larger of their number and a recent one, so that the two sides of a cut keep to them.
+// UpdatePeers applies a new view of the fleet: the instances that are present, with suspect ones and
+// this one among them. The subsets follow it slowly. Limits and slow starts of hosts are shared by the
+// larger of their number and a recent peak, so that both sides of a network partition stay within
+// them.
 func (b *Balancer) UpdatePeers(now Time, peers []Peer) {
 	b.now = now
 	first := b.peers == nil
 	b.peers = append(b.peers[:0], peers...)
 	if len(b.peers) == 0 {
-		b.peers = append(b.peers, Peer{Rank: b.set.Rank})
+		b.peers = append(b.peers, Peer{Rank: b.settings.Rank})
 	}
 	switch n := float64(len(b.peers)); {
-	case first: // it may have seen few as yet
-		b.recent, b.recentAt = max(n, float64(b.set.Instances)), now
-		b.order()
-	case n >= b.bank():
-		b.recent, b.recentAt = n, now
+	case first: // the first view may be incomplete
+		b.peakInstances, b.peakAt = max(n, float64(b.settings.Instances)), now
+		b.orderPreferred()
+	case n >= b.instances():
+		b.peakInstances, b.peakAt = n, now
 	}
 }
 
-// bank is how many instances share the caps of hosts.
-func (b *Balancer) bank() float64 {
+// instances is the number of instances that share the limits of hosts.
+func (b *Balancer) instances() float64 {
 	if b.peers == nil {
-		return float64(b.set.Instances)
+		return float64(b.settings.Instances)
 	}
-	faded := b.recent * math.Exp(-max(0, (b.now-b.recentAt-viewHold).Seconds())/viewFade)
-	return max(1, float64(len(b.peers)), faded)
+	decayed := b.peakInstances * math.Exp(-max(0, (b.now-b.peakAt-peakHold).Seconds())/peakDecaySeconds)
+	return max(1, float64(len(b.peers)), decayed)
 }
 
-// even fits the parts of its traffic that each instance sends to the hosts it draws from,
-// so that all hosts in use get the same, and keeps those of this one. Every instance does
-// the same sum on much the same view. Connections stay as they are: only their use moves,
-// halfway at a time. It acts with a view of the bank.
-func (b *Balancer) even() {
-	if b.peers == nil || b.now < b.evenAt {
+// rebalance fits the traffic shares of all instances so that all hosts in use get the same load, and
+// applies those of this one. Every instance computes the same on nearly the same view. Connections
+// stay as they are: only their use changes, halfway toward the fitted share at a time. It acts with a
+// view of the fleet.
+func (b *Balancer) rebalance() {
+	if b.peers == nil || b.now < b.rebalanceAt {
 		return
 	}
-	b.evenAt = b.now + viewEvery
-	there := max(float64(len(b.peers)), float64(b.set.Instances)/viewDoubt)
-	want := viewSharers * float64(len(b.hosts)) / there
-	b.shared += min(max(want-b.shared, -1), 1)
+	b.rebalanceAt = b.now + rebalanceInterval
+	instances := max(float64(len(b.peers)), float64(b.settings.Instances)/viewMaxShrink)
+	target := viewMinSharers * float64(len(b.hosts)) / instances
+	b.viewSubset += min(max(target-b.viewSubset, -1), 1)
 	rows, rates, own := make([][]flow.Part, len(b.peers)), make([]float64, len(b.peers)), -1
 	for i, p := range b.peers {
-		rates[i] = max(p.Rate, rateLeast)
-		if p.Rank == b.set.Rank && own < 0 {
+		rates[i] = max(p.Rate, minPeerRate)
+		if p.Rank == b.settings.Rank && own < 0 {
 			own = i
-			for _, h := range b.drawn {
+			for _, h := range b.subset {
 				if b.inUse(h) {
-					rows[i] = append(rows[i], flow.Part{To: h.index})
+					rows[i] = append(rows[i], flow.Part{To: h.ringIndex})
 				}
 			}
 			continue
 		}
-		reach := b.reachOf(rates[i], b.shared)
-		for k := 0; k < len(b.ring)+jumps && len(rows[i]) < reach; k++ {
-			part := flow.Part{To: b.at(p.Rank, k).index}
-			if h := b.ring[part.To]; h.takes() && b.inUse(h) && !slices.Contains(rows[i], part) {
+		size := b.subsetSizeFor(rates[i], b.viewSubset)
+		for k := 0; k < len(b.ring)+scatteredHosts && len(rows[i]) < size; k++ {
+			part := flow.Part{To: b.preferredHost(p.Rank, k).ringIndex}
+			if h := b.ring[part.To]; h.available() && b.inUse(h) && !slices.Contains(rows[i], part) {
 				rows[i] = append(rows[i], part)
 			}
 		}
 	}
-	flow.Even(rows, rates, len(b.ring), viewMost, viewRounds)
+	flow.Even(rows, rates, len(b.ring), maxTrafficShare, fitRounds)
 	if own < 0 {
 		return
 	}
 	for _, p := range rows[own] {
 		h := b.ring[p.To]
-		h.weight += (p.Rate/rates[own] - h.weight) / 2
+		h.trafficShare += (p.Rate/rates[own] - h.trafficShare) / 2
 	}
 }
 
-// two draws two of the ready hosts by chance, i first. With a view, each comes as often as
-// its part of the traffic says: the places of both on the sum of the parts are half of that
-// sum apart, so the two differ but for a part over half.
-func (b *Balancer) two() (i, j int) {
+// pickTwo draws two ready hosts at random, i first. With a view, each comes as often as its traffic
+// share says: the positions of the two on the sum of the shares are half of that sum apart, so they
+// differ unless a share is over half.
+func (b *Balancer) pickTwo() (i, j int) {
 	n := len(b.ready)
 	if b.peers == nil {
-		i, j = b.rand(n), b.rand(n-1)
+		i, j = b.randN(n), b.randN(n-1)
 	} else {
 		sum := 0.0
 		for _, h := range b.ready {
-			sum += b.weight(h)
+			sum += b.trafficShare(h)
 		}
-		u := b.float() * sum / 2
-		if i, j = b.place2(u), b.place2(u+sum/2); i != j {
+		u := b.randFloat() * sum / 2
+		if i, j = b.readyHostAt(u), b.readyHostAt(u+sum/2); i != j {
 			return i, j
 		}
-		j = b.rand(n - 1)
+		j = b.randN(n - 1)
 	}
 	if j >= i {
 		j++
--- a/view_test.go
+++ b/view_test.go
@@ -51,16 +51,16 @@
 	load, sum, even := map[HostID]float64{}, 0.0, map[HostID]float64{}
 	for i, g := range bank {
 		total := 0.0
-		for _, h := range g.b.drawn {
-			total += g.b.weight(h)
+		for _, h := range g.b.subset {
+			total += g.b.trafficShare(h)
 		}
-		for _, h := range g.b.drawn {
-			part := g.b.weight(h) / total
-			if part > viewMost+0.02 {
+		for _, h := range g.b.subset {
+			part := g.b.trafficShare(h) / total
+			if part > maxTrafficShare+0.02 {
 				t.Errorf("instance %d gives host %d %.2f of its traffic", i, h.ID, part)
 			}
 			load[h.ID] += rates[i] * part
-			even[h.ID] += rates[i] / float64(len(g.b.drawn))
+			even[h.ID] += rates[i] / float64(len(g.b.subset))
 		}
 		sum += rates[i]
 	}
@@ -83,12 +83,12 @@
 	b := bank[0].b
 	b.ready = append(b.ready[:0], b.ring...)
 	for i, part := range []float64{0.5, 0.3, 0.15, 0.05} {
-		b.ring[i].weight = part
+		b.ring[i].trafficShare = part
 	}
 	const picks = 20000
 	got := map[*host]float64{}
 	for range picks {
-		i, j := b.two()
+		i, j := b.pickTwo()
 		if i == j {
 			t.Fatal("one host twice")
 		}
@@ -96,8 +96,8 @@
 		got[b.ready[j]] += 0.5 / picks
 	}
 	for _, h := range b.ring {
-		if math.Abs(got[h]-h.weight) > 0.02 {
-			t.Errorf("host %d is in for %.3f of the picks, its part is %.2f", h.ID, got[h], h.weight)
+		if math.Abs(got[h]-h.trafficShare) > 0.02 {
+			t.Errorf("host %d is in for %.3f of the picks, its part is %.2f", h.ID, got[h], h.trafficShare)
 		}
 	}
 }
@@ -114,19 +114,19 @@
 	}
 	for _, g := range bank[:3] {
 		g.look(half, 10)
-		if got := g.b.bank(); got < instances {
+		if got := g.b.instances(); got < instances {
 			t.Errorf("10 s into a cut the caps are shared by %.0f of %d", got, instances)
 		}
 		g.look(half, 120)
-		if got := g.b.bank(); got > instances/2+1 {
+		if got := g.b.instances(); got > instances/2+1 {
 			t.Errorf("after 130 s they are shared by %.0f, %d are there", got, len(half))
 		}
 	}
 	alone := bank[5]
-	before := len(alone.b.drawn)
+	before := len(alone.b.subset)
 	alone.look([]Peer{{Rank: 5, Rate: 1}}, 10)
-	if more := len(alone.b.drawn) - before; more > 11 || alone.b.bank() < instances {
-		t.Errorf("alone for 10 s it draws from %d more hosts and shares caps with %.0f", more, alone.b.bank())
+	if more := len(alone.b.subset) - before; more > 11 || alone.b.instances() < instances {
+		t.Errorf("alone for 10 s it draws from %d more hosts and shares caps with %.0f", more, alone.b.instances())
 	}
 }
 
