--- a/aperture.go
+++ b/aperture.go
@@ -11,7 +11,7 @@
 const (
 	subsetSamples   = 6    // samples that an instance needs of each host within the decay time
 	minSharers      = 4    // least instances that use a host: it must not depend on the view of one
-	minSubset       = 3    // least hosts that an instance uses: a choice remains with one or two ejected
+	minSubset       = 3    // least hosts that an instance uses: two remain to choose from with one ejected
 	subsetMoveShare = 0.25 // time between two moves in the ring, in WarmAfters: new hosts are cold
 
 	goldenSection = 0.6180339887498949
--- a/api.go
+++ b/api.go
@@ -1,25 +1,25 @@
-// Package lynxspool makes the decisions of an HTTP load balancer that runs as
-// a bank of proxies, one or a thousand: where each request goes, when it is tried
-// again, when it is turned away.
+// Package lynxspool makes the decisions of an HTTP load balancer that runs as a
+// fleet of gateways, one or a thousand: where each request goes, when it is retried
+// and when it is refused.
 //
 // A [Balancer] is a state machine without I/O. The gateway that embeds it
-// reports what happens (a request arrives, an attempt ends, a timer rings, the
+// reports what happens (a request arrives, an attempt ends, a timer fires, the
 // host list changes) by calling one method per event, each with the current
-// time, and then carries out the [Action] values it collects with
+// time, and then carries out the [Action] values that it collects with
 // [Balancer.TakeActions]. The balancer starts no goroutine, reads no clock and does
 // no I/O; the same events and seed always lead to the same actions.
 //
-// The balancer keeps no slice that it is given, and what TakeActions appends belongs to
+// The balancer keeps no slice that is passed to it, and what TakeActions appends belongs to
 // the caller; in steady state neither side allocates. A balancer keeps a request
 // until it has its answer and all its attempts have ended, and a removed host until
-// its last attempt has. To start again after a restart, pass the host list saved
-// last as ListSaved right after Start.
+// its last attempt has ended. After a restart, pass the last saved host list
+// as ListSaved right after Start.
 //
 // A Balancer is not safe for concurrent use. A gateway with several threads
-// runs one Balancer in one event loop, or one Balancer a thread with Instances
+// runs one Balancer in one event loop, or one Balancer per thread with Instances
 // raised accordingly.
 //
-// This file is the whole interface; the decisions are in balancer.go, aperture.go,
+// This file has the types of the interface; the decisions are in balancer.go, aperture.go,
 // cold.go, asking.go, notified.go and view.go.
 package lynxspool
 
@@ -28,15 +28,15 @@
 	"time"
 )
 
-// Time is an instant on the gateway's own monotonic clock, as the time since
-// an arbitrary start. It must never go backward.
+// Time is an instant on the gateway's monotonic clock, as the time since an arbitrary start. It must
+// never go backward.
 type Time = time.Duration
 
-// HostID names a host. The balancer compares IDs and reads nothing into them.
+// HostID names a host. The balancer only compares IDs.
 type HostID uint64
 
-// RequestID names a client request, below 1<<56. An ID must not be used again
-// while the gateway still holds a request or an attempt under it.
+// RequestID names a client request and is below 1<<56. An ID must not be used again while the gateway
+// still holds a request or an attempt under it.
 type RequestID uint64
 
 // Effect says what a repeat of a request may do.
@@ -45,14 +45,14 @@
 // Effects of a class.
 const (
 	Idempotent   Effect = iota // may run any number of times
-	Deduplicated               // hosts of one Group drop repeats for a Window
+	Deduplicated               // hosts in the DedupScope drop repeats for a DedupWindow
 	AtMostOnce                 // must never run twice
 )
 
-// DedupScope says which hosts drop the repeats of a keyed request.
+// DedupScope says which hosts drop the repeats of a deduplicated request.
 type DedupScope uint8
 
-// Groups of a keyed class.
+// Scopes of a deduplicated class.
 const (
 	DedupAll  DedupScope = iota // every host
 	DedupZone                   // the hosts of one zone
@@ -61,17 +61,16 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Name           string        // optional; tells at UpdateSettings which classes stay
-	LatencyTarget  time.Duration // an answer within it earns the full worth; 0: the Deadline
-	Deadline       time.Duration // how long a client waits in all
-	PriorityWeight float64       // worth of an answer; 0 counts as 1
+	Name           string        // optional; UpdateSettings keeps the statistics of classes by name
+	LatencyTarget  time.Duration // an answer within it has its full value; 0: the Deadline
+	Deadline       time.Duration // longest time that a client waits
+	PriorityWeight float64       // requests of a higher weight are served first; 0: 1
 	Effect         Effect
-	DedupScope     DedupScope    // for Deduplicated
-	DedupWindow    time.Duration // for Deduplicated: counted from the first attempt that may have run
+	DedupScope     DedupScope    // of a Deduplicated class
+	DedupWindow    time.Duration // of a Deduplicated class: from the first attempt that may have run
 }
 
-// Tenant describes one customer. Quota is its requests a second over all
-// instances; 0 means no quota.
+// Tenant describes one customer. Quota is its requests a second over all instances; 0 means no quota.
 type Tenant struct {
 	Quota float64
 }
@@ -79,36 +78,36 @@
 // Settings is what a Balancer knows of its deployment. The zero value of an
 // optional field gives the default named beside it.
 type Settings struct {
-	Instances     int // balancers in the bank, this one included; at least 1
-	Rank          int // this one's number, from 0
+	Instances     int // balancers in the fleet, with this one; at least 1
+	Rank          int // number of this instance, from 0
 	Classes       []Class
 	Tenants       []Tenant      // optional
-	EventInterval time.Duration // events are handled at most this often; 0: as they come
+	EventInterval time.Duration // least time between two times that events are handled; 0: at once
 
-	MaxAttempts     int           // attempts a request may have, one at a time; 0: 3
-	CancelAllowed   bool          // Cancel actions are allowed
-	MaxRetryAfter   time.Duration // longest advice a client heeds; 0: advise nothing
-	OverQuotaFactor float64       // worth of a request beyond its tenant's quota, as a share; 0: none
+	MaxAttempts     int           // attempts of a request, one at a time; 0: 3
+	CancelAllowed   bool          // the gateway carries out Cancel actions
+	MaxRetryAfter   time.Duration // longest RetryAfter that clients respect; 0: none is given
+	OverQuotaFactor float64       // priority factor of a request beyond its tenant's quota; 0: lowest priority
 
-	WatchHosts  bool          // the host list must be asked for (Watch), it is not pushed
-	MaxWatchGap time.Duration // longest time without a watch or a question; 0: 10 s
+	WatchHosts  bool          // the host list has to be watched by calls (Watch); it is not pushed
+	MaxWatchGap time.Duration // longest time without a watch or a call; 0: 10 s
 
-	ColdCapacity   float64       // share of its capacity a host starts with; 0: 1, hosts start warm
-	WarmAfter      time.Duration // a host is warm this long after its start; 0: at once
-	OverloadFactor float64       // a cold host falls over at this multiple of its present capacity; 0: 2
-	OverloadWindow time.Duration // kept up for this long; 0: 1 s
+	ColdCapacity   float64       // share of its capacity that a host starts with; 0: 1, hosts start warm
+	WarmAfter      time.Duration // time from its start until a host is warm; 0: at once
+	OverloadFactor float64       // multiple of its present capacity that overloads a cold host; 0: 2
+	OverloadWindow time.Duration // time for which a cold host must be overloaded to fail; 0: 1 s
 
-	DrainGrace time.Duration // sends to a host may begin this long after it counts as draining or gone; 0: 1 s
+	DrainGrace time.Duration // sends may begin this long after a host counts as draining or gone; 0: 1 s
 }
 
-// HostState is what the host list says of a host.
+// HostState is the state of a host in the host list.
 type HostState uint8
 
 // Listed states.
 const (
 	Ready    HostState = iota // takes requests
-	Draining                  // finishes its work, gets nothing new
-	Removed                   // gone; only among changes
+	Draining                  // finishes its work, gets no new requests
+	Removed                   // no longer listed; only in ListChanges
 )
 
 // Host is an entry of the host list.
@@ -116,9 +115,9 @@
 	ID      HostID
 	Zone    int
 	Cell    int
-	Kind    int // machines of one kind are of like size
+	Kind    int // hosts of one kind run on machines of similar size
 	State   HostState
-	Started Time // when it last started; 0: long ago
+	Started Time // last start of the host; 0: long ago
 }
 
 // ListKind says how a host list is to be read.
@@ -128,23 +127,23 @@
 const (
 	ListFull    ListKind = iota // the whole list; hosts not on it are gone
 	ListChanges                 // only entries that changed
-	ListSaved                   // the whole list as saved earlier, maybe stale
-	ListFailed                  // a question failed or a watch broke; no entries
-
-	// No list either, but more is known of the loss than by ListFailed.
-	ListEnded       // a watch ended in order: it may have kept back a change
-	ListSilent      // a watch fell silent SilentAfter ago; the gateway asks anew by itself
-	ListMoved       // discovery has another address; the gateway asks there by itself
-	ListUnreachable // a question found nobody at the address of discovery
+	ListSaved                   // the whole list as saved earlier, perhaps stale
+	ListFailed                  // a call failed or a watch broke; no entries
+
+	// More specific kinds of loss, without entries as well.
+	ListEnded       // a watch ended in order: it may have held back a change
+	ListSilent      // a watch has been silent for SilentAfter; the gateway calls again by itself
+	ListMoved       // discovery has another address; the gateway calls it by itself
+	ListUnreachable // a call could not connect to the address of discovery
 )
 
-// IsLoss says that the news is no list but the loss of discovery.
+// IsLoss reports whether the kind stands for the loss of discovery, not for a list.
 func (k ListKind) IsLoss() bool { return k >= ListFailed }
 
-// Peer is an instance of the bank as a view of it has it.
+// Peer is an instance of the fleet in a view of it.
 type Peer struct {
 	Rank int     // as in its Settings
-	Rate float64 // requests a second that came to it of late
+	Rate float64 // recent requests a second to it
 }
 
 // Request is a client's request that now awaits one final answer.
@@ -152,30 +151,30 @@
 	ID          RequestID
 	Class       int           // index in Settings.Classes
 	Tenant      int           // index in Settings.Tenants
-	Remaining   time.Duration // until the client gives up on this try; 0: it is due now
-	Age         time.Duration // since its last byte came; 0: it came now
-	ClientRetry bool          // the client marks it as a repeat
-	Upload      bool          // it is sent as it comes; it has all its time from UploadComplete on
+	Remaining   time.Duration // time until the client gives up; 0: the deadline is now
+	Age         time.Duration // time since its last byte arrived
+	ClientRetry bool          // the client marked it as a retry
+	Upload      bool          // it is forwarded while it arrives; its deadline starts at UploadComplete
 }
 
 // Result says how an attempt ended.
 type Result uint8
 
 // Results. Those marked so prove that the attempt never ran; after any other
-// it may have.
+// it may have run.
 const (
 	OK            Result = iota
 	Failed               // the host answered with an error
-	Full                 // turned away unseen (proves it never ran)
+	Full                 // the host refused it without processing (proves it never ran)
 	TimedOut             // no answer in time
 	ConnectFailed        // no connection (proves it never ran)
 	Reset                // the connection broke
-	Canceled             // called off by a Cancel action
+	Canceled             // canceled by a Cancel action
 	NotSent              // the gateway did not send it (proves it never ran)
 	Rejected             // the host answered that the request itself is at fault
 )
 
-// ProvesNotRun says that an attempt that ended so never ran.
+// ProvesNotRun reports whether the result proves that the attempt never ran.
 func (r Result) ProvesNotRun() bool { return r == Full || r == ConnectFailed || r == NotSent }
 
 // Outcome is the end of one attempt. Each Send has exactly one.
@@ -184,24 +183,27 @@
 	Attempt       int // attempts of a request count from 0 in the order of their Send
 	Result        Result
 	Elapsed       time.Duration // since the Send
-	Answered      bool          // the client has its answer, nothing more is owed
-	NotReplayable bool          // part of the request is gone: it cannot be sent again
+	Answered      bool          // the client has its answer
+	NotReplayable bool          // part of the request is lost: it cannot be sent again
 }
 
-// ActionKind says what the gateway is asked to do.
+// ActionKind says what the gateway has to do.
 type ActionKind uint8
 
 // Kinds of action.
 const (
-	Send     ActionKind = iota // start an attempt of Request at Host, give it up at At (0: at the client's deadline); if not written whole by By (0: no limit) it must not be
-	Cancel                     // call off Attempt of Request
-	Refuse                     // final answer: turned away, trying again is harmless; After is advice (0: none)
-	Fail                       // final answer: an error that promises nothing
-	Wake                       // call Timer with Token at At or soon after
-	Close                      // close the idle connections to Host
-	Watch                      // ask discovery for changes from now on
-	Log                        // a line for those on call
-	ColdOver                   // nothing to do: a Send to Host was beyond its cold budget, which must not be
+	// Send starts an attempt of Request at Host. It must not be sent unless it is completely
+	// written by WriteBy (0: no limit), and is given up at At (0: at the client's deadline).
+	Send   ActionKind = iota
+	Cancel            // cancel Attempt of Request
+	Refuse            // final answer: refused, and a retry is harmless; RetryAfter is advice (0: none)
+	Fail              // final answer: an error that promises nothing
+	Wake              // call Timer with Token at At or soon after
+	Close             // close the idle connections to Host
+	Watch             // call discovery for changes from now on
+	Log               // write Text to the log
+	// ColdOver needs no action: it reports a Send to Host beyond its cold budget, which is a fault.
+	ColdOver
 )
 
 var (
@@ -222,8 +224,7 @@
 	return strconv.Itoa(i)
 }
 
-// Action is one thing for the gateway to do. Only the fields named at its kind
-// mean anything.
+// Action is one thing for the gateway to do. Only the fields named at its kind are set.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -80,7 +80,7 @@
 		{`"effect":"idempotent"`, `"effect":"deduplicated","window":-5`, "window"},
 		{`"effect":"idempotent"`, `"effect":"deduplicated","group":"rack"`, "group"},
 		{`"effect":"idempotent"`, `"effect":"harmless"`, "effect"},
-		{`"effect":"idempotent"`, `"effect":"idempotent","promise":-1`, "aim"},
+		{`"effect":"idempotent"`, `"effect":"idempotent","promise":-1`, "latency target"},
 		{`"hard_limit":1000000},`, `"hard_limit":0},`, "deadline"},
 		{`"version":41`, `"version":-41`, "Version"},
 		{`"started_ms":5`, `"started_ms":"noon"`, "started_ms"},
--- a/settings.go
+++ b/settings.go
@@ -55,7 +55,7 @@
 		c := &set.Classes[i]
 		switch {
 		case c.LatencyTarget < 0 || c.LatencyTarget > maxTime:
-			return fmt.Errorf("settings: class %d: aim: %v is not between 0 and %v", i, c.LatencyTarget, maxTime)
+			return fmt.Errorf("settings: class %d: latency target: %v is not between 0 and %v", i, c.LatencyTarget, maxTime)
 		case c.Deadline <= 0 || c.Deadline > maxTime:
 			return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
 		case c.DedupWindow < 0 || c.DedupWindow > maxTime:
@@ -65,7 +65,7 @@
 		case c.DedupScope > DedupCell:
 			return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
 		case !validNumber(c.PriorityWeight):
-			return fmt.Errorf("settings: class %d: worth: %v is not between 0 and %v", i, c.PriorityWeight, maxNumber)
+			return fmt.Errorf("settings: class %d: priority weight: %v is not between 0 and %v", i, c.PriorityWeight, maxNumber)
 		}
 		if c.LatencyTarget == 0 || c.LatencyTarget > c.Deadline {
 			c.LatencyTarget = c.Deadline
--- a/state.go
+++ b/state.go
@@ -6,177 +6,179 @@
 	"time"
 )
 
-// The state a Balancer keeps and its plumbing: lines, pools, random numbers.
-// Nothing here decides anything.
+// The state of a Balancer and its helpers: lists, pools, random numbers. The decisions are in
+// balancer.go and the files that it names.
 
 // Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      uint64
 	now      Time
-	actions  []Action
+	actions  []Action // since the last TakeActions
 
 	hosts         []*host   // in order of first listing, so that nothing depends on map order
-	ring          []*host   // the same order at every instance
-	preferred     []*host   // ... in the order in which this instance draws
-	subset        []*host   // those that this instance draws from
-	subsetMoveAt  Time      // when one may move
-	activeHosts   int       // drawn hosts that are neither cold nor ejected
-	arrivals      eventRate // own requests a second
-	longArrivals  eventRate // ... over a longer time
-	peers         []Peer    // the bank, this instance included; nil: no view of it
-	peakInstances float64   // the most of them of late,
-	peakAt        Time      // ... then
-	viewSubset    float64   // hosts that each draws from so that each host has viewSharers
-	rebalanceAt   Time      // when to look next at who sends where
+	ring          []*host   // the hosts in an order that is the same at every instance
+	preferred     []*host   // the hosts in this instance's order of preference
+	subset        []*host   // the hosts that this instance uses
+	subsetMoveAt  Time      // earliest time at which a host of the subset may be replaced
+	activeHosts   int       // hosts of the subset that are neither cold nor ejected
+	arrivals      eventRate // requests to this instance
+	longArrivals  eventRate // requests to this instance, over peerRateSpan
+	peers         []Peer    // view of the fleet, with this instance; nil: there is no view
+	peakInstances float64   // recent peak of the number of instances
+	peakAt        Time      // time of that peak
+	viewSubset    float64   // hosts that each instance uses so that a host has viewMinSharers
+	rebalanceAt   Time      // time of the next fit of the traffic shares
 	byID          map[HostID]*host
 	requests      map[RequestID]*request
-	inMaintenance map[HostID]bool // taken out by an operator, listed or not
-	returnedAt    map[HostID]Time // called back while another process served
+	inMaintenance map[HostID]bool // hosts in maintenance, listed or not
+	returnedAt    map[HostID]Time // ends of maintenance
 	classes       []*class
-	queues        []list[request] // waiting requests, most worth first
-	priorities    []float64       // ... of each
-	queued        int
-	inFlight      int // attempts out at the last sweep or sent since
-
-	shortestTarget Time // shortest aim of any class
-	decay          float64
-	penalty        float64
-	meanRTT        movingAverage   // ... of any class
-	kindRTT        []movingAverage // ... as of a typical class, by kind of host
-	warmRate       movingAverage   // rate of good answers of a warm host, a second
-	quotas         []tokenBucket
-
-	rttRatio     movingAverage // RTT of the last answers in aims, from any host
-	rateCutAt    Time          // last cut of the bound
-	rateGrownAt  Time          // last growth
-	rateLimit    float64       // sends a second; 0: not bounded
-	rateTokens   float64       // sends saved up under it
-	rateFilledAt Time
+	queues        []list[request] // queued requests, by falling priority
+	priorities    []float64       // priorities of the queues
+	queued        int             // requests in all queues
+	inFlight      int             // pending attempts at the last sweep and those added since
+
+	shortestTarget Time            // shortest latency target of any class
+	decay          float64         // decay time of RTT estimates in seconds
+	penalty        float64         // least RTT in seconds that an error counts as
+	meanRTT        movingAverage   // RTT of good answers of any class
+	kindRTT        []movingAverage // RTT by kind of host, scaled to the mean over all classes
+	warmRate       movingAverage   // good answers a second that this instance gets of a warm host
+	quotas         []tokenBucket   // by tenant
+
+	rttRatio     movingAverage // RTT of the last answers of any host, in goals of adjustRate
+	rateCutAt    Time          // last cut of the rate limit
+	rateGrownAt  Time          // last growth of the rate limit
+	rateLimit    float64       // sends a second; 0: not limited
+	rateTokens   float64       // sends saved up under the rate limit
+	rateFilledAt Time          // last refill of rateTokens
 	sends        eventRate
-	served       eventRate // good answers
+	served       eventRate // good answers of warm hosts
 
-	sweepAt      Time
-	ready        []*host // scratch of pick
+	sweepAt      Time    // time of the next sweep; 0: none is scheduled
+	ready        []*host // scratch space of pick
 	freeRequests []*request
 	freeAttempts []*attempt
 
 	watching      bool
-	watchAt       Time
-	watchFails    int
-	watchingSince Time // since when discovery keeps the list current, while watching
-	holdFrom      Time // sends wait for a list from then on; 0: the list is current, or may be used
-	holdUntil     Time // ... and go on without it then
+	watchAt       Time // time of the next call to discovery
+	watchFails    int  // failed calls in a row
+	watchingSince Time // while watching: since when discovery keeps the list current
+	holdFrom      Time // from then on sends wait for a list; 0: the list is current or may be used
+	holdUntil     Time // sends resume then without a list
 	logLines      [logKinds]logLine
 }
 
 // host is what this instance knows of one host.
 type host struct {
 	Host
-	hash          uint64  // its ID mixed up, and
-	ringPosition  float64 // where that puts it among its kind
+	hash          uint64  // of the ID
+	ringPosition  float64 // position by hash among the hosts of its kind, from 0 to 1
 	rtt           float64 // peak EWMA in seconds, as of rttAt
 	rttAt         Time
 	inSubset      bool
-	inMaintenance bool          // an operator has taken it out
-	ringIndex     int           // its number on the ring
-	preferIndex   int           // ... and in the order of preference
-	trafficShare  float64       // part of this instance's traffic that it should get; 0: not fitted
-	sampled       bool          // else it has the seed of its kind
+	inMaintenance bool
+	ringIndex     int           // index in Balancer.ring
+	preferIndex   int           // index in Balancer.preferred
+	trafficShare  float64       // fitted share of this instance's traffic; 0: not fitted
+	sampled       bool          // rtt has samples; otherwise initialRTT is used
 	openAttempts  int           // attempts that have not ended
-	pending       int           // ... of those, the ones that it has yet to answer
-	pendingList   list[attempt] // in the order sent
+	pending       int           // attempts that the host has yet to answer
+	pendingList   list[attempt] // those attempts in the order of sending
 	answeredAt    Time          // last answer of any kind
 	connFailedAt  Time          // last connection that failed
-	resetAt       Time          // when an operator called it back: what was sent before tells nothing
-	servedSentAt  Time          // when the last-sent attempt that it served was sent
-	limit         float64       // attempts it may hold from this instance
-	rttRatio      movingAverage // RTT of answers and time-outs in aims, not decayed
+	resetAt       Time          // end of maintenance; attempts sent before are not counted
+	servedSentAt  Time          // send time of the latest attempt that the host has served
+	limit         float64       // in-flight attempts that it may have from this instance
+	rttRatio      movingAverage // RTT of answers and timeouts in class targets, not decayed
 	limitCutAt    Time          // last cut of the limit
-	idleUntil     Time          // with a limit below one: when it may be used again
+	idleUntil     Time          // not used before, after a refusal or with a limit below one
 
-	ejections     int // ejections since the last good answer
+	ejections     int // ejections since the last answer
 	ejectUntil    Time
-	trialInFlight bool // the one attempt of a host on trial is out
+	trialInFlight bool // the single attempt at a host on trial is in flight
 
 	cold         bool // it started less than WarmAfter ago
 	coldSince    Time
-	coldSentAt   Time          // the last send while cold, or when it was told
-	coldGap      float64       // ... and the next comes so many mean gaps later,
-	coldDeadline Time          // or then at the latest; 0: no such time
-	coldSent     float64       // sends since it is cold,
-	coldAllowed  float64       // ... and how many the pacing allowed in the mean
-	warmRTT      movingAverage // RTT of good answers since its start, as of a typical class
+	coldSentAt   Time          // last send while cold, or when the host became known as cold
+	coldGap      float64       // gap to the next send, in mean gaps
+	coldDeadline Time          // the next send may be made then at the latest; 0: no such time
+	coldSent     float64       // sends while cold
+	coldAllowed  float64       // mean number of sends that the pacing allowed while cold
+	warmRTT      movingAverage // RTT of good answers since the start, scaled to a warm host and the mean class
 }
 
-// class is a class of the settings with what is learnt of it. An open request holds on
-// to it, whatever the settings are by then.
+// class is a class of the settings with its statistics. An open request keeps its class when the
+// settings change.
 type class struct {
 	Class
 	rtt      movingAverage // RTT of good answers
-	aloneRTT movingAverage // ... of those that were alone at their host
-	queues   [4]int
+	aloneRTT movingAverage // RTT of good answers to lone attempts at a host
+	queues   [4]int        // index in Balancer.queues, by queue flags
 }
 
-// request is a client request with its attempts; it is kept until it has its
-// answer and all its attempts have ended.
+// request is a client request with its attempts. It is kept until it has its answer and all its
+// attempts have ended.
 type request struct {
 	Request
 	class         *class
-	flags         int
-	maxAttempts   int // it may have
+	flags         int // queue flags
+	maxAttempts   int
 	arrived       Time
 	deadline      Time
-	expires       Time // while it waits: too late to be answered within the aim
+	expires       Time // while queued: when it has waited too long to meet its latency target
 	queueIndex    int
-	inFlight      int // attempts in flight
-	done          bool
+	inFlight      int  // attempts in flight
+	done          bool // it has its answer or needs none
 	unserved      bool // it was answered for want of time or hosts
-	attemptLost   bool // an attempt was called off as its host had lost it
-	streaming     bool // a stream has begun, it is that attempt's now
+	attemptLost   bool // an attempt was canceled as its host had lost it
+	streaming     bool // a response is being streamed: no other attempt may answer
 	notReplayable bool // it cannot be sent again
 	queued        bool
-	node          node[request] // in its line
+	node          node[request] // in its queue
 	attempts      []*attempt
 }
 
+// attempt is one sending of a request to a host.
 type attempt struct {
 	request *request
 	host    *host
 	sent    Time
 	ended   bool
 	result  Result
-	trial   bool
-	alone   bool          // nothing else of ours was there
-	pending bool          // it counts among those that its host is judged by
-	node    node[attempt] // at its host
+	trial   bool          // sent to an ejected host to see whether it answers
+	alone   bool          // this instance had no other pending attempt at the host
+	pending bool          // it is in the host's pendingList
+	node    node[attempt] // in the host's pendingList
 }
 
-// movingAverage is a moving average with deviation; the first sample sets it.
+// movingAverage is a moving mean with deviation. The first sample sets it.
 type movingAverage struct {
 	mean, dev float64
 	seen      bool
-	samples   int // samples of addLong
+	samples   int // samples of addLongTerm
 	updatedAt Time
 }
 
 // add gives a sample a weight of about one tenth.
 func (m *movingAverage) add(x float64) { m.blend(x, meanWeight) }
 
-// addLongTerm gives each sample the same weight at first, and then longWeight.
+// addLongTerm gives each sample the same weight at first, and later longTermWeight.
 func (m *movingAverage) addLongTerm(x float64) {
 	m.samples++
 	m.blend(x, max(1/float64(m.samples), longTermWeight))
 }
 
-// addTimed gives a sample more weight the longer ago the last one is, so that the
-// mean is about span old however seldom samples come.
+// addTimed gives a sample more weight the longer ago the last one is, so that the mean has the time
+// constant span, in seconds, even where samples are rare.
 func (m *movingAverage) addTimed(x float64, now Time, span float64) {
 	w := 1 - math.Exp(-(now-m.updatedAt).Seconds()/span)
 	m.updatedAt = now
 	m.blend(x, min(max(w, meanWeight), maxRecentWeight))
 }
 
+// blend gives a sample the weight w.
 func (m *movingAverage) blend(x, w float64) {
 	if !m.seen {
 		m.mean, m.dev, m.seen = x, x/2, true
@@ -186,23 +188,24 @@
 	m.mean += w * (x - m.mean)
 }
 
-// minEvents is how many events tell a rate, give or take a third.
+// minEvents is the number of events from which a rate is known, to about a third.
 const minEvents = 10
 
-// eventRate is a decaying count of events, a second.
+// eventRate is an exponentially decaying rate of events a second.
 type eventRate struct {
 	perSecond float64
 	updatedAt Time
-	firstAt   Time // the first event
+	firstAt   Time // time of the first event
 }
 
-// corrected is the rate without what a young count lacks of it; it says false while too few
-// were counted to tell.
+// corrected is the rate corrected for the short time since the first event. It reports false while
+// there are fewer events than minEvents.
 func (r *eventRate) corrected(now Time, span float64) (float64, bool) {
 	age, counted := (now-r.firstAt).Seconds()/span, r.value(now, span)
 	return counted / (1 - math.Exp(-age)), counted*span >= minEvents
 }
 
+// value is the rate decayed to now, with the time constant span in seconds.
 func (r *eventRate) value(now Time, span float64) float64 {
 	return r.perSecond * math.Exp(-(now-r.updatedAt).Seconds()/span)
 }
@@ -214,8 +217,7 @@
 	r.perSecond, r.updatedAt = r.value(now, span)+1/span, now
 }
 
-// list is a line that its items can leave from anywhere. The items hold their own
-// nodes, so that nothing is allocated.
+// list is a doubly linked list whose items hold their own nodes, so that nothing is allocated.
 type list[T any] struct{ head, tail *node[T] }
 
 type node[T any] struct {
@@ -255,12 +257,13 @@
 	n.prev, n.next = nil, nil
 }
 
+// tokenBucket limits the requests of a tenant. Its rate is in requests a second; 0 means no limit.
 type tokenBucket struct {
 	tokens, rate float64
 	filledAt     Time
 }
 
-// oldestSentSince is the oldest attempt out at a host that was sent at t or later, or nil.
+// oldestSentSince is the oldest pending attempt at a host that was sent at t or later, or nil.
 func (h *host) oldestSentSince(t Time) *attempt {
 	for n := h.pendingList.head; n != nil; n = n.next {
 		if n.item.sent >= t {
@@ -270,9 +273,9 @@
 	return nil
 }
 
-// notOvertaken is how many attempts are out at a host that no later one has passed, and the
-// oldest of them. One that was passed is stuck: it tells nothing of what the host does
-// for others.
+// notOvertaken is the number of pending attempts at a host that were sent no earlier than the latest
+// one served, and the oldest of them. An attempt that a later one has overtaken is lost and does not
+// show how the host serves others.
 func (h *host) notOvertaken() (oldest *attempt, n int) {
 	if oldest = h.oldestSentSince(h.servedSentAt); oldest == nil {
 		return nil, 0
@@ -283,9 +286,10 @@
 	return oldest, n
 }
 
-// addPending enters an attempt among those that its host has yet to answer, which are its load
-// and what it is judged by; land takes it out. One whose request is still coming, or whose
-// answer has begun, is the client's to end: it may take long, and is no work there.
+// addPending adds an attempt to those that its host has yet to answer: they are the load of the host,
+// and their times count for its statistics. An attempt whose request is still being uploaded, or whose
+// response has begun, is not among them: its time depends on the client, and it is no load at the
+// host.
 func (b *Balancer) addPending(a *attempt) {
 	a.node.item, a.pending = a, true
 	a.host.pendingList.pushBack(&a.node)
@@ -293,6 +297,7 @@
 	b.inFlight++
 }
 
+// removePending undoes addPending.
 func (b *Balancer) removePending(a *attempt) {
 	if a.pending {
 		a.pending = false
@@ -301,7 +306,7 @@
 	}
 }
 
-// firstMayHaveRun is the earliest attempt that may have run or is still out, or nil.
+// firstMayHaveRun is the earliest attempt that may have run or has not ended, or nil.
 func (r *request) firstMayHaveRun() *attempt {
 	for _, a := range r.attempts {
 		if !a.ended || a.result.mayHaveRun() {
@@ -311,8 +316,8 @@
 	return nil
 }
 
-// repeatDeadline is until when a keyed request may go out again after its first attempt that may
-// have run: a repeat that reaches its host later would run. 0: there is no such limit.
+// repeatDeadline is the time until which a deduplicated request may be sent again after its first
+// attempt that may have run: a repeat that reaches its host later would run. 0 means no limit.
 func (b *Balancer) repeatDeadline(c *Class, first *attempt) Time {
 	if first == nil || c.Effect != Deduplicated {
 		return 0
@@ -320,11 +325,12 @@
 	return first.sent + c.DedupWindow - answerIntervals*b.settings.EventInterval
 }
 
-// rejected says whether a host found the request itself at fault: others would too.
+// rejected reports whether a host found the request itself at fault: other hosts would too.
 func (r *request) rejected() bool {
 	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].result == Rejected
 }
 
+// mayHaveRun reports whether an attempt that ended so may have run.
 func (x Result) mayHaveRun() bool { return !x.ProvesNotRun() }
 
 // finish closes a request that has its answer or needs none.
@@ -338,7 +344,7 @@
 	b.release(r)
 }
 
-// cancelAttempts calls off what is in flight for the request but attempt keep.
+// cancelAttempts cancels the attempts in flight of the request, but for attempt number except.
 func (b *Balancer) cancelAttempts(r *request, except int) {
 	for i, a := range r.attempts {
 		if i != except && !a.ended && b.settings.CancelAllowed {
@@ -347,7 +353,7 @@
 	}
 }
 
-// resetHost makes a host one of which nothing is known.
+// resetHost discards the statistics of a host.
 func (b *Balancer) resetHost(h *host) {
 	h.rtt, h.rttAt, h.sampled, h.rttRatio = 0, b.now, false, movingAverage{}
 	h.ejections, h.ejectUntil, h.trialInFlight, h.idleUntil = 0, 0, false, 0
@@ -355,7 +361,7 @@
 	h.limit = initialLimit / b.sharers()
 }
 
-// scheduleSweep makes sure that waiting requests and hosts are looked at again.
+// scheduleSweep schedules the next check of queued requests and pending attempts, if there are any.
 func (b *Balancer) scheduleSweep() {
 	if b.sweepAt == 0 && (b.queued > 0 || b.inFlight > 0) {
 		b.sweepAt = b.now + max(b.settings.EventInterval, Time(float64(b.shortestTarget)*sweepShare))
@@ -363,8 +369,8 @@
 	}
 }
 
-// trafficShare is a host's part of this instance's traffic; one that is not fitted, as it is cold
-// or new, has that of an even spread.
+// trafficShare is a host's share of this instance's traffic. A host without a fitted share, as it is
+// cold or new, has that of an even spread.
 func (b *Balancer) trafficShare(h *host) float64 {
 	if h.trafficShare > 0 {
 		return h.trafficShare
@@ -372,7 +378,7 @@
 	return 1 / float64(max(len(b.subset), 1))
 }
 
-// readyHostAt is the ready host at a place on the sum of their parts.
+// readyHostAt is the index of the ready host at a position on the sum of the traffic shares.
 func (b *Balancer) readyHostAt(position float64) int {
 	for i, h := range b.ready {
 		if position -= b.trafficShare(h); position < 0 {
@@ -382,7 +388,7 @@
 	return len(b.ready) - 1
 }
 
-// dropIfRemoved drops a removed host once nothing of ours is out there.
+// dropIfRemoved drops a removed host once it has no open attempts.
 func (b *Balancer) dropIfRemoved(h *host) {
 	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
 		return
@@ -396,7 +402,7 @@
 	}
 }
 
-// take uses one request of a tenant's quota; false means the tenant is over it.
+// take uses one request of a tenant's quota; it reports false if the quota is used up.
 func (t *tokenBucket) take(now Time) bool {
 	if t.rate <= 0 {
 		return true
@@ -410,7 +416,7 @@
 	return true
 }
 
-// release forgets an ended request once its last attempt has ended.
+// release drops a finished request once its last attempt has ended.
 func (b *Balancer) release(r *request) {
 	if !r.done || r.inFlight > 0 {
 		return
@@ -442,7 +448,7 @@
 	return a
 }
 
-// pushQueued adds a request to its line, at the front or at the back.
+// pushQueued adds a request to its queue.
 func (b *Balancer) pushQueued(r *request, atFront bool) {
 	r.queued, r.node.item = true, r
 	b.queued++
@@ -461,7 +467,7 @@
 	}
 }
 
-// What is logged; each kind is limited by itself.
+// Kinds of log line. The rate of each kind is limited separately.
 const (
 	logEject = iota
 	logReturn
@@ -473,16 +479,17 @@
 	logKinds
 )
 
-// logInterval is the least time between two lines of a kind.
+// logInterval is the least time between two log lines of a kind.
 const logInterval = 10 * time.Second
 
+// logLine is the state of the rate limit of a kind of log line.
 type logLine struct {
 	loggedAt   Time
 	logged     bool
-	suppressed int // lines held back since
+	suppressed int // lines held back since loggedAt
 }
 
-// log tells those on call, a line of a kind every logEvery at most.
+// log emits a log line for operators, at most one of a kind in a logInterval.
 func (b *Balancer) log(kind int, format string, args ...any) {
 	l := &b.logLines[kind]
 	if l.logged && b.now-l.loggedAt < logInterval {
@@ -497,40 +504,42 @@
 	b.emit(Action{Kind: Log, Text: text})
 }
 
-// nextRand is splitmix64: small, seeded, and the same everywhere.
+// nextRand is splitmix64, a small generator with the same sequence on every platform.
 func (b *Balancer) nextRand() uint64 {
 	b.rng += 0x9e3779b97f4a7c15
 	return mix(b.rng)
 }
 
-// mix spreads the bits of z.
+// mix is the output function of splitmix64, also used to hash host IDs.
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
+// randN is a random number from 0 to n-1.
 func (b *Balancer) randN(n int) int { return int(b.nextRand() >> 33 % uint64(n)) }
 
+// randFloat is a random number from 0 up to 1.
 func (b *Balancer) randFloat() float64 { return float64(b.nextRand()>>11) / (1 << 53) }
 
-// RequestRate is the requests a second that came to this instance of late.
+// RequestRate is the recent rate of requests a second to this instance.
 func (b *Balancer) RequestRate(now Time) float64 {
 	if b.longArrivals.perSecond == 0 {
 		return 0
 	}
 	rate, _ := b.longArrivals.corrected(now, peerRateSpan)
-	return min(rate, b.longArrivals.value(now, peerRateSpan)*peerRateSpan) // as if over a second at least
+	return min(rate, b.longArrivals.value(now, peerRateSpan)*peerRateSpan) // counted over at least one second
 }
 
-// FleetStatus tells how many instances are in the view, by how many the caps of hosts are shared,
-// and from how many hosts this one draws.
+// FleetStatus returns the number of instances in the view, the number by which the limits of hosts are
+// shared, and the number of hosts that this instance uses.
 func (b *Balancer) FleetStatus() (live int, sharedBy float64, draws int) {
 	return len(b.peers), b.instances(), len(b.subset)
 }
 
-// TakeActions appends the actions decided since the last call to dst. The balancer
-// keeps no reference to what it returns.
+// TakeActions appends the actions decided since the last call to dst. The balancer keeps no reference
+// to them.
 func (b *Balancer) TakeActions(dst []Action) []Action {
 	dst = append(dst, b.actions...)
 	b.actions = b.actions[:0]
@@ -539,6 +548,7 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
+// wake emits a Wake action.
 func (b *Balancer) wake(at Time, token uint64) {
 	b.emit(Action{Kind: Wake, At: at, Token: token})
 }
