--- a/aperture.go
+++ b/aperture.go
@@ -80,9 +80,9 @@
 }
 
 // preferredHost is the k-th host in the order of preference of a rank; with a view, a host may come
-// twice. The order starts at the rank's multiple of the golden section. Any run of these multiples is
-// spread evenly over the ring, and so is what remains when a run of ranks, or every second rank, is
-// absent.
+// twice. The order starts at the rank's multiple of the golden section, modulo the ring. Any run of
+// these multiples is spread evenly over the ring, and so is what remains when a run of ranks, or every
+// second rank, is absent.
 func (b *Balancer) preferredHost(rank, k int) *host {
 	n := len(b.ring)
 	_, start := math.Modf(float64(rank) * goldenSection)
--- a/api.go
+++ b/api.go
@@ -97,7 +97,7 @@
 	OverloadFactor float64       // multiple of its present capacity that overloads a cold host; 0: 2
 	OverloadWindow time.Duration // time for which a cold host must be overloaded to fail; 0: 1 s
 
-	DrainGrace time.Duration // sends may begin this long after a host counts as draining or gone; 0: 1 s
+	DrainGrace time.Duration // sends may still begin this long after a host counts as draining or gone; 0: 1 s
 }
 
 // HostState is the state of a host in the host list.
@@ -151,7 +151,7 @@
 	ID          RequestID
 	Class       int           // index in Settings.Classes
 	Tenant      int           // index in Settings.Tenants
-	Remaining   time.Duration // time until the client gives up; 0: the deadline is now
+	Remaining   time.Duration // time until the client gives up on this request; 0: its deadline is now
 	Age         time.Duration // time since its last byte arrived
 	ClientRetry bool          // the client marked it as a retry
 	Upload      bool          // it is forwarded while it arrives; its deadline starts at UploadComplete
@@ -183,7 +183,7 @@
 	Attempt       int // attempts of a request count from 0 in the order of their Send
 	Result        Result
 	Elapsed       time.Duration // since the Send
-	Answered      bool          // the client has its answer
+	Answered      bool          // the client has its answer: none is owed any more
 	NotReplayable bool          // part of the request is lost: it cannot be sent again
 }
 
--- a/asking.go
+++ b/asking.go
@@ -23,8 +23,8 @@
 	firstCallShare     = 0.25        // share of MaxWatchGap within which all first calls are made
 	fleetCallGap       = Time(10e6)  // between two calls of the fleet while discovery fails: 100 a second
 	unreachableCallGap = Time(500e6) // least gap of an instance while discovery's address is unreachable
-	minBackoffShare    = 1.0 / 16    // first backoff of an instance of a small fleet, in MaxWatchGaps
-	maxBackoffShare    = 0.25        // backoff that doublings lead to in a small fleet, in MaxWatchGaps
+	minBackoffShare    = 1.0 / 16    // first backoff in a small fleet, in MaxWatchGaps
+	maxBackoffShare    = 0.25        // longest backoff in a small fleet, after doublings, in MaxWatchGaps
 )
 
 // firstCallDelay is the time from the start of an instance to its first call; a single instance does
@@ -57,7 +57,7 @@
 	if listed { // two calls fit into NotifiedAfter: only the slot of the last call is skipped
 		gap = period / max(n, 2)
 	}
-	if fails == 0 { // the last call did not fail
+	if fails == 0 { // a watch broke: no call was just made
 		gap = backoff / 2
 	}
 	return nextSlot(set, now, gap, period, jitter)
--- a/balancer.go
+++ b/balancer.go
@@ -23,14 +23,14 @@
 const (
 	decayTargets      = 8         // decay time of an RTT estimate: it outlasts a gap between samples
 	decayGaps         = 4         // decay time in gaps between samples of a host, where that is longer
-	decayMaxFactor    = 8         // longest decay time by decayGaps, in times that by decayTargets
+	decayMaxFactor    = 8         // longest decay time, in times that of decayTargets
 	maxKinds          = 255       // highest kind of host with an RTT mean of its own
 	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
 	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
 	meanWeight        = 0.1       // weight of a sample in a mean: about the last ten count
 	longTermWeight    = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
-	backoffTargets    = 2         // first ejection
-	backoffDoublings  = 5         // most doublings of an ejection
+	backoffTargets    = 2         // duration of a first ejection
+	backoffDoublings  = 5         // most doublings of that duration
 	silenceDeviations = 4         // deviations above the mean RTT after which a host counts as silent
 	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
 	rateSpanWindows   = 4         // time constant of the event rates, in OverloadWindows
@@ -55,7 +55,7 @@
 	retryFactor       = 0.5       // priority factor of a client's retry: it may be answered too late
 	queueShare        = 0.2       // longest wait in a queue, in class targets
 	sweepShare        = 1.0 / 16  // time between sweeps of queues and hosts, in shortest targets
-	answerIntervals   = 2         // least EventIntervals from an answer for want of time to the deadline
+	answerIntervals   = 2         // EventIntervals before the deadline by which a request is answered
 )
 
 // Kinds of timer token.
@@ -170,7 +170,7 @@
 // machine: its statistics are reset, and it is cold.
 func (b *Balancer) SetMaintenance(now Time, id HostID, on bool) {
 	b.now = now
-	was := b.inMaintenance[id]
+	wasOn := b.inMaintenance[id]
 	h := b.byID[id]
 	if on {
 		b.inMaintenance[id] = true
@@ -178,7 +178,7 @@
 	} else {
 		delete(b.inMaintenance, id)
 	}
-	if was == on {
+	if wasOn == on {
 		return
 	}
 	if !on {
@@ -279,14 +279,14 @@
 
 // UploadComplete reports that the last byte of a request that was forwarded while it arrived is with
 // the host. Its deadline and the measured time of its attempt start here.
-func (b *Balancer) UploadComplete(now Time, id RequestID, left Time) {
+func (b *Balancer) UploadComplete(now Time, id RequestID, remaining Time) {
 	b.now = now
 	r := b.requests[id]
 	if r == nil || r.done || !r.Upload {
 		return
 	}
 	r.Upload, r.arrived = false, now
-	r.deadline = now + min(max(left, 0), r.class.Deadline)
+	r.deadline = now + min(max(remaining, 0), r.class.Deadline)
 	for _, a := range r.attempts {
 		if !a.ended {
 			a.sent = now
@@ -534,7 +534,7 @@
 }
 
 // eject excludes a host, for longer with each ejection in a row.
-func (b *Balancer) eject(h *host, why string) {
+func (b *Balancer) eject(h *host, reason string) {
 	if h.ejections > 0 && b.now < h.ejectUntil {
 		return
 	}
@@ -542,7 +542,7 @@
 	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.randFloat()))
 	h.ejections++
 	if h.ejections == 1 {
-		b.log(logEject, "host %x ejected: %s", h.ID, why)
+		b.log(logEject, "host %x ejected: %s", h.ID, reason)
 	}
 }
 
@@ -571,7 +571,7 @@
 func (b *Balancer) send(r *request, h *host) {
 	a := b.newAttempt()
 	a.request, a.host, a.sent = r, h, b.now
-	by := b.sendDeadline(r)
+	writeBy := b.sendDeadline(r)
 	a.trial = h.ejections > 0
 	h.trialInFlight = h.trialInFlight || a.trial
 	r.attempts = append(r.attempts, a)
@@ -584,7 +584,7 @@
 	if h.cold {
 		b.recordColdSend(h)
 	}
-	b.emit(Action{Kind: Send, Request: r.ID, Host: h.ID, WriteBy: by})
+	b.emit(Action{Kind: Send, Request: r.ID, Host: h.ID, WriteBy: writeBy})
 	b.sends.add(b.now, b.rateSpan())
 	b.rateTokens = max(b.rateTokens-1, 0)
 	b.scheduleSweep()
@@ -596,7 +596,7 @@
 	if a.sent < h.resetAt {
 		return // it ran on a former process of that host
 	}
-	// In class targets, or relative to the mean of the class where that gives more.
+	// The RTT in class targets, or relative to the mean of the class where that gives more.
 	ratio := rtt / a.request.class.LatencyTarget.Seconds()
 	if l := &a.request.class.rtt; l.seen {
 		ratio = max(ratio, limitTargets/limitFactor*rtt/l.mean)
@@ -745,11 +745,11 @@
 
 // afterAttempt decides what follows the end of an attempt: nothing if the request has its answer,
 // another attempt if class and time allow it, and else the final answer.
-func (b *Balancer) afterAttempt(r *request, a *attempt, closed bool) {
+func (b *Balancer) afterAttempt(r *request, a *attempt, answered bool) {
 	switch {
 	case r.done:
 		b.release(r)
-	case closed || a.result == OK && r.streaming:
+	case answered || a.result == OK && r.streaming:
 		b.finish(r)
 	case r.inFlight > 0 || r.queued:
 	case b.mayRetry(r):
@@ -803,7 +803,7 @@
 		}
 	}
 	for i := range b.queues {
-		if full := b.serveQueue(&b.queues[i]); full {
+		if noneReady := b.serveQueue(&b.queues[i]); noneReady {
 			break
 		}
 	}
--- a/notified.go
+++ b/notified.go
@@ -55,9 +55,9 @@
 // sendDeadline is the time until which an attempt that starts now may be written: within the window of
 // a deduplicated request, and before sends are held. 0 means no limit.
 func (b *Balancer) sendDeadline(r *request) Time {
-	by := b.repeatDeadline(&r.class.Class, r.firstMayHaveRun())
-	if b.now < b.holdFrom && (by == 0 || b.holdFrom < by) {
-		by = b.holdFrom
+	writeBy := b.repeatDeadline(&r.class.Class, r.firstMayHaveRun())
+	if b.now < b.holdFrom && (writeBy == 0 || b.holdFrom < writeBy) {
+		writeBy = b.holdFrom
 	}
-	return by
+	return writeBy
 }
--- a/settings.go
+++ b/settings.go
@@ -113,7 +113,7 @@
 	b.applySettings(set)
 	b.orderPreferred()
 	for _, r := range waiting {
-		// The class may be gone: the request is queued by the priority that it had.
+		// The class may be gone: the request is queued by the priority that it would have.
 		r.queueIndex = b.queueFor(queuePriority(&r.class.Class, r.flags, &b.settings))
 		b.pushQueued(r, false)
 	}
--- a/state.go
+++ b/state.go
@@ -173,19 +173,19 @@
 // addTimed gives a sample more weight the longer ago the last one is, so that the mean has the time
 // constant span, in seconds, even where samples are rare.
 func (m *movingAverage) addTimed(x float64, now Time, span float64) {
-	w := 1 - math.Exp(-(now-m.updatedAt).Seconds()/span)
+	weight := 1 - math.Exp(-(now-m.updatedAt).Seconds()/span)
 	m.updatedAt = now
-	m.blend(x, min(max(w, meanWeight), maxRecentWeight))
+	m.blend(x, min(max(weight, meanWeight), maxRecentWeight))
 }
 
 // blend gives a sample the weight w.
-func (m *movingAverage) blend(x, w float64) {
+func (m *movingAverage) blend(x, weight float64) {
 	if !m.seen {
 		m.mean, m.dev, m.seen = x, x/2, true
 		return
 	}
-	m.dev += w * (math.Abs(x-m.mean) - m.dev)
-	m.mean += w * (x - m.mean)
+	m.dev += weight * (math.Abs(x-m.mean) - m.dev)
+	m.mean += weight * (x - m.mean)
 }
 
 // minEvents is the number of events from which a rate is known, to about a third.
@@ -331,7 +331,7 @@
 }
 
 // mayHaveRun reports whether an attempt that ended so may have run.
-func (x Result) mayHaveRun() bool { return !x.ProvesNotRun() }
+func (r Result) mayHaveRun() bool { return !r.ProvesNotRun() }
 
 // finish closes a request that has its answer or needs none.
 func (b *Balancer) finish(r *request) {
@@ -534,7 +534,7 @@
 
 // FleetStatus returns the number of instances in the view, the number by which the limits of hosts are
 // shared, and the number of hosts that this instance uses.
-func (b *Balancer) FleetStatus() (live int, sharedBy float64, draws int) {
+func (b *Balancer) FleetStatus() (live int, sharedBy float64, hostsUsed int) {
 	return len(b.peers), b.instances(), len(b.subset)
 }
 
