--- a/balancer.go
+++ b/balancer.go
@@ -48,7 +48,7 @@
 	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, where lower
 	maxRateRatio      = 3         // most that an answer counts, in RTT goals: it may be an outlier
 	rateRatioWeight   = 1.0 / 8   // weight of an answer in the mean RTT ratio, which has few samples
-	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has part of an attempt
+	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has under one attempt
 	rateGrowthDecays  = 2         // time in which the rate limit grows by e, in decay times
 	rateBurst         = 4         // sends that may be saved up under the rate limit
 	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
@@ -694,8 +694,8 @@
 
 // adjustRate steers this instance's send rate by the RTT of its last answers, against the mean of
 // their class and its latency target. It guards the fleet against overload, once a round, where
-// rateMinSharers instances or more have part of an attempt at a host. A cold host is guarded by its
-// pacing; its answers only let the limit grow.
+// rateMinSharers instances or more share a host and have less than one attempt each there. A cold host
+// is guarded by its pacing; its answers only let the limit grow.
 func (b *Balancer) adjustRate(a *attempt, rtt float64) {
 	target := rateTargets * a.request.class.LatencyTarget.Seconds()
 	if l := &a.request.class.rtt; l.seen {
