--- a/aperture_test.go
+++ b/aperture_test.go
@@ -10,7 +10,7 @@
 func TestAbsentRanksThinAllDrawsAlike(t *testing.T) {
 	const instances = 300
 	for _, n := range []int{200, 40, 173} {
-		list := hosts(n)
+		list := testHosts(n)
 		for name, absent := range map[string]func(rank int) bool{
 			"none":           func(int) bool { return false },
 			"third in a run": func(rank int) bool { return rank >= 70 && rank < 170 },
@@ -22,9 +22,9 @@
 				if absent(rank) {
 					continue
 				}
-				set := basic()
+				set := basicSettings()
 				set.Instances, set.Rank = instances, rank
-				g := start(t, set, list...)
+				g := startGateway(t, set, list...)
 				g.request(0, time.Second)
 				for _, h := range g.b.subset {
 					sharers[h.ID]++
--- a/asking_test.go
+++ b/asking_test.go
@@ -11,28 +11,28 @@
 // 3 s of the return. One that is alone asks at once.
 func TestBankSparesDiscovery(t *testing.T) {
 	const instances = 300
-	set := basic()
+	set := basicSettings()
 	set.WatchHosts, set.Instances, set.MaxWatchGap = true, instances, 10*time.Second
 	var calls []Time // since the start of all
 	for rank := range instances {
 		set.Rank = rank
-		g := start(t, set)
-		from, last := g.now, Time(0)
-		for g.now-from < 23*time.Second {
+		g := startGateway(t, set)
+		startedAt, lastCall := g.now, Time(0)
+		for g.now-startedAt < 23*time.Second {
 			for _, a := range g.advance(10 * ms) {
 				if a.Kind == Watch {
-					last = g.now - from
-					calls = append(calls, last)
-					g.list(ListFailed)
+					lastCall = g.now - startedAt
+					calls = append(calls, lastCall)
+					g.updateHosts(ListFailed)
 				}
 			}
 		}
-		if last < 20*time.Second {
-			t.Errorf("rank %d asks last %v after the start, not within 3 s of the return at 20 s", rank, last)
+		if lastCall < 20*time.Second {
+			t.Errorf("rank %d asks last %v after the start, not within 3 s of the return at 20 s", rank, lastCall)
 		}
 	}
 	slices.Sort(calls)
-	most := func(width, from Time) (n int) {
+	maxCallsWithin := func(width, from Time) (n int) {
 		for i, at := range calls {
 			k := i
 			for k < len(calls) && calls[k]-at < width {
@@ -44,14 +44,14 @@
 		}
 		return n
 	}
-	if n := most(100*ms, 0); n > instances/10 {
+	if n := maxCallsWithin(100*ms, 0); n > instances/10 {
 		t.Errorf("%d calls in 100 ms", n)
 	}
-	if n := most(time.Second, 6*time.Second); n > 110 { // what is told here is told 10 ms late at most
+	if n := maxCallsWithin(time.Second, 6*time.Second); n > 110 { // what is told here is told 10 ms late at most
 		t.Errorf("%d calls in a second, want 100 and a few at the edges", n)
 	}
 	set.Instances, set.Rank = 1, 0
-	if acts := start(t, set).advance(ms); len(acts) != 1 {
+	if acts := startGateway(t, set).advance(ms); len(acts) != 1 {
 		t.Errorf("one alone does %v at its start", acts)
 	}
 }
@@ -62,8 +62,8 @@
 // that is shorter, in the time that a list may go unasked.
 func TestTwoCallsFitIntoTheClock(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 60, 300, 350, 1024} {
-		for _, within := range []Time{time.Second, 10 * time.Second, 60 * time.Second} {
-			set := Settings{Instances: n, MaxWatchGap: within}
+		for _, maxGap := range []Time{time.Second, 10 * time.Second, 60 * time.Second} {
+			set := Settings{Instances: n, MaxWatchGap: maxGap}
 			calls, span := 0, 120*time.Second
 			for rank := range n {
 				set.Rank = rank
@@ -72,17 +72,17 @@
 				for now < span {
 					next := NextWatchCall(&set, now, fails, true, rng.randFloat())
 					if wait := next - now; wait <= 0 || wait > MaxWatchBackoff+MaxWatchBackoff/Time(n) {
-						t.Fatalf("%d instances, %v unasked: rank %d waits %v after %d fails", n, within, rank, wait, fails)
+						t.Fatalf("%d instances, %v unasked: rank %d waits %v after %d fails", n, maxGap, rank, wait, fails)
 					}
-					if broken := NextWatchCall(&set, now, 0, true, rng.randFloat()) - now; broken > MaxWatchBackoff+MaxWatchBackoff/Time(n)+within/32 {
-						t.Fatalf("%d instances, %v unasked: rank %d waits %v after its watch broke", n, within, rank, broken)
+					if wait := NextWatchCall(&set, now, 0, true, rng.randFloat()) - now; wait > MaxWatchBackoff+MaxWatchBackoff/Time(n)+maxGap/32 {
+						t.Fatalf("%d instances, %v unasked: rank %d waits %v after its watch broke", n, maxGap, rank, wait)
 					}
 					now, fails, calls = next, fails+1, calls+1
 				}
 			}
-			most := max(100, float64(n)/min(within, MaxWatchBackoff).Seconds())
-			if rate := float64(calls) / span.Seconds(); rate > most*1.05 {
-				t.Errorf("%d instances, %v unasked: %.0f calls a second", n, within, rate)
+			maxRate := max(100, float64(n)/min(maxGap, MaxWatchBackoff).Seconds())
+			if rate := float64(calls) / span.Seconds(); rate > maxRate*1.05 {
+				t.Errorf("%d instances, %v unasked: %.0f calls a second", n, maxGap, rate)
 			}
 		}
 	}
--- a/cold_test.go
+++ b/cold_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// allCold is an instance of a bank that starts together with its hosts.
-func allCold(t *testing.T, instances, rank, n int) *gateway {
-	set := basic()
+// startAllCold is an instance of a bank that starts together with its hosts.
+func startAllCold(t *testing.T, instances, rank, n int) *gateway {
+	set := basicSettings()
 	set.Instances, set.Rank = instances, rank
-	g := start(t, set)
-	list := hosts(n)
+	g := startGateway(t, set)
+	list := testHosts(n)
 	for i := range list {
 		list[i].Started = g.now
 	}
-	g.list(ListFull, list...)
+	g.updateHosts(ListFull, list...)
 	return g
 }
 
@@ -24,7 +24,7 @@
 	const instances, n = 200, 40
 	sharers := map[HostID]int{}
 	for rank := range instances {
-		g := allCold(t, instances, rank, n)
+		g := startAllCold(t, instances, rank, n)
 		g.request(0, 0)
 		g.request(0, time.Second)
 		for _, h := range g.b.subset {
@@ -49,15 +49,15 @@
 	const instances, n = 100, 20
 	sent := map[HostID]int{}
 	for rank := range instances {
-		g := allCold(t, instances, rank, n)
-		from := g.now
-		for g.now-from < 4*time.Second {
+		g := startAllCold(t, instances, rank, n)
+		startedAt := g.now
+		for g.now-startedAt < 4*time.Second {
 			g.request(0, time.Second)
-			for _, a := range append(append([]Action(nil), g.acts...), g.advance(50*ms)...) {
+			for _, a := range append(append([]Action(nil), g.actions...), g.advance(50*ms)...) {
 				if a.Kind == Send {
 					g.now += 100 * ms
 					g.outcome(a.Request, 0, OK, 100*ms)
-					if g.now-from > 3*time.Second {
+					if g.now-startedAt > 3*time.Second {
 						sent[a.Host]++
 					}
 				}
@@ -82,13 +82,13 @@
 // rate of all sends is not cut for it. The same answers from warm hosts do cut it.
 func TestColdAnswersDoNotBoundTheRate(t *testing.T) {
 	for _, cold := range []bool{true, false} {
-		g := allCold(t, 8, 0, 2)
+		g := startAllCold(t, 8, 0, 2)
 		if !cold {
 			g.advance(g.b.settings.WarmAfter)
 		}
 		for range 200 {
 			g.request(0, time.Second)
-			for _, a := range append(append([]Action(nil), g.acts...), g.advance(50*ms)...) {
+			for _, a := range append(append([]Action(nil), g.actions...), g.advance(50*ms)...) {
 				if a.Kind == Send {
 					g.now += 300 * ms
 					g.outcome(a.Request, 0, OK, 300*ms) // of an aim of 400
@@ -98,7 +98,7 @@
 				break
 			}
 		}
-		if bounded := g.b.rateLimit > 0; bounded == cold {
+		if limited := g.b.rateLimit > 0; limited == cold {
 			t.Errorf("cold %v: the rate is bounded to %v", cold, g.b.rateLimit)
 		}
 	}
@@ -107,11 +107,11 @@
 // While all hosts are cold the bound on the rate stayed as it had been cut, as only answers
 // of warm hosts moved it.
 func TestBoundGrowsOnColdAnswers(t *testing.T) {
-	g := allCold(t, 8, 0, 2)
+	g := startAllCold(t, 8, 0, 2)
 	g.b.rateLimit, g.b.rateGrownAt, g.b.rttRatio.mean = 0.5, g.now, 1
 	for range 60 {
 		g.request(0, time.Second)
-		for _, a := range append(append([]Action(nil), g.acts...), g.advance(50*ms)...) {
+		for _, a := range append(append([]Action(nil), g.actions...), g.advance(50*ms)...) {
 			if a.Kind == Send {
 				g.now += 50 * ms
 				g.outcome(a.Request, 0, OK, 50*ms)
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -26,59 +26,59 @@
 	})
 }
 
-type trackedAttempt struct {
+type attemptRecord struct {
 	host   Host
 	sent   Time
 	ended  bool
 	result Result
 }
 
-type tracked struct {
+type requestRecord struct {
 	class    *Class
 	deadline Time
 	answered bool
-	atts     []trackedAttempt
+	attempts []attemptRecord
 }
 
 type history struct {
 	*testing.T
-	b     *Balancer
-	set   Settings
-	now   Time
-	wakes []Action
-	next  RequestID
-	reqs  map[RequestID]*tracked
-	live  []RequestID // with attempts out or without an answer
-	hosts [6]Host
-	cold  [6][]Time  // sends while cold
-	able  [6]float64 // ... and the most that it was seen able to do, a second
-	rate  float64    // highest rate of good answers so far
+	b             *Balancer
+	set           Settings
+	now           Time
+	timers        []Action
+	nextID        RequestID
+	requests      map[RequestID]*requestRecord
+	openRequests  []RequestID // with attempts out or without an answer
+	hosts         [6]Host
+	coldSends     [6][]Time  // sends while cold
+	hostRate      [6]float64 // ... and the most that it was seen able to do, a second
+	maxServedRate float64    // highest rate of good answers so far
 
-	served   float64
-	servedAt Time
+	servedRate float64
+	servedAt   Time
 }
 
-func newHistory(t *testing.T, c []byte) *history {
-	h := &history{T: t, now: 1 << 40, reqs: map[RequestID]*tracked{}}
+func newHistory(t *testing.T, config []byte) *history {
+	h := &history{T: t, now: 1 << 40, requests: map[RequestID]*requestRecord{}}
 	h.set = Settings{
-		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], EventInterval: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
-		CancelAllowed: c[3]&1 == 0, MaxRetryAfter: time.Second,
-		WatchHosts: c[3]&4 != 0, MaxWatchGap: 4 * time.Second,
+		Instances: []int{1, 2, 5, 40, 300}[config[0]%5], EventInterval: Time(1+config[1]%5) * ms, MaxAttempts: 1 + int(config[2]%4),
+		CancelAllowed: config[3]&1 == 0, MaxRetryAfter: time.Second,
+		WatchHosts: config[3]&4 != 0, MaxWatchGap: 4 * time.Second,
 		ColdCapacity: 0.2, WarmAfter: 5 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 		OverQuotaFactor: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
 	}
 	for i := range 5 {
-		cl := Class{LatencyTarget: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, PriorityWeight: float64(1 + i),
-			DedupWindow: Time(c[4]) * 2 * ms}
+		class := Class{LatencyTarget: Time(100+50*i) * ms, Deadline: Time(400+100*i) * ms, PriorityWeight: float64(1 + i),
+			DedupWindow: Time(config[4]) * 2 * ms}
 		if i > 0 {
-			cl.Effect, cl.DedupScope = Deduplicated, DedupScope(i-1)
+			class.Effect, class.DedupScope = Deduplicated, DedupScope(i-1)
 		}
 		if i == 4 {
-			cl.Effect, cl.DedupScope = AtMostOnce, DedupAll
+			class.Effect, class.DedupScope = AtMostOnce, DedupAll
 		}
-		h.set.Classes = append(h.set.Classes, cl)
+		h.set.Classes = append(h.set.Classes, class)
 	}
-	b, err := New(h.set, uint64(c[5]))
+	b, err := New(h.set, uint64(config[5]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,76 +87,76 @@
 		h.hosts[i] = Host{ID: HostID(i + 1), Zone: i / 3, Cell: i / 2, Kind: i % 2}
 	}
 	b.Start(h.now)
-	b.UpdateHosts(h.now, ListSaved, h.hosts[:3+c[6]%4])
-	for i := 3 + int(c[6]%4); i < len(h.hosts); i++ {
+	b.UpdateHosts(h.now, ListSaved, h.hosts[:3+config[6]%4])
+	for i := 3 + int(config[6]%4); i < len(h.hosts); i++ {
 		h.hosts[i].State = Removed
 	}
-	h.settle()
+	h.carryOutActions()
 	return h
 }
 
 // play takes two bytes an event: what, and with what.
 func (h *history) play(data []byte) {
 	for ; len(data) >= 2; data = data[2:] {
-		x := int(data[1])
+		arg := int(data[1])
 		switch data[0] % 10 {
 		case 0, 1, 2:
-			h.request(x)
+			h.request(arg)
 		case 3, 4, 5:
-			h.end(x, Result(data[0]/10%9))
+			h.endAttempt(arg, Result(data[0]/10%9))
 		case 6:
-			h.news(x, data[0])
+			h.changeHost(arg, data[0])
 		case 7:
-			h.leave(x)
+			h.dropClient(arg)
 		default:
-			h.advance(Time(x) * ms / 4)
+			h.advance(Time(arg) * ms / 4)
 		}
 	}
 	h.advance(2 * time.Second)
-	for id, r := range h.reqs {
+	for id, r := range h.requests {
 		if !r.answered {
 			h.Fatalf("request %d has no answer", id)
 		}
-		for n := range r.atts {
-			h.finish(id, n, Canceled)
+		for n := range r.attempts {
+			h.reportOutcome(id, n, Canceled)
 		}
 	}
 	if len(h.b.requests) != 0 || h.b.queued != 0 {
 		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.requests), h.b.queued)
 	}
-	for _, x := range h.b.hosts {
-		if x.pending != 0 || x.pendingList.head != nil {
-			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.pending)
+	for _, host := range h.b.hosts {
+		if host.pending != 0 || host.pendingList.head != nil {
+			h.Fatalf("host %d has %d attempts after all have ended", host.ID, host.pending)
 		}
 	}
 }
 
-func (h *history) request(x int) {
-	h.next++
-	cl := &h.set.Classes[x%5]
-	left := cl.Deadline * Time(x/5) / 50
-	h.reqs[h.next] = &tracked{class: cl, deadline: h.now + left}
-	h.live = append(h.live, h.next)
-	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Remaining: left, ClientRetry: x&2 != 0})
-	h.settle()
+func (h *history) request(arg int) {
+	h.nextID++
+	class := &h.set.Classes[arg%5]
+	remaining := class.Deadline * Time(arg/5) / 50
+	h.requests[h.nextID] = &requestRecord{class: class, deadline: h.now + remaining}
+	h.openRequests = append(h.openRequests, h.nextID)
+	h.b.Request(h.now, Request{ID: h.nextID, Class: arg % 5, Tenant: arg & 1, Remaining: remaining, ClientRetry: arg&2 != 0})
+	h.carryOutActions()
 }
 
-// end finishes one attempt that is out.
-func (h *history) end(x int, result Result) {
-	for k := range h.live {
-		id := h.live[(k+x)%len(h.live)]
-		for n := range h.reqs[id].atts {
-			if !h.reqs[id].atts[n].ended {
-				h.finish(id, n, result)
+// endAttempt finishes one attempt that is out.
+func (h *history) endAttempt(arg int, result Result) {
+	for k := range h.openRequests {
+		id := h.openRequests[(k+arg)%len(h.openRequests)]
+		for n := range h.requests[id].attempts {
+			if !h.requests[id].attempts[n].ended {
+				h.reportOutcome(id, n, result)
 				return
 			}
 		}
 	}
 }
 
-func (h *history) finish(id RequestID, n int, result Result) {
-	r := h.reqs[id]
-	a := &r.atts[n]
+func (h *history) reportOutcome(id RequestID, number int, result Result) {
+	r := h.requests[id]
+	a := &r.attempts[number]
 	if a.ended {
 		return
 	}
@@ -166,34 +166,34 @@
 		// Answers a second, faded over four OverloadWindows: no more than one host's part of it
 		// can have been learnt of a warm host.
 		span := 4 * h.set.OverloadWindow.Seconds()
-		h.served = h.served*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
-		h.servedAt, h.rate = h.now, max(h.rate, h.served)
+		h.servedRate = h.servedRate*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
+		h.servedAt, h.maxServedRate = h.now, max(h.maxServedRate, h.servedRate)
 	}
-	h.b.Outcome(h.now, Outcome{Request: id, Attempt: n, Result: result,
+	h.b.Outcome(h.now, Outcome{Request: id, Attempt: number, Result: result,
 		Elapsed: h.now - a.sent, Answered: r.answered})
-	h.settle()
+	h.carryOutActions()
 }
 
-// news changes a host on the list, or the list fails.
-func (h *history) news(x int, how byte) {
-	e := &h.hosts[x%6]
-	switch how / 10 % 5 {
+// changeHost changes a host on the list, or the list fails.
+func (h *history) changeHost(arg int, opcode byte) {
+	changed := &h.hosts[arg%6]
+	switch opcode / 10 % 5 {
 	case 0:
 		h.b.UpdateHosts(h.now, ListFailed, nil)
-		h.settle()
+		h.carryOutActions()
 		return
 	case 1:
-		e.State = Draining
+		changed.State = Draining
 	case 2:
-		e.State = Removed
+		changed.State = Removed
 	case 3:
-		e.State = Ready
+		changed.State = Ready
 	case 4:
-		e.State, e.Started = Ready, max(h.now-Time(x)*8*ms, 1)
-		h.cold[x%6], h.able[x%6] = nil, 0
+		changed.State, changed.Started = Ready, max(h.now-Time(arg)*8*ms, 1)
+		h.coldSends[arg%6], h.hostRate[arg%6] = nil, 0
 	}
-	if x&64 == 0 {
-		h.b.UpdateHosts(h.now, ListChanges, []Host{*e})
+	if arg&64 == 0 {
+		h.b.UpdateHosts(h.now, ListChanges, []Host{*changed})
 	} else {
 		var list []Host
 		for _, e := range h.hosts {
@@ -203,17 +203,17 @@
 		}
 		h.b.UpdateHosts(h.now, ListFull, list)
 	}
-	h.settle()
+	h.carryOutActions()
 }
 
-func (h *history) leave(x int) {
-	if len(h.live) == 0 {
+func (h *history) dropClient(arg int) {
+	if len(h.openRequests) == 0 {
 		return
 	}
-	id := h.live[x%len(h.live)]
-	h.reqs[id].answered = true
+	id := h.openRequests[arg%len(h.openRequests)]
+	h.requests[id].answered = true
 	h.b.ClientGone(h.now, id)
-	h.settle()
+	h.carryOutActions()
 }
 
 // advance moves the clock by steps and rings what is due.
@@ -221,35 +221,35 @@
 	for end := h.now + d; h.now < end; {
 		h.now += h.set.EventInterval
 		var due []Action
-		keep := h.wakes[:0]
-		for _, w := range h.wakes {
+		keep := h.timers[:0]
+		for _, w := range h.timers {
 			if w.At <= h.now {
 				due = append(due, w)
 			} else {
 				keep = append(keep, w)
 			}
 		}
-		h.wakes = keep
+		h.timers = keep
 		for _, w := range due {
 			h.b.Timer(h.now, w.Token)
-			h.settle()
+			h.carryOutActions()
 		}
-		live := h.live[:0]
-		for _, id := range h.live {
-			r := h.reqs[id]
+		open := h.openRequests[:0]
+		for _, id := range h.openRequests {
+			r := h.requests[id]
 			if !r.answered && h.now > r.deadline {
 				h.Fatalf("request %d has no answer at its deadline", id)
 			}
-			if !r.answered || r.out() > 0 {
-				live = append(live, id)
+			if !r.answered || r.inFlight() > 0 {
+				open = append(open, id)
 			}
 		}
-		h.live = live
+		h.openRequests = open
 	}
 }
 
-func (r *tracked) out() (n int) {
-	for _, a := range r.atts {
+func (r *requestRecord) inFlight() (n int) {
+	for _, a := range r.attempts {
 		if !a.ended {
 			n++
 		}
@@ -257,16 +257,16 @@
 	return n
 }
 
-// settle carries out the actions and checks them against the rules.
-func (h *history) settle() {
+// carryOutActions carries out the actions and checks them against the rules.
+func (h *history) carryOutActions() {
 	for _, a := range h.b.TakeActions(nil) {
 		switch a.Kind {
 		case Wake:
-			h.wakes = append(h.wakes, a)
+			h.timers = append(h.timers, a)
 		case Send:
 			h.send(a)
 		case Cancel:
-			if r := h.reqs[a.Request]; !h.set.CancelAllowed || a.Attempt >= len(r.atts) || r.atts[a.Attempt].ended {
+			if r := h.requests[a.Request]; !h.set.CancelAllowed || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].ended {
 				h.Fatalf("cancel %+v not allowed", a)
 			}
 		case Close:
@@ -280,7 +280,7 @@
 }
 
 func (h *history) send(a Action) {
-	r := h.reqs[a.Request]
+	r := h.requests[a.Request]
 	host := h.hosts[a.Host-1]
 	if r == nil || r.answered {
 		h.Fatalf("request %d sent after its end", a.Request)
@@ -288,13 +288,13 @@
 	if host.State != Ready {
 		h.Fatalf("sent to host %d, state %d", host.ID, host.State)
 	}
-	if len(r.atts) >= h.set.MaxAttempts {
+	if len(r.attempts) >= h.set.MaxAttempts {
 		h.Fatalf("request %d has more than %d attempts", a.Request, h.set.MaxAttempts)
 	}
-	if r.out() > 0 {
+	if r.inFlight() > 0 {
 		h.Fatalf("request %d has two attempts at once", a.Request)
 	}
-	for _, p := range r.atts {
+	for _, p := range r.attempts {
 		if p.ended && !p.result.mayHaveRun() {
 			continue
 		}
@@ -309,7 +309,7 @@
 		}
 		break
 	}
-	r.atts = append(r.atts, trackedAttempt{host: host, sent: h.now})
+	r.attempts = append(r.attempts, attemptRecord{host: host, sent: h.now})
 	h.checkCold(int(a.Host-1), host)
 }
 
@@ -320,27 +320,27 @@
 	if host.Started == 0 || age >= h.set.WarmAfter {
 		return
 	}
-	h.cold[i] = append(h.cold[i], h.now)
+	h.coldSends[i] = append(h.coldSends[i], h.now)
 	n := 0
-	for _, at := range h.cold[i] {
+	for _, at := range h.coldSends[i] {
 		if h.now-at < h.set.OverloadWindow {
 			n++
 		}
 	}
 	share := h.set.ColdCapacity + (1-h.set.ColdCapacity)*age.Seconds()/h.set.WarmAfter.Seconds()
-	able := share / (initialRTTShare * h.b.shortestTarget.Seconds())
-	if own := &h.b.byID[host.ID].warmRTT; own.seen {
-		able = 1 / own.mean
+	hostRate := share / (initialRTTShare * h.b.shortestTarget.Seconds())
+	if rtt := &h.b.byID[host.ID].warmRTT; rtt.seen {
+		hostRate = 1 / rtt.mean
 	}
-	h.able[i] = max(h.able[i], able)
-	rate := max(h.rate*share, h.able[i])
-	if most := 2 + rate*h.set.OverloadFactor*h.set.OverloadWindow.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
+	h.hostRate[i] = max(h.hostRate[i], hostRate)
+	rate := max(h.maxServedRate*share, h.hostRate[i])
+	if maxSends := 2 + rate*h.set.OverloadFactor*h.set.OverloadWindow.Seconds(); float64(n) > maxSends {
+		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, maxSends)
 	}
 }
 
 func (h *history) answer(a Action) {
-	r := h.reqs[a.Request]
+	r := h.requests[a.Request]
 	if r == nil || r.answered {
 		h.Fatalf("request %d answered twice", a.Request)
 	}
@@ -348,7 +348,7 @@
 	if a.Kind == Fail {
 		return
 	}
-	for _, p := range r.atts {
+	for _, p := range r.attempts {
 		if c := r.class; (!p.ended || p.result.mayHaveRun()) && c.Effect != Idempotent &&
 			(c.Effect != Deduplicated || c.DedupScope != DedupAll) {
 			h.Fatalf("request %d refused though it may have run", a.Request)
--- a/notified_test.go
+++ b/notified_test.go
@@ -10,56 +10,56 @@
 // have answered a whole fleet. An attempt that starts before may go out until then.
 func TestSendsAreHeldUntilTheListIsCurrent(t *testing.T) {
 	const second = time.Second
-	for name, c := range map[string]struct {
-		loss      []ListKind
-		from, to  Time // sends are held; 0: never
-		askWithin Time
-		list      Time // one comes; 0: none
-		pushed    bool
+	for name, tt := range map[string]struct {
+		loss                []ListKind
+		heldFrom, heldUntil Time // sends are held; 0: never
+		maxWatchGap         Time
+		listAt              Time // one comes; 0: none
+		pushed              bool
 	}{
-		"ended":                             {loss: []ListKind{ListEnded}, from: 2800 * ms, to: 10 * second},
-		"silent":                            {loss: []ListKind{ListSilent}, from: 3800 * ms, to: 10 * second},
-		"moved":                             {loss: []ListKind{ListMoved}, from: 4800 * ms, to: 10 * second},
+		"ended":                             {loss: []ListKind{ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"silent":                            {loss: []ListKind{ListSilent}, heldFrom: 3800 * ms, heldUntil: 10 * second},
+		"moved":                             {loss: []ListKind{ListMoved}, heldFrom: 4800 * ms, heldUntil: 10 * second},
 		"reset":                             {loss: []ListKind{ListFailed}},
 		"ended, then nobody there":          {loss: []ListKind{ListEnded, ListUnreachable}},
-		"ended, then a call that failed":    {loss: []ListKind{ListEnded, ListFailed}, from: 2800 * ms, to: 10 * second},
-		"moved, and the watch ended":        {loss: []ListKind{ListMoved, ListEnded}, from: 2800 * ms, to: 10 * second},
-		"ended, asked seldom":               {loss: []ListKind{ListEnded}, askWithin: 60 * second, from: 2800 * ms, to: 12 * second},
-		"ended, asked often":                {loss: []ListKind{ListEnded}, askWithin: 5 * second, from: 2800 * ms, to: 5 * second},
-		"ended, a list comes in time":       {loss: []ListKind{ListEnded}, list: second},
-		"ended, a list comes while held":    {loss: []ListKind{ListEnded}, list: 4 * second, from: 2800 * ms, to: 4 * second},
+		"ended, then a call that failed":    {loss: []ListKind{ListEnded, ListFailed}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"moved, and the watch ended":        {loss: []ListKind{ListMoved, ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"ended, asked seldom":               {loss: []ListKind{ListEnded}, maxWatchGap: 60 * second, heldFrom: 2800 * ms, heldUntil: 12 * second},
+		"ended, asked often":                {loss: []ListKind{ListEnded}, maxWatchGap: 5 * second, heldFrom: 2800 * ms, heldUntil: 5 * second},
+		"ended, a list comes in time":       {loss: []ListKind{ListEnded}, listAt: second},
+		"ended, a list comes while held":    {loss: []ListKind{ListEnded}, listAt: 4 * second, heldFrom: 2800 * ms, heldUntil: 4 * second},
 		"ended, lists come without a watch": {loss: []ListKind{ListEnded}, pushed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := basic()
-			set.WatchHosts, set.MaxWatchGap = !c.pushed, c.askWithin
-			g := start(t, set, hosts(2)...)
-			g.list(ListFull, hosts(2)...)
+			set := basicSettings()
+			set.WatchHosts, set.MaxWatchGap = !tt.pushed, tt.maxWatchGap
+			g := startGateway(t, set, testHosts(2)...)
+			g.updateHosts(ListFull, testHosts(2)...)
 			g.advance(5 * second)
 			lost := g.now
-			for _, kind := range c.loss {
-				g.list(kind)
+			for _, kind := range tt.loss {
+				g.updateHosts(kind)
 			}
 			for at := Time(0); at < 15*second; at += 100 * ms {
-				if c.list > 0 && at == c.list {
-					g.list(ListFull, hosts(2)...)
+				if tt.listAt > 0 && at == tt.listAt {
+					g.updateHosts(ListFull, testHosts(2)...)
 				}
-				held := c.to > 0 && at >= c.from && at < c.to
+				held := tt.heldUntil > 0 && at >= tt.heldFrom && at < tt.heldUntil
 				id := g.request(0, second)
-				sent := len(g.acts) == 1 && g.acts[0].Kind == Send
+				sent := len(g.actions) == 1 && g.actions[0].Kind == Send
 				if sent == held {
 					t.Fatalf("%v after the loss: sent %t, want held %t", at, sent, held)
 				}
 				if sent {
-					by, want := g.acts[0].WriteBy, Time(0)
-					if c.from > 0 && at < c.from || c.list > at && c.from == 0 {
+					writeBy, want := g.actions[0].WriteBy, Time(0)
+					if tt.heldFrom > 0 && at < tt.heldFrom || tt.listAt > at && tt.heldFrom == 0 {
 						want = lost + 2800*ms
-						if c.from > 0 {
-							want = lost + c.from
+						if tt.heldFrom > 0 {
+							want = lost + tt.heldFrom
 						}
 					}
-					if by != want {
-						t.Fatalf("%v after the loss: an attempt may go out until %v, want %v", at, by, want)
+					if writeBy != want {
+						t.Fatalf("%v after the loss: an attempt may go out until %v, want %v", at, writeBy, want)
 					}
 					g.outcome(id, 0, OK, 10*ms)
 				}
@@ -75,28 +75,28 @@
 	for _, n := range []int{1, 6, 300, 900} {
 		var last Time
 		for _, rank := range []int{0, n / 2, n - 1} {
-			set := basic()
+			set := basicSettings()
 			set.WatchHosts, set.Instances, set.Rank, set.MaxWatchGap = true, n, rank, 10*time.Second
-			g := start(t, set, hosts(2)...)
-			g.list(ListFull, hosts(2)...)
+			g := startGateway(t, set, testHosts(2)...)
+			g.updateHosts(ListFull, testHosts(2)...)
 			g.advance(5 * time.Second)
-			g.list(ListEnded)
-			asked := g.untilWatch()
-			if asked > maxResumeSpread || asked < last {
-				t.Errorf("rank %d of %d asks %v after the end of its watch, the one before it %v", rank, n, asked, last)
+			g.updateHosts(ListEnded)
+			delay := g.waitForWatch()
+			if delay > maxResumeSpread || delay < last {
+				t.Errorf("rank %d of %d asks %v after the end of its watch, the one before it %v", rank, n, delay, last)
 			}
-			last = asked
-			g.list(ListFull, hosts(2)...)
-			g.list(ListEnded)
-			if n == 1 && g.untilWatch() < 100*ms {
+			last = delay
+			g.updateHosts(ListFull, testHosts(2)...)
+			g.updateHosts(ListEnded)
+			if n == 1 && g.waitForWatch() < 100*ms {
 				t.Error("a watch that ends at once is opened at once again")
 			}
 		}
 	}
 }
 
-// untilWatch is how long it takes until discovery is asked.
-func (g *gateway) untilWatch() Time {
+// waitForWatch is how long it takes until discovery is asked.
+func (g *gateway) waitForWatch() Time {
 	g.Helper()
 	from := g.now
 	for g.now-from < 20*time.Second {
--- a/view_test.go
+++ b/view_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// viewed starts a bank with a view of itself, with skewed traffic, and lets each instance
+// startFleet starts a bank with a view of itself, with skewed traffic, and lets each instance
 // look at who sends where some times.
-func viewed(t *testing.T, instances, n int) (bank []*gateway, rates []float64) {
+func startFleet(t *testing.T, instances, n int) (fleet []*gateway, rates []float64) {
 	rng := rand.New(rand.NewSource(1))
 	var peers []Peer
 	for rank := range instances {
@@ -18,23 +18,23 @@
 		peers = append(peers, Peer{Rank: rank, Rate: rates[rank]})
 	}
 	for rank := range instances {
-		set := basic()
+		set := basicSettings()
 		set.Instances, set.Rank = instances, rank
-		g := start(t, set)
+		g := startGateway(t, set)
 		g.b.UpdatePeers(g.now, peers)
-		g.list(ListFull, hosts(n)...)
-		g.look(peers, 10)
-		bank = append(bank, g)
+		g.updateHosts(ListFull, testHosts(n)...)
+		g.updateView(peers, 10)
+		fleet = append(fleet, g)
 	}
-	return bank, rates
+	return fleet, rates
 }
 
-// look gives an instance its view once a second, with a request after it.
-func (g *gateway) look(peers []Peer, times int) {
+// updateView gives an instance its view once a second, with a request after it.
+func (g *gateway) updateView(peers []Peer, times int) {
 	for range times {
 		g.b.UpdatePeers(g.now, peers)
 		id := g.request(0, time.Second)
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			if a.Kind == Send {
 				g.outcome(id, 0, OK, 10*ms)
 			}
@@ -47,43 +47,43 @@
 // all hosts nearly the same; half of an instance's traffic is the most that a host gets.
 func TestViewEvensTheLoadOfHosts(t *testing.T) {
 	const instances, n = 90, 60
-	bank, rates := viewed(t, instances, n)
-	load, sum, even := map[HostID]float64{}, 0.0, map[HostID]float64{}
-	for i, g := range bank {
+	fleet, rates := startFleet(t, instances, n)
+	load, sum, evenLoad := map[HostID]float64{}, 0.0, map[HostID]float64{}
+	for i, g := range fleet {
 		total := 0.0
 		for _, h := range g.b.subset {
 			total += g.b.trafficShare(h)
 		}
 		for _, h := range g.b.subset {
-			part := g.b.trafficShare(h) / total
-			if part > maxTrafficShare+0.02 {
-				t.Errorf("instance %d gives host %d %.2f of its traffic", i, h.ID, part)
+			share := g.b.trafficShare(h) / total
+			if share > maxTrafficShare+0.02 {
+				t.Errorf("instance %d gives host %d %.2f of its traffic", i, h.ID, share)
 			}
-			load[h.ID] += rates[i] * part
-			even[h.ID] += rates[i] / float64(len(g.b.subset))
+			load[h.ID] += rates[i] * share
+			evenLoad[h.ID] += rates[i] / float64(len(g.b.subset))
 		}
 		sum += rates[i]
 	}
 	cv := func(load map[HostID]float64) float64 {
 		v := 0.0
-		for _, h := range hosts(n) {
+		for _, h := range testHosts(n) {
 			v += math.Pow(load[h.ID]/(sum/n)-1, 2)
 		}
 		return math.Sqrt(v / n)
 	}
-	if fitted, plain := cv(load), cv(even); fitted > 0.1 || fitted > plain/2 {
-		t.Errorf("loads differ by a CV of %.3f, %.3f with even parts", fitted, plain)
+	if fitted, even := cv(load), cv(evenLoad); fitted > 0.1 || fitted > even/2 {
+		t.Errorf("loads differ by a CV of %.3f, %.3f with even parts", fitted, even)
 	}
 }
 
 // Picks of two by their parts give each ready host its part of the picks where all are as
 // fast, and never the same host twice.
 func TestPicksFollowTheParts(t *testing.T) {
-	bank, _ := viewed(t, 1, 4)
-	b := bank[0].b
+	fleet, _ := startFleet(t, 1, 4)
+	b := fleet[0].b
 	b.ready = append(b.ready[:0], b.ring...)
-	for i, part := range []float64{0.5, 0.3, 0.15, 0.05} {
-		b.ring[i].trafficShare = part
+	for i, share := range []float64{0.5, 0.3, 0.15, 0.05} {
+		b.ring[i].trafficShare = share
 	}
 	const picks = 20000
 	got := map[*host]float64{}
@@ -107,24 +107,24 @@
 // at most. A cut that lasts fades the others out.
 func TestCutKeepsSharesOfCaps(t *testing.T) {
 	const instances, n = 90, 60
-	bank, _ := viewed(t, instances, n)
+	fleet, _ := startFleet(t, instances, n)
 	half := make([]Peer, 0, instances/2)
 	for rank := range instances / 2 {
 		half = append(half, Peer{Rank: rank, Rate: 1})
 	}
-	for _, g := range bank[:3] {
-		g.look(half, 10)
+	for _, g := range fleet[:3] {
+		g.updateView(half, 10)
 		if got := g.b.instances(); got < instances {
 			t.Errorf("10 s into a cut the caps are shared by %.0f of %d", got, instances)
 		}
-		g.look(half, 120)
+		g.updateView(half, 120)
 		if got := g.b.instances(); got > instances/2+1 {
 			t.Errorf("after 130 s they are shared by %.0f, %d are there", got, len(half))
 		}
 	}
-	alone := bank[5]
+	alone := fleet[5]
 	before := len(alone.b.subset)
-	alone.look([]Peer{{Rank: 5, Rate: 1}}, 10)
+	alone.updateView([]Peer{{Rank: 5, Rate: 1}}, 10)
 	if more := len(alone.b.subset) - before; more > 11 || alone.b.instances() < instances {
 		t.Errorf("alone for 10 s it draws from %d more hosts and shares caps with %.0f", more, alone.b.instances())
 	}
@@ -135,7 +135,7 @@
 	for _, n := range []int{40, 200, 2000} {
 		for _, view := range []bool{false, true} {
 			bm.Run(fmt.Sprintf("hosts=%d/view=%v", n, view), func(bm *testing.B) {
-				set := basic()
+				set := basicSettings()
 				set.Instances, set.Rank = 300, 7
 				b, _ := New(set, 1)
 				now := time.Hour
@@ -147,7 +147,7 @@
 				if view {
 					b.UpdatePeers(now, peers)
 				}
-				b.UpdateHosts(now, ListFull, hosts(n))
+				b.UpdateHosts(now, ListFull, testHosts(n))
 				acts := b.TakeActions(nil)
 				bm.ReportAllocs()
 				for i := 0; bm.Loop(); i++ {
