--- a/aperture_test.go
+++ b/aperture_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Ranks that are absent in a run, or every second, left a run of hosts undrawn, or with
-// half of the sharers of the others. Each host keeps sharers near the mean.
-func TestAbsentRanksThinAllDrawsAlike(t *testing.T) {
+// Each host is used by nearly the mean number of instances, whichever ranks are absent. When a run
+// of ranks or every second rank was absent, a run of hosts was used by no instance, or by half as
+// many as the others.
+func TestSubsetsStayEvenWithAbsentRanks(t *testing.T) {
 	const instances = 300
 	for _, n := range []int{200, 40, 173} {
 		list := testHosts(n)
 		for name, absent := range map[string]func(rank int) bool{
-			"none":           func(int) bool { return false },
-			"third in a run": func(rank int) bool { return rank >= 70 && rank < 170 },
-			"half in a run":  func(rank int) bool { return rank >= 150 },
-			"every second":   func(rank int) bool { return rank%2 == 1 },
+			"none":             func(int) bool { return false },
+			"a third in a run": func(rank int) bool { return rank >= 70 && rank < 170 },
+			"half in a run":    func(rank int) bool { return rank >= 150 },
+			"every second":     func(rank int) bool { return rank%2 == 1 },
 		} {
 			sharers, sum := map[HostID]int{}, 0
 			for rank := range instances {
@@ -36,7 +37,7 @@
 				least, most = min(least, sharers[h.ID]), max(most, sharers[h.ID])
 			}
 			if mean := float64(sum) / float64(n); least == 0 || float64(least) < mean/2-1 || float64(most) > 1.5*mean+1 {
-				t.Errorf("%d hosts, absent %s: %d to %d sharers a host, mean %.1f", n, name, least, most, mean)
+				t.Errorf("%d hosts, absent ranks %s: %d to %d instances use a host, mean %.1f", n, name, least, most, mean)
 			}
 		}
 	}
--- a/asking_test.go
+++ b/asking_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// 300 instances that start together while discovery fails for 20 s: at most 100 calls in
-// any second after the first calls, a tenth of the bank in any 100 ms, and each asks within
-// 3 s of the return. One that is alone asks at once.
-func TestBankSparesDiscovery(t *testing.T) {
+// 300 instances start together while discovery fails for 20 s. After their first calls they make at
+// most 100 calls in any second, and never more than a tenth of the fleet calls within 100 ms. Each
+// calls within 3 s of the return of discovery. A single instance calls at once.
+func TestFleetLimitsCallsToDiscovery(t *testing.T) {
 	const instances = 300
 	set := basicSettings()
 	set.WatchHosts, set.Instances, set.MaxWatchGap = true, instances, 10*time.Second
-	var calls []Time // since the start of all
+	var calls []Time // times since the start of the instances
 	for rank := range instances {
 		set.Rank = rank
 		g := startGateway(t, set)
@@ -28,7 +28,7 @@
 			}
 		}
 		if lastCall < 20*time.Second {
-			t.Errorf("rank %d asks last %v after the start, not within 3 s of the return at 20 s", rank, lastCall)
+			t.Errorf("the last call of rank %d is %v after the start, want one within 3 s of the return at 20 s", rank, lastCall)
 		}
 	}
 	slices.Sort(calls)
@@ -45,22 +45,21 @@
 		return n
 	}
 	if n := maxCallsWithin(100*ms, 0); n > instances/10 {
-		t.Errorf("%d calls in 100 ms", n)
+		t.Errorf("%d calls in 100 ms, want at most a tenth of the fleet", n)
 	}
-	if n := maxCallsWithin(time.Second, 6*time.Second); n > 110 { // what is told here is told 10 ms late at most
-		t.Errorf("%d calls in a second, want 100 and a few at the edges", n)
+	if n := maxCallsWithin(time.Second, 6*time.Second); n > 110 { // the test notices calls up to 10 ms late
+		t.Errorf("%d calls in a second, want 100 and a few more at its edges", n)
 	}
 	set.Instances, set.Rank = 1, 0
 	if acts := startGateway(t, set).advance(ms); len(acts) != 1 {
-		t.Errorf("one alone does %v at its start", acts)
+		t.Errorf("actions %v at the start of a single instance, want one call", acts)
 	}
 }
 
-// However large the bank and however long a list may go unasked, a call that failed is made
-// again within half of the clock of notifications, so that two fit into it; and the calls of a
-// bank that keep failing stay at 100 a second, or one an instance in half of the clock or, if
-// that is shorter, in the time that a list may go unasked.
-func TestTwoCallsFitIntoTheClock(t *testing.T) {
+// Whatever the size of the fleet and MaxWatchGap, a call that failed is made again within half of
+// NotifiedAfter, so that two calls fit into it. While the calls of a fleet keep failing, it makes
+// at most 100 a second, or one an instance in the shorter of half of NotifiedAfter and MaxWatchGap.
+func TestTwoCallsFitIntoNotificationTime(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 60, 300, 350, 1024} {
 		for _, maxGap := range []Time{time.Second, 10 * time.Second, 60 * time.Second} {
 			set := Settings{Instances: n, MaxWatchGap: maxGap}
@@ -72,17 +71,17 @@
 				for now < span {
 					next := NextWatchCall(&set, now, fails, true, rng.randFloat())
 					if wait := next - now; wait <= 0 || wait > MaxWatchBackoff+MaxWatchBackoff/Time(n) {
-						t.Fatalf("%d instances, %v unasked: rank %d waits %v after %d fails", n, maxGap, rank, wait, fails)
+						t.Fatalf("%d instances, MaxWatchGap %v: rank %d waits %v after %d failures", n, maxGap, rank, wait, fails)
 					}
 					if wait := NextWatchCall(&set, now, 0, true, rng.randFloat()) - now; wait > MaxWatchBackoff+MaxWatchBackoff/Time(n)+maxGap/32 {
-						t.Fatalf("%d instances, %v unasked: rank %d waits %v after its watch broke", n, maxGap, rank, wait)
+						t.Fatalf("%d instances, MaxWatchGap %v: rank %d waits %v after its watch broke", n, maxGap, rank, wait)
 					}
 					now, fails, calls = next, fails+1, calls+1
 				}
 			}
 			maxRate := max(100, float64(n)/min(maxGap, MaxWatchBackoff).Seconds())
 			if rate := float64(calls) / span.Seconds(); rate > maxRate*1.05 {
-				t.Errorf("%d instances, %v unasked: %.0f calls a second", n, maxGap, rate)
+				t.Errorf("%d instances, MaxWatchGap %v: %.0f calls a second", n, maxGap, rate)
 			}
 		}
 	}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -211,9 +211,9 @@
 	for _, tt := range tests {
 		g := startGateway(t, basicSettings(), testHosts(1)...)
 		h := g.b.hosts[0]
-		seed := h.rtt
+		initial := h.rtt
 		if tt.want < 0 {
-			tt.want = seed
+			tt.want = initial
 		}
 		id := g.request(0, time.Second)
 		g.outcome(id, 0, tt.result, tt.took)
@@ -492,9 +492,9 @@
 	if len(g.actions) != 0 {
 		t.Fatalf("actions %v, want the request to be queued", g.actions)
 	}
-	done := g.advance(time.Second)
-	if len(done) != 1 || done[0].Kind != Refuse || done[0].Request != id {
-		t.Errorf("actions %v, want one refusal", done)
+	actions := g.advance(time.Second)
+	if len(actions) != 1 || actions[0].Kind != Refuse || actions[0].Request != id {
+		t.Errorf("actions %v, want one refusal", actions)
 	}
 }
 
@@ -524,9 +524,9 @@
 		g := startGateway(t, basicSettings(), testHosts(2)...)
 		g.request(class, 500*ms)
 		g.onlyAction(Send)
-		done := g.advance(500*ms - g.b.settings.EventInterval)
-		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
-			t.Errorf("class %d: actions %v, want kind %d and a Cancel", class, done, want)
+		actions := g.advance(500*ms - g.b.settings.EventInterval)
+		if len(actions) != 2 || actions[0].Kind != want || actions[1].Kind != Cancel {
+			t.Errorf("class %d: actions %v, want kind %d and a Cancel", class, actions, want)
 		}
 	}
 }
@@ -637,9 +637,9 @@
 	}
 	g.updateHosts(ListFull, others...)
 	g.outcome(id, 0, Reset, ms)
-	acts := append(append([]Action(nil), g.actions...), g.advance(time.Second)...)
-	if len(acts) != 1 || acts[0].Kind != Fail {
-		t.Errorf("actions %v, want one Fail", acts)
+	actions := append(append([]Action(nil), g.actions...), g.advance(time.Second)...)
+	if len(actions) != 1 || actions[0].Kind != Fail {
+		t.Errorf("actions %v, want one Fail", actions)
 	}
 }
 
@@ -847,8 +847,8 @@
 		var got []ActionKind
 		for range 60 {
 			id := g.request(1, time.Second)
-			acts := g.advance(10 * ms)
-			for _, a := range acts {
+			actions := g.advance(10 * ms)
+			for _, a := range actions {
 				got = append(got, a.Kind)
 				if a.Kind == Cancel {
 					g.outcome(lost, 0, Canceled, 100*ms)
@@ -1130,13 +1130,13 @@
 	refused := 0
 	for range 100 {
 		id := g.request(0, time.Second)
-		acts := append([]Action(nil), g.actions...)
-		acts = append(acts, g.advance(ms)...)
-		for i := 0; i < len(acts); i++ {
-			if acts[i].Kind == Send {
+		actions := append([]Action(nil), g.actions...)
+		actions = append(actions, g.advance(ms)...)
+		for i := 0; i < len(actions); i++ {
+			if actions[i].Kind == Send {
 				refused++
-				g.outcome(acts[i].Request, len(g.b.requests[acts[i].Request].attempts)-1, Full, 0)
-				acts = append(acts, g.actions...)
+				g.outcome(actions[i].Request, len(g.b.requests[actions[i].Request].attempts)-1, Full, 0)
+				actions = append(actions, g.actions...)
 			}
 		}
 		g.b.ClientGone(g.now, id)
@@ -1404,8 +1404,8 @@
 	g := startGateway(t, basicSettings(), testHosts(2)...)
 	id := g.request(0, 500*ms)
 	g.b.ResponseStarted(g.now, id, 0)
-	if done := g.advance(2 * time.Second); len(done) != 0 {
-		t.Errorf("actions %v past the deadline of a request whose response is being streamed", done)
+	if actions := g.advance(2 * time.Second); len(actions) != 0 {
+		t.Errorf("actions %v past the deadline of a request whose response is being streamed", actions)
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Answered: true})
 	g.collectActions()
@@ -1560,16 +1560,16 @@
 
 func TestSteadyStateAllocatesNothing(t *testing.T) {
 	b, now := startBalancer(t)
-	var acts []Action
+	var actions []Action
 	id := RequestID(0)
 	round := func() {
 		id++
 		now += 5 * ms
 		b.Request(now, Request{ID: id, Remaining: time.Second})
-		acts = b.TakeActions(acts[:0])
+		actions = b.TakeActions(actions[:0])
 		b.Outcome(now+4*ms, Outcome{Request: id, Elapsed: 4 * ms, Answered: true})
 		b.Timer(now+4*ms, tokenSweep<<tokenShift)
-		acts = b.TakeActions(acts[:0])
+		actions = b.TakeActions(actions[:0])
 	}
 	for range 1000 {
 		round()
@@ -1581,13 +1581,13 @@
 
 func BenchmarkRequest(bm *testing.B) {
 	b, now := startBalancer(bm)
-	var acts []Action
+	var actions []Action
 	bm.ReportAllocs()
 	for i := range bm.N {
 		now += 5 * ms
 		b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
 		b.Outcome(now+4*ms, Outcome{Request: RequestID(i), Elapsed: 4 * ms, Answered: true})
-		acts = b.TakeActions(acts[:0])
+		actions = b.TakeActions(actions[:0])
 	}
 }
 
@@ -1738,10 +1738,10 @@
 	}
 	// The list may report the start, which was before the end of maintenance. The host has had no
 	// requests since, so it counts as cold from the end of maintenance.
-	e := testHosts(3)[2]
-	e.Started = g.now - 50*ms
+	entry := testHosts(3)[2]
+	entry.Started = g.now - 50*ms
 	coldSince := h.coldSince
-	g.updateHosts(ListChanges, e)
+	g.updateHosts(ListChanges, entry)
 	if h.coldSince != coldSince {
 		t.Errorf("cold since %v, want %v", h.coldSince, coldSince)
 	}
@@ -1871,15 +1871,15 @@
 		t.Error("no pending attempt after the upload is complete")
 	}
 	completeAt := g.now
-	var answered Time
-	for answered == 0 && g.now < completeAt+2*time.Second {
+	var answeredAt Time
+	for answeredAt == 0 && g.now < completeAt+2*time.Second {
 		for _, a := range g.advance(ms) {
 			if a.Kind == Fail {
-				answered = g.now
+				answeredAt = g.now
 			}
 		}
 	}
-	if took := answered - completeAt; took < 900*ms || took > time.Second {
+	if took := answeredAt - completeAt; took < 900*ms || took > time.Second {
 		t.Errorf("answered %v after its last byte, want just before its deadline of 1 s", took)
 	}
 }
@@ -1907,8 +1907,8 @@
 	g.advance(10 * ms)
 	g.b.ResponseStarted(g.now, id, 0)
 	g.collectActions()
-	if done := g.advance(10 * time.Second); len(done) != 0 || g.b.byID[1].ejections != 0 {
-		t.Errorf("actions %v, ejections %d while a response is streamed", done, g.b.byID[1].ejections)
+	if actions := g.advance(10 * time.Second); len(actions) != 0 || g.b.byID[1].ejections != 0 {
+		t.Errorf("actions %v, ejections %d while a response is streamed", actions, g.b.byID[1].ejections)
 	}
 	if h := g.b.byID[1]; h.openAttempts != 1 || h.pending != 0 {
 		t.Errorf("%d open attempts, %d pending; want 1 and 0, as a response that is streamed is no load", h.openAttempts, h.pending)
--- a/cold_test.go
+++ b/cold_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startAllCold is an instance of a bank that starts together with its hosts.
+// startAllCold starts an instance of a fleet that starts together with its n hosts.
 func startAllCold(t *testing.T, instances, rank, n int) *gateway {
 	set := basicSettings()
 	set.Instances, set.Rank = instances, rank
@@ -18,8 +18,8 @@
 	return g
 }
 
-// With every host cold, each instance drew from all of them: 200 connections a host, whose
-// table holds some tens.
+// Few instances use a host while all hosts are cold. When each of the 200 instances used all hosts,
+// there were 200 connections to each, whose connection table holds some tens.
 func TestColdHostsHaveFewSharers(t *testing.T) {
 	const instances, n = 200, 40
 	sharers := map[HostID]int{}
@@ -33,19 +33,19 @@
 	}
 	for id, k := range sharers {
 		if k > maxColdSharers+minSubset {
-			t.Errorf("%d instances draw from cold host %d", k, id)
+			t.Errorf("%d instances use cold host %d", k, id)
 		}
 	}
 	if len(sharers) < n {
-		t.Errorf("only %d of %d hosts are drawn", len(sharers), n)
+		t.Errorf("only %d of %d hosts are used", len(sharers), n)
 	}
 }
 
-// The mean gap between two sends of one instance is many OverloadWindows where a bank is large: it
-// was waited out, though the bank's first answers had told what the hosts can do by then.
-// All that the bank sends a host stays within the budget of hosts that answer in 100 ms,
-// each one request at a time: 2.5 x 10 a second.
-func TestColdStartOfAllUsesTheBudget(t *testing.T) {
+// While all hosts are cold, the sends to a host stay within its budget and use at least a quarter
+// of it. The hosts answer in 100 ms, one request at a time, so the budget is 2.5 x 10 sends a
+// second. In a large fleet the mean gap between two sends of one instance is many OverloadWindows
+// long. It was waited out although the first answers had shown by then what the hosts can serve.
+func TestColdStartOfAllHostsUsesBudget(t *testing.T) {
 	const instances, n = 100, 20
 	sent := map[HostID]int{}
 	for rank := range instances {
@@ -65,8 +65,8 @@
 		}
 	}
 	for id, k := range sent {
-		if k > 25+5*3 { // root of 25 is 5
-			t.Errorf("%d sends to host %d in the fourth second, over its budget of 25", k, id)
+		if k > 25+5*3 { // three standard deviations of 5, the root of 25
+			t.Errorf("%d sends to host %d in the fourth second, more than its budget of 25 allows", k, id)
 		}
 	}
 	sum := 0
@@ -74,13 +74,13 @@
 		sum += k
 	}
 	if sum < n*25/4 {
-		t.Errorf("%d sends to %d hosts in the fourth second, want a quarter of the %d allowed at least", sum, n, n*25)
+		t.Errorf("%d sends to %d hosts in the fourth second, want at least a quarter of the budget of %d", sum, n, n*25)
 	}
 }
 
-// A cold host takes long by itself: that is no overload of the fleet, and the bound on the
-// rate of all sends is not cut for it. The same answers from warm hosts do cut it.
-func TestColdAnswersDoNotBoundTheRate(t *testing.T) {
+// A cold host is slow by itself. That is no overload of the fleet, so slow answers of cold hosts do
+// not cut the rate limit. The same answers of warm hosts do.
+func TestColdAnswersDoNotCutRateLimit(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		g := startAllCold(t, 8, 0, 2)
 		if !cold {
@@ -91,7 +91,7 @@
 			for _, a := range append(append([]Action(nil), g.actions...), g.advance(50*ms)...) {
 				if a.Kind == Send {
 					g.now += 300 * ms
-					g.outcome(a.Request, 0, OK, 300*ms) // of an aim of 400
+					g.outcome(a.Request, 0, OK, 300*ms) // of a latency target of 400 ms
 				}
 			}
 			if g.now-g.b.hosts[0].Started > g.b.settings.WarmAfter && cold {
@@ -99,14 +99,14 @@
 			}
 		}
 		if limited := g.b.rateLimit > 0; limited == cold {
-			t.Errorf("cold %v: the rate is bounded to %v", cold, g.b.rateLimit)
+			t.Errorf("cold %v: rate limit %v a second, want none for cold hosts and one for warm hosts", cold, g.b.rateLimit)
 		}
 	}
 }
 
-// While all hosts are cold the bound on the rate stayed as it had been cut, as only answers
-// of warm hosts moved it.
-func TestBoundGrowsOnColdAnswers(t *testing.T) {
+// The rate limit grows on fast answers of cold hosts. When only answers of warm hosts changed it,
+// it stayed as low as it had been cut for as long as all hosts were cold.
+func TestRateLimitGrowsOnColdAnswers(t *testing.T) {
 	g := startAllCold(t, 8, 0, 2)
 	g.b.rateLimit, g.b.rateGrownAt, g.b.rttRatio.mean = 0.5, g.now, 1
 	for range 60 {
@@ -119,6 +119,6 @@
 		}
 	}
 	if g.b.rateLimit > 0 && g.b.rateLimit < 0.7 {
-		t.Errorf("the bound is %.2f after %v of answers from cold hosts", g.b.rateLimit, g.now-g.b.hosts[0].Started)
+		t.Errorf("rate limit %.2f a second after %v of fast answers from cold hosts, want at least 0.7 or none", g.b.rateLimit, g.now-g.b.hosts[0].Started)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,9 +7,9 @@
 	"lynxspool"
 )
 
-// A gateway's event loop: report each event with the time, then carry out the
-// actions. Here the network and the clock are scripted; a real gateway sends
-// the request on Send and reports the answer with Outcome when it arrives.
+// The event loop of a gateway reports each event with its time and then carries out the actions.
+// The network and the clock are scripted here. A real gateway sends the request on Send and reports
+// the answer with Outcome when it arrives.
 func Example() {
 	settings := lynxspool.Settings{
 		Instances:     1,
@@ -23,7 +23,7 @@
 	}
 
 	timers := map[uint64]lynxspool.Time{} // a real gateway keeps a timer queue
-	var actions []lynxspool.Action        // ours; reused for every event
+	var actions []lynxspool.Action        // belongs to the gateway, which reuses it for every event
 	carryOut := func() {
 		actions = b.TakeActions(actions[:0])
 		for _, a := range actions {
@@ -46,25 +46,25 @@
 
 	now := time.Minute
 	b.Start(now)
-	// After a restart the list saved on disk comes first; it may be stale.
+	// After a restart the gateway reports the list saved on disk first, which may be stale.
 	b.UpdateHosts(now, lynxspool.ListSaved, []lynxspool.Host{{ID: 7}})
 	b.Request(now, lynxspool.Request{ID: 1, Remaining: time.Second})
 	carryOut()
 
-	// The host refuses connections; nothing ran, so another host gets it.
+	// The host refuses connections. The request has not run, so it is sent to another host.
 	now += 5 * time.Millisecond
 	b.UpdateHosts(now, lynxspool.ListChanges, []lynxspool.Host{{ID: 8}})
 	b.Outcome(now, lynxspool.Outcome{Request: 1, Attempt: 0,
 		Result: lynxspool.ConnectFailed, Elapsed: 5 * time.Millisecond})
 	carryOut()
 
-	// The answer went to the client.
+	// The host has answered, and the answer went to the client.
 	now += 40 * time.Millisecond
 	b.Outcome(now, lynxspool.Outcome{Request: 1, Attempt: 1,
 		Result: lynxspool.OK, Elapsed: 40 * time.Millisecond, Answered: true})
 	carryOut()
 
-	// Timers ring even when no longer wanted; the balancer ignores those.
+	// Timers that are no longer needed fire all the same: the balancer ignores them.
 	for token, at := range timers {
 		b.Timer(max(now, at), token)
 		carryOut()
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// FuzzRules plays random legal histories of events and checks after each that
-// the four rules hold: every request one answer in time and nothing after it,
-// no effect twice, nothing to hosts that drain or are gone, no cold host over
-// its budget.
+// FuzzRules plays random valid histories of events and checks the four rules after each event:
+// every request gets one answer in time and no attempt after it, no request takes effect twice,
+// hosts that are draining or gone get no attempts, and no cold host gets more than its budget.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(24) {
 		r := rand.New(rand.NewSource(seed))
@@ -26,6 +25,7 @@
 	})
 }
 
+// attemptRecord is an attempt as the test has seen it.
 type attemptRecord struct {
 	host   Host
 	sent   Time
@@ -33,6 +33,7 @@
 	result Result
 }
 
+// requestRecord is a request as the test has seen it, with its attempts.
 type requestRecord struct {
 	class    *Class
 	deadline Time
@@ -40,6 +41,7 @@
 	attempts []attemptRecord
 }
 
+// history drives a Balancer with a sequence of events and records what it does.
 type history struct {
 	*testing.T
 	b             *Balancer
@@ -48,16 +50,17 @@
 	timers        []Action
 	nextID        RequestID
 	requests      map[RequestID]*requestRecord
-	openRequests  []RequestID // with attempts out or without an answer
+	openRequests  []RequestID // without an answer, or with attempts in flight
 	hosts         [6]Host
-	coldSends     [6][]Time  // sends while cold
-	hostRate      [6]float64 // ... and the most that it was seen able to do, a second
-	maxServedRate float64    // highest rate of good answers so far
+	coldSends     [6][]Time  // times of the sends to each host while it is cold
+	hostRate      [6]float64 // highest rate in requests a second that each host was assumed or seen to serve while cold
+	maxServedRate float64    // highest rate of good answers a second so far
 
 	servedRate float64
 	servedAt   Time
 }
 
+// newHistory starts a Balancer with settings and a saved list that the bytes of config choose.
 func newHistory(t *testing.T, config []byte) *history {
 	h := &history{T: t, now: 1 << 40, requests: map[RequestID]*requestRecord{}}
 	h.set = Settings{
@@ -95,7 +98,8 @@
 	return h
 }
 
-// play takes two bytes an event: what, and with what.
+// play runs the events of data, two bytes each: the kind of event and its argument. It then ends
+// all requests and attempts and checks that the Balancer keeps none.
 func (h *history) play(data []byte) {
 	for ; len(data) >= 2; data = data[2:] {
 		arg := int(data[1])
@@ -122,7 +126,7 @@
 		}
 	}
 	if len(h.b.requests) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.requests), h.b.queued)
+		h.Fatalf("%d requests kept, %d queued, after all have ended", len(h.b.requests), h.b.queued)
 	}
 	for _, host := range h.b.hosts {
 		if host.pending != 0 || host.pendingList.head != nil {
@@ -141,7 +145,7 @@
 	h.carryOutActions()
 }
 
-// endAttempt finishes one attempt that is out.
+// endAttempt ends one attempt that is in flight.
 func (h *history) endAttempt(arg int, result Result) {
 	for k := range h.openRequests {
 		id := h.openRequests[(k+arg)%len(h.openRequests)]
@@ -163,8 +167,8 @@
 	a.ended, a.result = true, result
 	if result == OK {
 		r.answered = true
-		// Answers a second, faded over four OverloadWindows: no more than one host's part of it
-		// can have been learnt of a warm host.
+		// The rate of answers a second decays over four OverloadWindows. The rate that the Balancer
+		// has measured of a warm host can be no higher than a single host's share of it.
 		span := 4 * h.set.OverloadWindow.Seconds()
 		h.servedRate = h.servedRate*math.Exp(-(h.now-h.servedAt).Seconds()/span) + 1/span
 		h.servedAt, h.maxServedRate = h.now, max(h.maxServedRate, h.servedRate)
@@ -174,7 +178,7 @@
 	h.carryOutActions()
 }
 
-// changeHost changes a host on the list, or the list fails.
+// changeHost changes a host and reports the list, or reports that the list is lost.
 func (h *history) changeHost(arg int, opcode byte) {
 	changed := &h.hosts[arg%6]
 	switch opcode / 10 % 5 {
@@ -216,7 +220,7 @@
 	h.carryOutActions()
 }
 
-// advance moves the clock by steps and rings what is due.
+// advance moves the clock by d in steps of EventInterval and fires the timers that are due.
 func (h *history) advance(d Time) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.set.EventInterval
@@ -257,7 +261,7 @@
 	return n
 }
 
-// carryOutActions carries out the actions and checks them against the rules.
+// carryOutActions carries out the actions of the last event and checks them against the rules.
 func (h *history) carryOutActions() {
 	for _, a := range h.b.TakeActions(nil) {
 		switch a.Kind {
@@ -283,7 +287,7 @@
 	r := h.requests[a.Request]
 	host := h.hosts[a.Host-1]
 	if r == nil || r.answered {
-		h.Fatalf("request %d sent after its end", a.Request)
+		h.Fatalf("request %d sent after its answer", a.Request)
 	}
 	if host.State != Ready {
 		h.Fatalf("sent to host %d, state %d", host.ID, host.State)
@@ -300,12 +304,12 @@
 		}
 		switch c := r.class; {
 		case c.Effect == AtMostOnce:
-			h.Fatalf("unsafe request %d sent again", a.Request)
+			h.Fatalf("at-most-once request %d sent again", a.Request)
 		case c.Effect == Deduplicated && h.now-p.sent > c.DedupWindow:
-			h.Fatalf("keyed request %d sent again after its window", a.Request)
+			h.Fatalf("deduplicated request %d sent again after its window", a.Request)
 		case c.Effect == Deduplicated && c.DedupScope == DedupZone && p.host.Zone != host.Zone,
 			c.Effect == Deduplicated && c.DedupScope == DedupCell && p.host.Cell != host.Cell:
-			h.Fatalf("keyed request %d left its group", a.Request)
+			h.Fatalf("deduplicated request %d sent outside its scope", a.Request)
 		}
 		break
 	}
@@ -313,8 +317,8 @@
 	h.checkCold(int(a.Host-1), host)
 }
 
-// checkCold counts the sends of the last OverloadWindow against the budget at the most
-// that this instance can have learnt, from warm hosts or from this one's own answers.
+// checkCold compares the sends of the last OverloadWindow with the budget at the highest rate that
+// this instance can have measured, of warm hosts or in the answers of this host.
 func (h *history) checkCold(i int, host Host) {
 	age := h.now - host.Started
 	if host.Started == 0 || age >= h.set.WarmAfter {
--- a/notified_test.go
+++ b/notified_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// After a watch is lost sends go on until shortly before what it kept back counts as notified and
-// the grace is over, are held until a list comes, and go on in any case once discovery should
-// have answered a whole fleet. An attempt that starts before may go out until then.
+// After the loss of a watch, sends continue until shortly before a change that it held back counts
+// as notified and DrainGrace has passed. They are then held until a list arrives, but no longer
+// than discovery should need to answer a whole fleet. An attempt that starts before may be written
+// until sends are held.
 func TestSendsAreHeldUntilTheListIsCurrent(t *testing.T) {
 	const second = time.Second
 	for name, tt := range map[string]struct {
 		loss                []ListKind
-		heldFrom, heldUntil Time // sends are held; 0: never
+		heldFrom, heldUntil Time // since the loss; 0: sends are not held
 		maxWatchGap         Time
-		listAt              Time // one comes; 0: none
+		listAt              Time // since the loss; 0: no list arrives
 		pushed              bool
 	}{
-		"ended":                             {loss: []ListKind{ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
-		"silent":                            {loss: []ListKind{ListSilent}, heldFrom: 3800 * ms, heldUntil: 10 * second},
-		"moved":                             {loss: []ListKind{ListMoved}, heldFrom: 4800 * ms, heldUntil: 10 * second},
-		"reset":                             {loss: []ListKind{ListFailed}},
-		"ended, then nobody there":          {loss: []ListKind{ListEnded, ListUnreachable}},
-		"ended, then a call that failed":    {loss: []ListKind{ListEnded, ListFailed}, heldFrom: 2800 * ms, heldUntil: 10 * second},
-		"moved, and the watch ended":        {loss: []ListKind{ListMoved, ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
-		"ended, asked seldom":               {loss: []ListKind{ListEnded}, maxWatchGap: 60 * second, heldFrom: 2800 * ms, heldUntil: 12 * second},
-		"ended, asked often":                {loss: []ListKind{ListEnded}, maxWatchGap: 5 * second, heldFrom: 2800 * ms, heldUntil: 5 * second},
-		"ended, a list comes in time":       {loss: []ListKind{ListEnded}, listAt: second},
-		"ended, a list comes while held":    {loss: []ListKind{ListEnded}, listAt: 4 * second, heldFrom: 2800 * ms, heldUntil: 4 * second},
-		"ended, lists come without a watch": {loss: []ListKind{ListEnded}, pushed: true},
+		"ended":                            {loss: []ListKind{ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"silent":                           {loss: []ListKind{ListSilent}, heldFrom: 3800 * ms, heldUntil: 10 * second},
+		"moved":                            {loss: []ListKind{ListMoved}, heldFrom: 4800 * ms, heldUntil: 10 * second},
+		"reset":                            {loss: []ListKind{ListFailed}},
+		"ended, then unreachable":          {loss: []ListKind{ListEnded, ListUnreachable}},
+		"ended, then a failed call":        {loss: []ListKind{ListEnded, ListFailed}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"moved, and the watch ended":       {loss: []ListKind{ListMoved, ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"ended, long MaxWatchGap":          {loss: []ListKind{ListEnded}, maxWatchGap: 60 * second, heldFrom: 2800 * ms, heldUntil: 12 * second},
+		"ended, short MaxWatchGap":         {loss: []ListKind{ListEnded}, maxWatchGap: 5 * second, heldFrom: 2800 * ms, heldUntil: 5 * second},
+		"ended, a list arrives in time":    {loss: []ListKind{ListEnded}, listAt: second},
+		"ended, a list arrives while held": {loss: []ListKind{ListEnded}, listAt: 4 * second, heldFrom: 2800 * ms, heldUntil: 4 * second},
+		"ended, the list is pushed":        {loss: []ListKind{ListEnded}, pushed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := basicSettings()
@@ -59,7 +60,7 @@
 						}
 					}
 					if writeBy != want {
-						t.Fatalf("%v after the loss: an attempt may go out until %v, want %v", at, writeBy, want)
+						t.Fatalf("%v after the loss: an attempt may be written until %v, want %v", at, writeBy, want)
 					}
 					g.outcome(id, 0, OK, 10*ms)
 				}
@@ -69,9 +70,9 @@
 	}
 }
 
-// A fleet whose watches have ended asks anew within half a second, each at its rank; a watch that
-// ends again at once waits for its turn.
-func TestEndedWatchIsFollowedUpAtOnce(t *testing.T) {
+// A fleet whose watches have ended calls again within half a second, in the order of ranks. A watch
+// that ends again at once is not resumed in this way, but waits for the time of its rank.
+func TestEndedWatchIsResumedSoon(t *testing.T) {
 	for _, n := range []int{1, 6, 300, 900} {
 		var last Time
 		for _, rank := range []int{0, n / 2, n - 1} {
@@ -83,19 +84,19 @@
 			g.updateHosts(ListEnded)
 			delay := g.waitForWatch()
 			if delay > maxResumeSpread || delay < last {
-				t.Errorf("rank %d of %d asks %v after the end of its watch, the one before it %v", rank, n, delay, last)
+				t.Errorf("rank %d of %d calls %v after the end of its watch, the rank before it %v", rank, n, delay, last)
 			}
 			last = delay
 			g.updateHosts(ListFull, testHosts(2)...)
 			g.updateHosts(ListEnded)
 			if n == 1 && g.waitForWatch() < 100*ms {
-				t.Error("a watch that ends at once is opened at once again")
+				t.Error("a watch that ended at once is resumed at once")
 			}
 		}
 	}
 }
 
-// waitForWatch is how long it takes until discovery is asked.
+// waitForWatch advances the clock until discovery is called and returns the time that this takes.
 func (g *gateway) waitForWatch() Time {
 	g.Helper()
 	from := g.now
@@ -106,6 +107,6 @@
 			}
 		}
 	}
-	g.Fatal("discovery is not asked")
+	g.Fatal("discovery is not called within 20 s")
 	return 0
 }
--- a/view_test.go
+++ b/view_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// startFleet starts a bank with a view of itself, with skewed traffic, and lets each instance
-// look at who sends where some times.
+// startFleet starts a fleet of instances with skewed request rates and n hosts. Each has a view of
+// the fleet, which is updated ten times.
 func startFleet(t *testing.T, instances, n int) (fleet []*gateway, rates []float64) {
 	rng := rand.New(rand.NewSource(1))
 	var peers []Peer
@@ -29,7 +29,8 @@
 	return fleet, rates
 }
 
-// updateView gives an instance its view once a second, with a request after it.
+// updateView passes a view to the instance the given number of times, once a second, each with a
+// request after it.
 func (g *gateway) updateView(peers []Peer, times int) {
 	for range times {
 		g.b.UpdatePeers(g.now, peers)
@@ -43,9 +44,9 @@
 	}
 }
 
-// The parts that the instances of a bank choose by themselves, each on its own view, give
-// all hosts nearly the same; half of an instance's traffic is the most that a host gets.
-func TestViewEvensTheLoadOfHosts(t *testing.T) {
+// The traffic shares that instances choose independently, each on its own view, give all hosts
+// nearly the same load. No instance sends more than half of its traffic to one host.
+func TestViewBalancesHostLoad(t *testing.T) {
 	const instances, n = 90, 60
 	fleet, rates := startFleet(t, instances, n)
 	load, sum, evenLoad := map[HostID]float64{}, 0.0, map[HostID]float64{}
@@ -57,7 +58,7 @@
 		for _, h := range g.b.subset {
 			share := g.b.trafficShare(h) / total
 			if share > maxTrafficShare+0.02 {
-				t.Errorf("instance %d gives host %d %.2f of its traffic", i, h.ID, share)
+				t.Errorf("instance %d sends host %d a share of %.2f of its traffic, want at most half", i, h.ID, share)
 			}
 			load[h.ID] += rates[i] * share
 			evenLoad[h.ID] += rates[i] / float64(len(g.b.subset))
@@ -72,13 +73,13 @@
 		return math.Sqrt(v / n)
 	}
 	if fitted, even := cv(load), cv(evenLoad); fitted > 0.1 || fitted > even/2 {
-		t.Errorf("loads differ by a CV of %.3f, %.3f with even parts", fitted, even)
+		t.Errorf("coefficient of variation of the loads %.3f, with even shares %.3f", fitted, even)
 	}
 }
 
-// Picks of two by their parts give each ready host its part of the picks where all are as
-// fast, and never the same host twice.
-func TestPicksFollowTheParts(t *testing.T) {
+// Where all hosts are equally fast, picks of two by traffic share give each ready host its share.
+// The two hosts always differ.
+func TestPickTwoFollowsTrafficShares(t *testing.T) {
 	fleet, _ := startFleet(t, 1, 4)
 	b := fleet[0].b
 	b.ready = append(b.ready[:0], b.ring...)
@@ -90,22 +91,23 @@
 	for range picks {
 		i, j := b.pickTwo()
 		if i == j {
-			t.Fatal("one host twice")
+			t.Fatal("the same host was picked twice")
 		}
-		got[b.ready[i]] += 0.5 / picks // each wins half of the time
+		got[b.ready[i]] += 0.5 / picks // each is taken half of the time
 		got[b.ready[j]] += 0.5 / picks
 	}
 	for _, h := range b.ring {
 		if math.Abs(got[h]-h.trafficShare) > 0.02 {
-			t.Errorf("host %d is in for %.3f of the picks, its part is %.2f", h.ID, got[h], h.trafficShare)
+			t.Errorf("host %d gets a share of %.3f of the picks, want its traffic share %.2f", h.ID, got[h], h.trafficShare)
 		}
 	}
 }
 
-// A cut in two halves for 10 s: each side goes on with its share of the caps as if all were
-// there, so the sum stays within them; one that sees nobody draws one host more a second
-// at most. A cut that lasts fades the others out.
-func TestCutKeepsSharesOfCaps(t *testing.T) {
+// A network partition splits the fleet into halves for 10 s. Each side keeps its share of the
+// limits of hosts as if all instances were present, so that their sum stays within the limits. An
+// instance that sees no other one adds at most one host a second to its subset. In a partition that
+// lasts, the absent instances stop counting.
+func TestPartitionKeepsSharesOfLimits(t *testing.T) {
 	const instances, n = 90, 60
 	fleet, _ := startFleet(t, instances, n)
 	half := make([]Peer, 0, instances/2)
@@ -115,22 +117,23 @@
 	for _, g := range fleet[:3] {
 		g.updateView(half, 10)
 		if got := g.b.instances(); got < instances {
-			t.Errorf("10 s into a cut the caps are shared by %.0f of %d", got, instances)
+			t.Errorf("limits are shared by %.0f instances 10 s into the partition, want %d", got, instances)
 		}
 		g.updateView(half, 120)
 		if got := g.b.instances(); got > instances/2+1 {
-			t.Errorf("after 130 s they are shared by %.0f, %d are there", got, len(half))
+			t.Errorf("limits are shared by %.0f instances after 130 s, want about the %d present", got, len(half))
 		}
 	}
 	alone := fleet[5]
 	before := len(alone.b.subset)
 	alone.updateView([]Peer{{Rank: 5, Rate: 1}}, 10)
 	if more := len(alone.b.subset) - before; more > 11 || alone.b.instances() < instances {
-		t.Errorf("alone for 10 s it draws from %d more hosts and shares caps with %.0f", more, alone.b.instances())
+		t.Errorf("alone for 10 s, the instance uses %d more hosts and limits are shared by %.0f", more, alone.b.instances())
 	}
 }
 
-// The cost of a request with its pick, by number of hosts, with and without a view of 300.
+// BenchmarkPick measures a request with its pick by number of hosts, with and without a view of 300
+// instances.
 func BenchmarkPick(bm *testing.B) {
 	for _, n := range []int{40, 200, 2000} {
 		for _, view := range []bool{false, true} {
