--- a/asking_test.go
+++ b/asking_test.go
@@ -34,12 +34,12 @@
 	slices.Sort(calls)
 	maxCallsWithin := func(width, from Time) (n int) {
 		for i, at := range calls {
-			k := i
-			for k < len(calls) && calls[k]-at < width {
-				k++
+			end := i
+			for end < len(calls) && calls[end]-at < width {
+				end++
 			}
 			if at >= from {
-				n = max(n, k-i)
+				n = max(n, end-i)
 			}
 		}
 		return n
@@ -51,8 +51,8 @@
 		t.Errorf("%d calls in a second, want 100 and a few more at its edges", n)
 	}
 	set.Instances, set.Rank = 1, 0
-	if acts := startGateway(t, set).advance(ms); len(acts) != 1 {
-		t.Errorf("actions %v at the start of a single instance, want one call", acts)
+	if actions := startGateway(t, set).advance(ms); len(actions) != 1 {
+		t.Errorf("actions %v at the start of a single instance, want one call", actions)
 	}
 }
 
@@ -63,12 +63,12 @@
 	for _, n := range []int{1, 2, 3, 6, 60, 300, 350, 1024} {
 		for _, maxGap := range []Time{time.Second, 10 * time.Second, 60 * time.Second} {
 			set := Settings{Instances: n, MaxWatchGap: maxGap}
-			calls, span := 0, 120*time.Second
+			calls, duration := 0, 120*time.Second
 			for rank := range n {
 				set.Rank = rank
 				rng := &Balancer{rng: uint64(rank)}
 				now, fails := firstCallDelay(&set), 1
-				for now < span {
+				for now < duration {
 					next := NextWatchCall(&set, now, fails, true, rng.randFloat())
 					if wait := next - now; wait <= 0 || wait > MaxWatchBackoff+MaxWatchBackoff/Time(n) {
 						t.Fatalf("%d instances, MaxWatchGap %v: rank %d waits %v after %d failures", n, maxGap, rank, wait, fails)
@@ -80,7 +80,7 @@
 				}
 			}
 			maxRate := max(100, float64(n)/min(maxGap, MaxWatchBackoff).Seconds())
-			if rate := float64(calls) / span.Seconds(); rate > maxRate*1.05 {
+			if rate := float64(calls) / duration.Seconds(); rate > maxRate*1.05 {
 				t.Errorf("%d instances, MaxWatchGap %v: %.0f calls a second", n, maxGap, rate)
 			}
 		}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -103,20 +103,20 @@
 func (g *gateway) advance(d time.Duration) []Action {
 	var emitted []Action
 	for end := g.now + d; ; {
-		best := -1
-		for i, w := range g.timers {
-			if w.At <= end && (best < 0 || w.At < g.timers[best].At) {
-				best = i
+		earliest := -1
+		for i, timer := range g.timers {
+			if timer.At <= end && (earliest < 0 || timer.At < g.timers[earliest].At) {
+				earliest = i
 			}
 		}
-		if best < 0 {
+		if earliest < 0 {
 			g.now = end
 			return emitted
 		}
-		w := g.timers[best]
-		g.timers = append(g.timers[:best], g.timers[best+1:]...)
-		g.now = max(g.now, w.At)
-		g.b.Timer(g.now, w.Token)
+		timer := g.timers[earliest]
+		g.timers = append(g.timers[:earliest], g.timers[earliest+1:]...)
+		g.now = max(g.now, timer.At)
+		g.b.Timer(g.now, timer.Token)
 		g.collectActions()
 		emitted = append(emitted, g.actions...)
 	}
@@ -163,7 +163,7 @@
 func TestEstimateFollowsSamplesAndDecays(t *testing.T) {
 	g := startGateway(t, basicSettings(), testHosts(1)...)
 	h := g.b.hosts[0]
-	tau := g.b.decay
+	decay := g.b.decay
 	steps := []struct {
 		name  string
 		after time.Duration
@@ -171,8 +171,8 @@
 		want  float64
 	}{
 		{"a sample above the estimate replaces it", 0, 0.5, 0.5},
-		{"a sample below is blended in by the time since the last one", 800 * ms, 0.1, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
-		{"a lower sample without time in between leaves the estimate", 0, 0.01, 0.5*math.Exp(-0.8/tau) + 0.1*(1-math.Exp(-0.8/tau))},
+		{"a sample below is blended in by the time since the last one", 800 * ms, 0.1, 0.5*math.Exp(-0.8/decay) + 0.1*(1-math.Exp(-0.8/decay))},
+		{"a lower sample without time in between leaves the estimate", 0, 0.01, 0.5*math.Exp(-0.8/decay) + 0.1*(1-math.Exp(-0.8/decay))},
 		{"a sample above the decayed estimate replaces it", 100 * time.Second, 0.02, 0.02},
 	}
 	for _, s := range steps {
@@ -182,7 +182,7 @@
 			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt, s.want)
 		}
 	}
-	g.b.now += Time(tau * 1e9)
+	g.b.now += Time(decay * 1e9)
 	if got, want := g.b.estimate(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("estimate one decay time later: %v, want %v", got, want)
 	}
@@ -327,9 +327,9 @@
 	g.serve(60, 0, func(h HostID) time.Duration { return Time(20+60*(h%2)) * ms })
 	g.updateHosts(ListChanges, Host{ID: 11, Kind: 0}, Host{ID: 12, Kind: 1}, Host{ID: 13, Kind: -1})
 	n := len(g.b.hosts)
-	slow, fast, odd := g.b.estimate(g.b.hosts[n-3]), g.b.estimate(g.b.hosts[n-2]), g.b.estimate(g.b.hosts[n-1])
-	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || odd <= fast || odd >= slow {
-		t.Errorf("initial estimates %v, %v and %v (of no known kind), want about 0.08, 0.02 and a value between", slow, fast, odd)
+	slow, fast, unknown := g.b.estimate(g.b.hosts[n-3]), g.b.estimate(g.b.hosts[n-2]), g.b.estimate(g.b.hosts[n-1])
+	if math.Abs(slow-0.08) > 0.02 || math.Abs(fast-0.02) > 0.01 || unknown <= fast || unknown >= slow {
+		t.Errorf("initial estimates %v, %v and %v (of no known kind), want about 0.08, 0.02 and a value between", slow, fast, unknown)
 	}
 }
 
@@ -385,15 +385,15 @@
 	g := startGateway(t, set, testHosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if p := g.b.rttRatio.mean; p > 1 || g.b.rateLimit != 0 {
-		t.Fatalf("RTT ratio %v, rate limit %v at usual RTTs, want a ratio up to 1 and no limit", p, g.b.rateLimit)
+	if ratio := g.b.rttRatio.mean; ratio > 1 || g.b.rateLimit != 0 {
+		t.Fatalf("RTT ratio %v, rate limit %v at usual RTTs, want a ratio up to 1 and no limit", ratio, g.b.rateLimit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency target
 	if g.b.rateLimit == 0 {
 		t.Errorf("no rate limit at two and a half times the usual RTT, RTT ratio %v", g.b.rttRatio.mean)
 	}
-	if l := g.b.classes[0].rtt.mean; l > 0.05 {
-		t.Errorf("mean RTT %v s of the class after a short congestion, want about 0.04", l)
+	if rtt := g.b.classes[0].rtt.mean; rtt > 0.05 {
+		t.Errorf("mean RTT %v s of the class after a short congestion, want about 0.04", rtt)
 	}
 }
 
@@ -408,8 +408,8 @@
 	g.request(0, time.Second)
 	g.onlyAction(Send)
 	g.advance(300 * ms)
-	if p := g.b.rttRatio.mean; p <= before {
-		t.Errorf("RTT ratio %v after 300 ms without an answer, %v before, want it raised", p, before)
+	if ratio := g.b.rttRatio.mean; ratio <= before {
+		t.Errorf("RTT ratio %v after 300 ms without an answer, %v before, want it raised", ratio, before)
 	}
 }
 
@@ -1642,11 +1642,11 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		part, err := os.ReadFile(string(name[1]))
+		text, err := os.ReadFile(string(name[1]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		files[string(name[1])] = string(part)
+		files[string(name[1])] = string(text)
 	}
 	return files
 }
--- a/cold_test.go
+++ b/cold_test.go
@@ -31,9 +31,9 @@
 			sharers[h.ID]++
 		}
 	}
-	for id, k := range sharers {
-		if k > maxColdSharers+minSubset {
-			t.Errorf("%d instances use cold host %d", k, id)
+	for id, count := range sharers {
+		if count > maxColdSharers+minSubset {
+			t.Errorf("%d instances use cold host %d", count, id)
 		}
 	}
 	if len(sharers) < n {
@@ -64,14 +64,14 @@
 			}
 		}
 	}
-	for id, k := range sent {
-		if k > 25+5*3 { // three standard deviations of 5, the root of 25
-			t.Errorf("%d sends to host %d in the fourth second, more than its budget of 25 allows", k, id)
+	for id, count := range sent {
+		if count > 25+5*3 { // three standard deviations of 5, the root of 25
+			t.Errorf("%d sends to host %d in the fourth second, more than its budget of 25 allows", count, id)
 		}
 	}
 	sum := 0
-	for _, k := range sent {
-		sum += k
+	for _, count := range sent {
+		sum += count
 	}
 	if sum < n*25/4 {
 		t.Errorf("%d sends to %d hosts in the fourth second, want at least a quarter of the budget of %d", sum, n, n*25)
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -200,9 +200,9 @@
 		h.b.UpdateHosts(h.now, ListChanges, []Host{*changed})
 	} else {
 		var list []Host
-		for _, e := range h.hosts {
-			if e.State != Removed {
-				list = append(list, e)
+		for _, entry := range h.hosts {
+			if entry.State != Removed {
+				list = append(list, entry)
 			}
 		}
 		h.b.UpdateHosts(h.now, ListFull, list)
@@ -225,17 +225,17 @@
 	for end := h.now + d; h.now < end; {
 		h.now += h.set.EventInterval
 		var due []Action
-		keep := h.timers[:0]
-		for _, w := range h.timers {
-			if w.At <= h.now {
-				due = append(due, w)
+		later := h.timers[:0]
+		for _, timer := range h.timers {
+			if timer.At <= h.now {
+				due = append(due, timer)
 			} else {
-				keep = append(keep, w)
+				later = append(later, timer)
 			}
 		}
-		h.timers = keep
-		for _, w := range due {
-			h.b.Timer(h.now, w.Token)
+		h.timers = later
+		for _, timer := range due {
+			h.b.Timer(h.now, timer.Token)
 			h.carryOutActions()
 		}
 		open := h.openRequests[:0]
@@ -298,17 +298,17 @@
 	if r.inFlight() > 0 {
 		h.Fatalf("request %d has two attempts at once", a.Request)
 	}
-	for _, p := range r.attempts {
-		if p.ended && !p.result.mayHaveRun() {
+	for _, earlier := range r.attempts {
+		if earlier.ended && !earlier.result.mayHaveRun() {
 			continue
 		}
 		switch c := r.class; {
 		case c.Effect == AtMostOnce:
 			h.Fatalf("at-most-once request %d sent again", a.Request)
-		case c.Effect == Deduplicated && h.now-p.sent > c.DedupWindow:
+		case c.Effect == Deduplicated && h.now-earlier.sent > c.DedupWindow:
 			h.Fatalf("deduplicated request %d sent again after its window", a.Request)
-		case c.Effect == Deduplicated && c.DedupScope == DedupZone && p.host.Zone != host.Zone,
-			c.Effect == Deduplicated && c.DedupScope == DedupCell && p.host.Cell != host.Cell:
+		case c.Effect == Deduplicated && c.DedupScope == DedupZone && earlier.host.Zone != host.Zone,
+			c.Effect == Deduplicated && c.DedupScope == DedupCell && earlier.host.Cell != host.Cell:
 			h.Fatalf("deduplicated request %d sent outside its scope", a.Request)
 		}
 		break
@@ -352,8 +352,8 @@
 	if a.Kind == Fail {
 		return
 	}
-	for _, p := range r.attempts {
-		if c := r.class; (!p.ended || p.result.mayHaveRun()) && c.Effect != Idempotent &&
+	for _, attempt := range r.attempts {
+		if c := r.class; (!attempt.ended || attempt.result.mayHaveRun()) && c.Effect != Idempotent &&
 			(c.Effect != Deduplicated || c.DedupScope != DedupAll) {
 			h.Fatalf("request %d refused though it may have run", a.Request)
 		}
--- a/notified_test.go
+++ b/notified_test.go
@@ -37,7 +37,7 @@
 			g := startGateway(t, set, testHosts(2)...)
 			g.updateHosts(ListFull, testHosts(2)...)
 			g.advance(5 * second)
-			lost := g.now
+			lostAt := g.now
 			for _, kind := range tt.loss {
 				g.updateHosts(kind)
 			}
@@ -54,9 +54,9 @@
 				if sent {
 					writeBy, want := g.actions[0].WriteBy, Time(0)
 					if tt.heldFrom > 0 && at < tt.heldFrom || tt.listAt > at && tt.heldFrom == 0 {
-						want = lost + 2800*ms
+						want = lostAt + 2800*ms
 						if tt.heldFrom > 0 {
-							want = lost + tt.heldFrom
+							want = lostAt + tt.heldFrom
 						}
 					}
 					if writeBy != want {
@@ -74,7 +74,7 @@
 // that ends again at once is not resumed in this way, but waits for the time of its rank.
 func TestEndedWatchIsResumedSoon(t *testing.T) {
 	for _, n := range []int{1, 6, 300, 900} {
-		var last Time
+		var previousDelay Time
 		for _, rank := range []int{0, n / 2, n - 1} {
 			set := basicSettings()
 			set.WatchHosts, set.Instances, set.Rank, set.MaxWatchGap = true, n, rank, 10*time.Second
@@ -83,10 +83,10 @@
 			g.advance(5 * time.Second)
 			g.updateHosts(ListEnded)
 			delay := g.waitForWatch()
-			if delay > maxResumeSpread || delay < last {
-				t.Errorf("rank %d of %d calls %v after the end of its watch, the rank before it %v", rank, n, delay, last)
+			if delay > maxResumeSpread || delay < previousDelay {
+				t.Errorf("rank %d of %d calls %v after the end of its watch, the rank before it %v", rank, n, delay, previousDelay)
 			}
-			last = delay
+			previousDelay = delay
 			g.updateHosts(ListFull, testHosts(2)...)
 			g.updateHosts(ListEnded)
 			if n == 1 && g.waitForWatch() < 100*ms {
@@ -99,11 +99,11 @@
 // waitForWatch advances the clock until discovery is called and returns the time that this takes.
 func (g *gateway) waitForWatch() Time {
 	g.Helper()
-	from := g.now
-	for g.now-from < 20*time.Second {
+	startedAt := g.now
+	for g.now-startedAt < 20*time.Second {
 		for _, a := range g.advance(ms) {
 			if a.Kind == Watch {
-				return g.now - from
+				return g.now - startedAt
 			}
 		}
 	}
--- a/view_test.go
+++ b/view_test.go
@@ -66,11 +66,11 @@
 		sum += rates[i]
 	}
 	cv := func(load map[HostID]float64) float64 {
-		v := 0.0
+		squares := 0.0
 		for _, h := range testHosts(n) {
-			v += math.Pow(load[h.ID]/(sum/n)-1, 2)
+			squares += math.Pow(load[h.ID]/(sum/n)-1, 2)
 		}
-		return math.Sqrt(v / n)
+		return math.Sqrt(squares / n)
 	}
 	if fitted, even := cv(load), cv(evenLoad); fitted > 0.1 || fitted > even/2 {
 		t.Errorf("coefficient of variation of the loads %.3f, with even shares %.3f", fitted, even)
@@ -127,8 +127,8 @@
 	alone := fleet[5]
 	before := len(alone.b.subset)
 	alone.updateView([]Peer{{Rank: 5, Rate: 1}}, 10)
-	if more := len(alone.b.subset) - before; more > 11 || alone.b.instances() < instances {
-		t.Errorf("alone for 10 s, the instance uses %d more hosts and limits are shared by %.0f", more, alone.b.instances())
+	if added := len(alone.b.subset) - before; added > 11 || alone.b.instances() < instances {
+		t.Errorf("alone for 10 s, the instance uses %d more hosts and limits are shared by %.0f", added, alone.b.instances())
 	}
 }
 
@@ -151,13 +151,13 @@
 					b.UpdatePeers(now, peers)
 				}
 				b.UpdateHosts(now, ListFull, testHosts(n))
-				acts := b.TakeActions(nil)
+				actions := b.TakeActions(nil)
 				bm.ReportAllocs()
 				for i := 0; bm.Loop(); i++ {
 					now += 300 * ms // 3.3 requests a second
 					b.Request(now, Request{ID: RequestID(i), Remaining: time.Second})
 					b.Outcome(now+40*ms, Outcome{Request: RequestID(i), Elapsed: 40 * ms, Answered: true})
-					acts = b.TakeActions(acts[:0])
+					actions = b.TakeActions(actions[:0])
 				}
 			})
 		}
