--- a/notified_test.go
+++ b/notified_test.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// After a watch is lost sends go on until shortly before what it kept back counts as notified and
-// the grace is over, are held until a list comes, and go on in any case once discovery should
-// have answered a whole fleet. An attempt that starts before may go out until then.
+// After the loss of a watch, sends continue until shortly before a change that it held back counts
+// as notified and DrainGrace has passed. They are then held until a list arrives, but no longer
+// than discovery should need to answer a whole fleet. An attempt that starts before may be written
+// until sends are held.
 func TestSendsAreHeldUntilTheListIsCurrent(t *testing.T) {
 	const second = time.Second
-	for name, c := range map[string]struct {
-		loss      []ListKind
-		from, to  Time // sends are held; 0: never
-		askWithin Time
-		list      Time // one comes; 0: none
-		pushed    bool
+	for name, tt := range map[string]struct {
+		loss                []ListKind
+		heldFrom, heldUntil Time // since the loss; 0: sends are not held
+		maxWatchGap         Time
+		listAt              Time // since the loss; 0: no list arrives
+		pushed              bool
 	}{
-		"ended":                             {loss: []ListKind{ListEnded}, from: 2800 * ms, to: 10 * second},
-		"silent":                            {loss: []ListKind{ListSilent}, from: 3800 * ms, to: 10 * second},
-		"moved":                             {loss: []ListKind{ListMoved}, from: 4800 * ms, to: 10 * second},
-		"reset":                             {loss: []ListKind{ListFailed}},
-		"ended, then nobody there":          {loss: []ListKind{ListEnded, ListUnreachable}},
-		"ended, then a call that failed":    {loss: []ListKind{ListEnded, ListFailed}, from: 2800 * ms, to: 10 * second},
-		"moved, and the watch ended":        {loss: []ListKind{ListMoved, ListEnded}, from: 2800 * ms, to: 10 * second},
-		"ended, asked seldom":               {loss: []ListKind{ListEnded}, askWithin: 60 * second, from: 2800 * ms, to: 12 * second},
-		"ended, asked often":                {loss: []ListKind{ListEnded}, askWithin: 5 * second, from: 2800 * ms, to: 5 * second},
-		"ended, a list comes in time":       {loss: []ListKind{ListEnded}, list: second},
-		"ended, a list comes while held":    {loss: []ListKind{ListEnded}, list: 4 * second, from: 2800 * ms, to: 4 * second},
-		"ended, lists come without a watch": {loss: []ListKind{ListEnded}, pushed: true},
+		"ended":                            {loss: []ListKind{ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"silent":                           {loss: []ListKind{ListSilent}, heldFrom: 3800 * ms, heldUntil: 10 * second},
+		"moved":                            {loss: []ListKind{ListMoved}, heldFrom: 4800 * ms, heldUntil: 10 * second},
+		"reset":                            {loss: []ListKind{ListFailed}},
+		"ended, then unreachable":          {loss: []ListKind{ListEnded, ListUnreachable}},
+		"ended, then a failed call":        {loss: []ListKind{ListEnded, ListFailed}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"moved, and the watch ended":       {loss: []ListKind{ListMoved, ListEnded}, heldFrom: 2800 * ms, heldUntil: 10 * second},
+		"ended, long MaxWatchGap":          {loss: []ListKind{ListEnded}, maxWatchGap: 60 * second, heldFrom: 2800 * ms, heldUntil: 12 * second},
+		"ended, short MaxWatchGap":         {loss: []ListKind{ListEnded}, maxWatchGap: 5 * second, heldFrom: 2800 * ms, heldUntil: 5 * second},
+		"ended, a list arrives in time":    {loss: []ListKind{ListEnded}, listAt: second},
+		"ended, a list arrives while held": {loss: []ListKind{ListEnded}, listAt: 4 * second, heldFrom: 2800 * ms, heldUntil: 4 * second},
+		"ended, the list is pushed":        {loss: []ListKind{ListEnded}, pushed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := basic()
-			set.WatchHosts, set.MaxWatchGap = !c.pushed, c.askWithin
-			g := start(t, set, hosts(2)...)
-			g.list(ListFull, hosts(2)...)
+			set := basicSettings()
+			set.WatchHosts, set.MaxWatchGap = !tt.pushed, tt.maxWatchGap
+			g := startGateway(t, set, testHosts(2)...)
+			g.updateHosts(ListFull, testHosts(2)...)
 			g.advance(5 * second)
-			lost := g.now
-			for _, kind := range c.loss {
-				g.list(kind)
+			lostAt := g.now
+			for _, kind := range tt.loss {
+				g.updateHosts(kind)
 			}
 			for at := Time(0); at < 15*second; at += 100 * ms {
-				if c.list > 0 && at == c.list {
-					g.list(ListFull, hosts(2)...)
+				if tt.listAt > 0 && at == tt.listAt {
+					g.updateHosts(ListFull, testHosts(2)...)
 				}
-				held := c.to > 0 && at >= c.from && at < c.to
+				held := tt.heldUntil > 0 && at >= tt.heldFrom && at < tt.heldUntil
 				id := g.request(0, second)
-				sent := len(g.acts) == 1 && g.acts[0].Kind == Send
+				sent := len(g.actions) == 1 && g.actions[0].Kind == Send
 				if sent == held {
 					t.Fatalf("%v after the loss: sent %t, want held %t", at, sent, held)
 				}
 				if sent {
-					by, want := g.acts[0].WriteBy, Time(0)
-					if c.from > 0 && at < c.from || c.list > at && c.from == 0 {
-						want = lost + 2800*ms
-						if c.from > 0 {
-							want = lost + c.from
+					writeBy, want := g.actions[0].WriteBy, Time(0)
+					if tt.heldFrom > 0 && at < tt.heldFrom || tt.listAt > at && tt.heldFrom == 0 {
+						want = lostAt + 2800*ms
+						if tt.heldFrom > 0 {
+							want = lostAt + tt.heldFrom
 						}
 					}
-					if by != want {
-						t.Fatalf("%v after the loss: an attempt may go out until %v, want %v", at, by, want)
+					if writeBy != want {
+						t.Fatalf("%v after the loss: an attempt may be written until %v, want %v", at, writeBy, want)
 					}
 					g.outcome(id, 0, OK, 10*ms)
 				}
@@ -69,43 +70,43 @@
 	}
 }
 
-// A fleet whose watches have ended asks anew within half a second, each at its rank; a watch that
-// ends again at once waits for its turn.
-func TestEndedWatchIsFollowedUpAtOnce(t *testing.T) {
+// A fleet whose watches have ended calls again within half a second, in the order of ranks. A watch
+// that ends again at once is not resumed in this way, but waits for the time of its rank.
+func TestEndedWatchIsResumedSoon(t *testing.T) {
 	for _, n := range []int{1, 6, 300, 900} {
-		var last Time
+		var previousDelay Time
 		for _, rank := range []int{0, n / 2, n - 1} {
-			set := basic()
+			set := basicSettings()
 			set.WatchHosts, set.Instances, set.Rank, set.MaxWatchGap = true, n, rank, 10*time.Second
-			g := start(t, set, hosts(2)...)
-			g.list(ListFull, hosts(2)...)
+			g := startGateway(t, set, testHosts(2)...)
+			g.updateHosts(ListFull, testHosts(2)...)
 			g.advance(5 * time.Second)
-			g.list(ListEnded)
-			asked := g.untilWatch()
-			if asked > maxResumeSpread || asked < last {
-				t.Errorf("rank %d of %d asks %v after the end of its watch, the one before it %v", rank, n, asked, last)
+			g.updateHosts(ListEnded)
+			delay := g.waitForWatch()
+			if delay > maxResumeSpread || delay < previousDelay {
+				t.Errorf("rank %d of %d calls %v after the end of its watch, the rank before it %v", rank, n, delay, previousDelay)
 			}
-			last = asked
-			g.list(ListFull, hosts(2)...)
-			g.list(ListEnded)
-			if n == 1 && g.untilWatch() < 100*ms {
-				t.Error("a watch that ends at once is opened at once again")
+			previousDelay = delay
+			g.updateHosts(ListFull, testHosts(2)...)
+			g.updateHosts(ListEnded)
+			if n == 1 && g.waitForWatch() < 100*ms {
+				t.Error("a watch that ended at once is resumed at once")
 			}
 		}
 	}
 }
 
-// untilWatch is how long it takes until discovery is asked.
-func (g *gateway) untilWatch() Time {
+// waitForWatch advances the clock until discovery is called and returns the time that this takes.
+func (g *gateway) waitForWatch() Time {
 	g.Helper()
-	from := g.now
-	for g.now-from < 20*time.Second {
+	startedAt := g.now
+	for g.now-startedAt < 20*time.Second {
 		for _, a := range g.advance(ms) {
 			if a.Kind == Watch {
-				return g.now - from
+				return g.now - startedAt
 			}
 		}
 	}
-	g.Fatal("discovery is not asked")
+	g.Fatal("discovery is not called within 20 s")
 	return 0
 }
