--- a/api.go
+++ b/api.go
@@ -197,7 +197,7 @@
 	Send   ActionKind = iota
 	Cancel            // cancel Attempt of Request
 	Refuse            // final answer: refused, and a retry is harmless; RetryAfter is advice (0: none)
-	Fail              // final answer: an error that promises nothing
+	Fail              // final answer: an error; unlike after Refuse, a retry may do harm or be in vain
 	Wake              // call Timer with Token at At or soon after
 	Close             // close the idle connections to Host
 	Watch             // call discovery for changes from now on
--- a/balancer.go
+++ b/balancer.go
@@ -18,12 +18,13 @@
 	"sort"
 )
 
-// Constants named Targets are in multiples of the shortest latency target of all classes, unless
-// the comment names another. "Class targets" are latency targets of the request's class.
+// Constants named Targets are in multiples of the shortest latency target of all classes, unless the
+// comment names another. "Class targets" are latency targets of the request's class. A round is one
+// RTT, in which a host answers the attempts in flight; a growth a round is spread over these answers.
 const (
 	decayTargets      = 8         // decay time of an RTT estimate: it outlasts a gap between samples
 	decayGaps         = 4         // decay time in gaps between samples of a host, where that is longer
-	decayMaxFactor    = 8         // longest decay time, in times that of decayTargets
+	decayMaxFactor    = 8         // longest decay time, in multiples of that by decayTargets
 	maxKinds          = 255       // highest kind of host with an RTT mean of its own
 	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
 	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
@@ -36,20 +37,20 @@
 	rateSpanWindows   = 4         // time constant of the event rates, in OverloadWindows
 	initialLimit      = 4         // in-flight attempts that the whole fleet may have at a new host
 	limitTargets      = 0.375     // RTT goal of a host's in-flight limit, in class targets
-	limitFactor       = 2         // RTT goal of the limit in mean RTTs of the class, where lower
-	aloneFactor       = 1.25      // RTT goal of the limit in RTTs of lone attempts, where higher
+	limitFactor       = 2         // RTT goal of the limit in mean RTTs of the class, where that is lower
+	aloneFactor       = 1.25      // RTT goal of the limit in RTTs of lone attempts, where that is higher
 	maxLimitTargets   = 0.5       // highest RTT goal of the limit, in class targets
-	recentTargets     = 0.5       // time constant of a host's mean RTT: hosts collapse more slowly
+	recentTargets     = 0.5       // time constant of a host's mean RTT: a collapse of a host takes longer
 	maxRecentWeight   = 0.5       // highest weight of an answer in that mean: it may be an outlier
-	minLimit          = 2         // least in-flight limit of the fleet: one runs, the next arrives
-	limitGrowth       = 0.3       // attempts that the fleet adds at a host a round while requests wait
+	minLimit          = 2         // least in-flight limit of the fleet at a host: one runs, the next arrives
+	limitGrowth       = 0.3       // growth of the fleet's limit while requests wait, in attempts a round
 	overdueTargets    = 0.5       // age of an attempt, in class targets, that blocks its host
-	rateTargets       = 0.45      // RTT goal of the send rate, in class targets: half is for variation
-	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, where lower
+	rateTargets       = 0.45      // RTT goal of the send rate, in class targets: the rest is for variation
+	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, where that is lower
 	maxRateRatio      = 3         // most that an answer counts, in RTT goals: it may be an outlier
 	rateRatioWeight   = 1.0 / 8   // weight of an answer in the mean RTT ratio, which has few samples
 	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has under one attempt
-	rateGrowthDecays  = 2         // time in which the rate limit grows by e, in decay times
+	rateGrowthDecays  = 2         // time in which the rate limit grows by a factor of e, in decay times
 	rateBurst         = 4         // sends that may be saved up under the rate limit
 	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
 	retryFactor       = 0.5       // priority factor of a client's retry: it may be answered too late
@@ -596,13 +597,14 @@
 	if a.sent < h.resetAt {
 		return // it ran on a former process of that host
 	}
-	// The RTT in class targets, or relative to the mean of the class where that gives more.
+	// The ratio is the RTT in class targets, scaled so that the RTT goal of the limit is limitTargets:
+	// limitFactor mean RTTs of the class count as limitTargets where that gives a higher ratio.
 	ratio := rtt / a.request.class.LatencyTarget.Seconds()
 	if l := &a.request.class.rtt; l.seen {
 		ratio = max(ratio, limitTargets/limitFactor*rtt/l.mean)
 	}
-	// A long RTT of a lone attempt is no congestion; but where rateMinSharers instances or more
-	// share a host, the attempts of each are mostly alone and the host is still congested.
+	// Where fewer than rateMinSharers instances share a host, a lone attempt seldom meets congestion, so the
+	// usual RTT of lone attempts raises the goal. With more sharers, lone attempts meet those of others.
 	if l := &a.request.class.aloneRTT; l.seen && b.sharers() < rateMinSharers {
 		ratio /= min(max(1, aloneFactor*l.mean/(limitTargets*a.request.class.LatencyTarget.Seconds())),
 			maxLimitTargets/limitTargets)
@@ -632,12 +634,11 @@
 		}
 		b.readmit(h)
 	case Full:
-		// Refusals of a full host come at once: without a cut for each, a host that only
-		// refuses would attract all queued requests.
+		// A refusal comes at once but counts as an RTT of at least the latency target. By its true RTT, a
+		// host that only refuses would attract all queued requests.
 		b.adjustLimit(h, max(ratio, 1), a.request.class.LatencyTarget, a.sent)
-		// The limit does not act on a host without pending attempts. It idles until some of its
-		// work can have ended (a host that drains unlisted takes no more), but not so long
-		// that requests which can go only there cannot be sent again.
+		// The limit does not act on a host without pending attempts. It idles until some of its work can
+		// have ended (one that drains unlisted takes no more), but requests bound to it can be sent again.
 		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
 		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
 		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
--- a/cold.go
+++ b/cold.go
@@ -6,7 +6,7 @@
 // not overload it.
 
 const (
-	coldMargin     = 0.5 // share of the cold budget that is used: rates are estimates and work varies
+	coldMargin     = 0.5 // share used of a rate measured at warm hosts: it is an estimate, and work varies
 	maxColdSharers = 16  // most instances that use a cold host: its connection table is small
 )
 
@@ -23,8 +23,9 @@
 }
 
 // coldLimited paces sends to a cold host so that the fleet as a whole stays within the host's budget.
-// The gap follows the rate as it is measured, so that a long gap from a time without samples is not
-// waited out.
+// coldGap is not a time: it is in mean gaps of 1/coldRate, and the time since the last send is compared
+// with it at the present rate. When the first answers raise the rate, a gap that began without samples
+// becomes shorter at once.
 func (b *Balancer) coldLimited(h *host) bool {
 	if h.cold && b.now-h.coldSince >= b.settings.WarmAfter {
 		h.cold = false
@@ -40,14 +41,19 @@
 func (b *Balancer) recordColdSend(h *host) {
 	h.coldSent++
 	h.coldAllowed += b.coldRate(h) * (b.now - h.coldSentAt).Seconds()
+	// A host back from maintenance has a coldDeadline, at which its first send is made even if the pacing
+	// does not allow it yet. That send is intended, so it is no fault to report.
 	if h.coldDeadline == 0 && h.coldSent > coldBudget(h.coldAllowed) {
 		b.emit(Action{Kind: ColdOver, Host: h.ID})
 	}
 	h.coldSentAt, h.coldGap, h.coldDeadline = b.now, 0.5+b.randFloat(), 0
 }
 
-// coldBudget is the highest number of sends that may occur by chance where n are allowed in the mean:
-// the tolerance of the rule on cold hosts.
+// coldBudget is the highest number of sends to a cold host in a time in which n are allowed on average.
+// A cold host fails when it gets more requests of mean work than that in an OverloadWindow, where n is
+// OverloadFactor times what it can serve in that time. Random arrivals with the mean n have a standard
+// deviation of sqrt(n), so the budget leaves room for two deviations and two requests. For n below 30,
+// where such counts are skewed toward high values, it leaves room for three of both.
 func coldBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -55,15 +61,17 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// coldRate is how many requests a second this instance may send to a cold host: OverloadFactor,
-// less the margin, times this instance's part of what the host can certainly serve now.
-//   - The rate that this instance gets from a warm host, summed over the instances that share it,
-//     is within a warm host's capacity; a cold host has its cold share of that.
-//   - A host that answers a request in some time serves at least one in that time. Its own RTT is
-//     used, whatever its cold share is, and shows congestion at once; without samples it is assumed
-//     to have the default initial RTT once warm. This bound is that of the whole host, so each
-//     instance that uses it has a part.
-//   - With almost no data, all instances that use the host send one in an OverloadWindow together.
+// coldRate is how many requests a second this instance may send to a cold host. It is OverloadFactor
+// times the higher of two rates that the host can certainly serve now, and no lower than a floor.
+//   - The first rate is taken from warm hosts. The rate that this instance gets from one, summed over
+//     the instances that share it, is within its capacity. A cold host has its cold share of that
+//     capacity, of which coldMargin is used.
+//   - The second rate is taken from the host's own RTT: a host that answers a request in some time
+//     serves at least one in that time. warmRTT is the RTT times the cold share at the time of the
+//     answer (see observe), so the present cold share divided by it is about one over the present
+//     RTT. It falls at once when the host is congested. Without samples, the host is assumed to have
+//     the default initial RTT once warm. All instances that use the host share this rate.
+//   - The floor is one request in an OverloadWindow from all instances that use the host together.
 func (b *Balancer) coldRate(h *host) float64 {
 	share := b.coldShare(h)
 	hostRate := share / (initialRTTShare * b.shortestTarget.Seconds())
--- a/state.go
+++ b/state.go
@@ -14,7 +14,7 @@
 	settings Settings
 	rng      uint64
 	now      Time
-	actions  []Action // since the last TakeActions
+	actions  []Action // actions decided since the last TakeActions
 
 	hosts         []*host   // in order of first listing, so that nothing depends on map order
 	ring          []*host   // the hosts in an order that is the same at every instance
@@ -22,17 +22,17 @@
 	subset        []*host   // the hosts that this instance uses
 	subsetMoveAt  Time      // earliest time at which a host of the subset may be replaced
 	activeHosts   int       // hosts of the subset that are neither cold nor ejected
-	arrivals      eventRate // requests to this instance
-	longArrivals  eventRate // requests to this instance, over peerRateSpan
-	peers         []Peer    // view of the fleet, with this instance; nil: there is no view
+	arrivals      eventRate // requests to this instance, a second
+	longArrivals  eventRate // requests to this instance, a second, with the time constant peerRateSpan
+	peers         []Peer    // instances in the view of the fleet, with this one; nil: there is no view
 	peakInstances float64   // recent peak of the number of instances
-	peakAt        Time      // time of that peak
-	viewSubset    float64   // hosts that each instance uses so that a host has viewMinSharers
+	peakAt        Time      // time of peakInstances
+	viewSubset    float64   // least number of hosts that each instance uses, so that each host has viewMinSharers sharers
 	rebalanceAt   Time      // time of the next fit of the traffic shares
 	byID          map[HostID]*host
 	requests      map[RequestID]*request
 	inMaintenance map[HostID]bool // hosts in maintenance, listed or not
-	returnedAt    map[HostID]Time // ends of maintenance
+	returnedAt    map[HostID]Time // when the maintenance of a host last ended
 	classes       []*class
 	queues        []list[request] // queued requests, by falling priority
 	priorities    []float64       // priorities of the queues
@@ -42,41 +42,41 @@
 	shortestTarget Time            // shortest latency target of any class
 	decay          float64         // decay time of RTT estimates in seconds
 	penalty        float64         // least RTT in seconds that an error counts as
-	meanRTT        movingAverage   // RTT of good answers of any class
-	kindRTT        []movingAverage // RTT by kind of host, scaled to the mean over all classes
+	meanRTT        movingAverage   // RTT of good answers of any class in seconds
+	kindRTT        []movingAverage // RTT in seconds by kind of host, scaled to the mean over all classes
 	warmRate       movingAverage   // good answers a second that this instance gets of a warm host
-	quotas         []tokenBucket   // by tenant
+	quotas         []tokenBucket   // quotas of the tenants, by index in Settings.Tenants
 
-	rttRatio     movingAverage // RTT of the last answers of any host, in goals of adjustRate
-	rateCutAt    Time          // last cut of the rate limit
-	rateGrownAt  Time          // last growth of the rate limit
+	rttRatio     movingAverage // RTT of the last attempts at warm hosts, in RTT goals of adjustRate
+	rateCutAt    Time          // time of the last cut of the rate limit
+	rateGrownAt  Time          // time of the last growth of the rate limit
 	rateLimit    float64       // sends a second; 0: not limited
 	rateTokens   float64       // sends saved up under the rate limit
-	rateFilledAt Time          // last refill of rateTokens
-	sends        eventRate
-	served       eventRate // good answers of warm hosts
+	rateFilledAt Time          // time of the last refill of rateTokens
+	sends        eventRate     // attempts that this instance sends, a second
+	served       eventRate     // good answers of warm hosts, a second
 
 	sweepAt      Time    // time of the next sweep; 0: none is scheduled
 	ready        []*host // scratch space of pick
 	freeRequests []*request
 	freeAttempts []*attempt
 
-	watching      bool
+	watching      bool // a watch of the host list is open
 	watchAt       Time // time of the next call to discovery
-	watchFails    int  // failed calls in a row
-	watchingSince Time // while watching: since when discovery keeps the list current
-	holdFrom      Time // from then on sends wait for a list; 0: the list is current or may be used
-	holdUntil     Time // sends resume then without a list
+	watchFails    int  // calls to discovery that failed in a row
+	watchingSince Time // start of the open watch: discovery keeps the list current since then
+	holdFrom      Time // time from which sends are held until a list arrives; 0: they are not
+	holdUntil     Time // time at which held sends resume without a list
 	logLines      [logKinds]logLine
 }
 
 // host is what this instance knows of one host.
 type host struct {
 	Host
-	hash          uint64  // of the ID
+	hash          uint64  // hash of the ID
 	ringPosition  float64 // position by hash among the hosts of its kind, from 0 to 1
-	rtt           float64 // peak EWMA in seconds, as of rttAt
-	rttAt         Time
+	rtt           float64 // RTT estimate (peak EWMA) in seconds, as of rttAt
+	rttAt         Time    // time of the last RTT sample or reset
 	inSubset      bool
 	inMaintenance bool
 	ringIndex     int           // index in Balancer.ring
@@ -85,36 +85,36 @@
 	sampled       bool          // rtt has samples; otherwise initialRTT is used
 	openAttempts  int           // attempts that have not ended
 	pending       int           // attempts that the host has yet to answer
-	pendingList   list[attempt] // those attempts in the order of sending
-	answeredAt    Time          // last answer of any kind
-	connFailedAt  Time          // last connection that failed
-	resetAt       Time          // end of maintenance; attempts sent before are not counted
+	pendingList   list[attempt] // pending attempts in the order of sending
+	answeredAt    Time          // time of the last answer of any kind
+	connFailedAt  Time          // time at which a connection last failed
+	resetAt       Time          // time of the last end of maintenance; attempts sent before it are not counted
 	servedSentAt  Time          // send time of the latest attempt that the host has served
-	limit         float64       // in-flight attempts that it may have from this instance
-	rttRatio      movingAverage // RTT of answers and timeouts in class targets, not decayed
-	limitCutAt    Time          // last cut of the limit
-	idleUntil     Time          // not used before, after a refusal or with a limit below one
-
-	ejections     int // ejections since the last answer
-	ejectUntil    Time
-	trialInFlight bool // the single attempt at a host on trial is in flight
-
-	cold         bool // it started less than WarmAfter ago
-	coldSince    Time
-	coldSentAt   Time          // last send while cold, or when the host became known as cold
-	coldGap      float64       // gap to the next send, in mean gaps
-	coldDeadline Time          // the next send may be made then at the latest; 0: no such time
+	limit         float64       // in-flight attempts that the host may have from this instance
+	rttRatio      movingAverage // mean of the ratios that observe computes of RTTs, weighted by time; limitTargets is the goal
+	limitCutAt    Time          // time of the last cut of the limit
+	idleUntil     Time          // time before which the host gets no requests, after a refusal or with a limit below one
+
+	ejections     int  // ejections in a row since the last answer
+	ejectUntil    Time // end of the last backoff
+	trialInFlight bool // a trial of the ejected host is in flight: one attempt, to see whether it answers
+
+	cold         bool          // the host started less than WarmAfter ago
+	coldSince    Time          // last start of the host or end of its maintenance
+	coldSentAt   Time          // time of the last send while cold, or at which the host became known as cold
+	coldGap      float64       // gap between coldSentAt and the next send, in mean gaps of 1/coldRate, not a time
+	coldDeadline Time          // time from which the next send is not paced; 0: it is paced at any time
 	coldSent     float64       // sends while cold
 	coldAllowed  float64       // mean number of sends that the pacing allowed while cold
-	warmRTT      movingAverage // RTT of good answers since the start, scaled to a warm host and the mean class
+	warmRTT      movingAverage // RTT of good answers in seconds, scaled to the mean class and, by the cold share, to a warm host
 }
 
 // class is a class of the settings with its statistics. An open request keeps its class when the
 // settings change.
 type class struct {
 	Class
-	rtt      movingAverage // RTT of good answers
-	aloneRTT movingAverage // RTT of good answers to lone attempts at a host
+	rtt      movingAverage // RTT of good answers in seconds
+	aloneRTT movingAverage // RTT of good answers to lone attempts at a host in seconds
 	queues   [4]int        // index in Balancer.queues, by queue flags
 }
 
@@ -125,10 +125,10 @@
 	class         *class
 	flags         int // queue flags
 	maxAttempts   int
-	arrived       Time
-	deadline      Time
-	expires       Time // while queued: when it has waited too long to meet its latency target
-	queueIndex    int
+	arrived       Time // time at which its last byte arrived
+	deadline      Time // time until which the client waits
+	expires       Time // while queued: time at which it has waited too long and is answered unserved
+	queueIndex    int  // index in Balancer.queues
 	inFlight      int  // attempts in flight
 	done          bool // it has its answer or needs none
 	unserved      bool // it was answered for want of time or hosts
@@ -136,7 +136,7 @@
 	streaming     bool // a response is being streamed: no other attempt may answer
 	notReplayable bool // it cannot be sent again
 	queued        bool
-	node          node[request] // in its queue
+	node          node[request] // node in the list of its queue
 	attempts      []*attempt
 }
 
@@ -144,21 +144,21 @@
 type attempt struct {
 	request *request
 	host    *host
-	sent    Time
+	sent    Time // time of sending, or at which the upload was complete
 	ended   bool
 	result  Result
-	trial   bool          // sent to an ejected host to see whether it answers
+	trial   bool          // it was sent to an ejected host to see whether it answers
 	alone   bool          // this instance had no other pending attempt at the host
-	pending bool          // it is in the host's pendingList
-	node    node[attempt] // in the host's pendingList
+	pending bool          // the attempt is in the host's pendingList
+	node    node[attempt] // node in the host's pendingList
 }
 
 // movingAverage is a moving mean with deviation. The first sample sets it.
 type movingAverage struct {
 	mean, dev float64
 	seen      bool
-	samples   int // samples of addLongTerm
-	updatedAt Time
+	samples   int  // number of samples that addLongTerm has added
+	updatedAt Time // time of the last sample of addTimed
 }
 
 // add gives a sample a weight of about one tenth.
@@ -171,14 +171,14 @@
 }
 
 // addTimed gives a sample more weight the longer ago the last one is, so that the mean has the time
-// constant span, in seconds, even where samples are rare.
+// constant span, in seconds, even where samples are rare. No weight exceeds maxRecentWeight.
 func (m *movingAverage) addTimed(x float64, now Time, span float64) {
 	weight := 1 - math.Exp(-(now-m.updatedAt).Seconds()/span)
 	m.updatedAt = now
 	m.blend(x, min(max(weight, meanWeight), maxRecentWeight))
 }
 
-// blend gives a sample the weight w.
+// blend gives a sample the given weight.
 func (m *movingAverage) blend(x, weight float64) {
 	if !m.seen {
 		m.mean, m.dev, m.seen = x, x/2, true
--- a/view.go
+++ b/view.go
@@ -78,9 +78,9 @@
 		}
 		size := b.subsetSizeFor(rates[i], b.viewSubset)
 		for k := 0; k < len(b.ring)+scatteredHosts && len(rows[i]) < size; k++ {
-			part := flow.Edge{To: b.preferredHost(p.Rank, k).ringIndex}
-			if h := b.ring[part.To]; h.available() && b.inUse(h) && !slices.Contains(rows[i], part) {
-				rows[i] = append(rows[i], part)
+			edge := flow.Edge{To: b.preferredHost(p.Rank, k).ringIndex}
+			if h := b.ring[edge.To]; h.available() && b.inUse(h) && !slices.Contains(rows[i], edge) {
+				rows[i] = append(rows[i], edge)
 			}
 		}
 	}
