--- a/aperture.go
+++ b/aperture.go
@@ -12,7 +12,7 @@
 	subsetSamples   = 6    // samples that an instance needs of each host within the decay time
 	minSharers      = 4    // least instances that use a host: it must not depend on the view of one
 	minSubset       = 3    // least hosts that an instance uses: two remain to choose from with one ejected
-	subsetMoveShare = 0.25 // time between two moves in the ring, in WarmAfters: new hosts are cold
+	subsetMoveShare = 0.25 // least time between two moves of the subset, in WarmAfters: new hosts are cold
 
 	goldenSection = 0.6180339887498949
 )
--- a/balancer.go
+++ b/balancer.go
@@ -24,7 +24,7 @@
 const (
 	decayTargets      = 8         // decay time of an RTT estimate: it outlasts a gap between samples
 	decayGaps         = 4         // decay time in gaps between samples of a host, where that is longer
-	decayMaxFactor    = 8         // longest decay time, in multiples of that by decayTargets
+	decayMaxFactor    = 8         // longest decay time, in multiples of that from decayTargets
 	maxKinds          = 255       // highest kind of host with an RTT mean of its own
 	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
 	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
@@ -638,7 +638,7 @@
 		// host that only refuses would attract all queued requests.
 		b.adjustLimit(h, max(ratio, 1), a.request.class.LatencyTarget, a.sent)
 		// The limit does not act on a host without pending attempts. It idles until some of its work can
-		// have ended (one that drains unlisted takes no more), but requests bound to it can be sent again.
+		// have ended (one that drains unlisted takes no more), but not too long to retry what is bound to it.
 		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
 		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
 		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
--- a/cold.go
+++ b/cold.go
@@ -41,8 +41,9 @@
 func (b *Balancer) recordColdSend(h *host) {
 	h.coldSent++
 	h.coldAllowed += b.coldRate(h) * (b.now - h.coldSentAt).Seconds()
-	// A host back from maintenance has a coldDeadline, at which its first send is made even if the pacing
-	// does not allow it yet. That send is intended, so it is no fault to report.
+	// This compares all sends of this instance since the host became cold with those that were allowed.
+	// A host back from maintenance has a coldDeadline, from which its first send is made even if the
+	// pacing does not allow it yet. That send is intended, so it is no fault to report.
 	if h.coldDeadline == 0 && h.coldSent > coldBudget(h.coldAllowed) {
 		b.emit(Action{Kind: ColdOver, Host: h.ID})
 	}
@@ -69,8 +70,8 @@
 //   - The second rate is taken from the host's own RTT: a host that answers a request in some time
 //     serves at least one in that time. warmRTT is the RTT times the cold share at the time of the
 //     answer (see observe), so the present cold share divided by it is about one over the present
-//     RTT. It falls at once when the host is congested. Without samples, the host is assumed to have
-//     the default initial RTT once warm. All instances that use the host share this rate.
+//     RTT. This rate falls at once when the host is congested. Without samples, the host is assumed
+//     to have the default initial RTT once warm. All instances that use the host share this rate.
 //   - The floor is one request in an OverloadWindow from all instances that use the host together.
 func (b *Balancer) coldRate(h *host) float64 {
 	share := b.coldShare(h)
--- a/state.go
+++ b/state.go
@@ -12,7 +12,7 @@
 // Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
-	rng      uint64
+	rng      uint64 // state of nextRand
 	now      Time
 	actions  []Action // actions decided since the last TakeActions
 
@@ -42,7 +42,7 @@
 	shortestTarget Time            // shortest latency target of any class
 	decay          float64         // decay time of RTT estimates in seconds
 	penalty        float64         // least RTT in seconds that an error counts as
-	meanRTT        movingAverage   // RTT of good answers of any class in seconds
+	meanRTT        movingAverage   // RTT in seconds of good answers of any class
 	kindRTT        []movingAverage // RTT in seconds by kind of host, scaled to the mean over all classes
 	warmRate       movingAverage   // good answers a second that this instance gets of a warm host
 	quotas         []tokenBucket   // quotas of the tenants, by index in Settings.Tenants
@@ -56,16 +56,16 @@
 	sends        eventRate     // attempts that this instance sends, a second
 	served       eventRate     // good answers of warm hosts, a second
 
-	sweepAt      Time    // time of the next sweep; 0: none is scheduled
-	ready        []*host // scratch space of pick
-	freeRequests []*request
-	freeAttempts []*attempt
+	sweepAt      Time       // time of the next sweep; 0: none is scheduled
+	ready        []*host    // scratch space of pick
+	freeRequests []*request // released requests, for reuse
+	freeAttempts []*attempt // attempts of released requests, for reuse
 
 	watching      bool // a watch of the host list is open
 	watchAt       Time // time of the next call to discovery
 	watchFails    int  // calls to discovery that failed in a row
 	watchingSince Time // start of the open watch: discovery keeps the list current since then
-	holdFrom      Time // time from which sends are held until a list arrives; 0: they are not
+	holdFrom      Time // time from which sends are held until a list arrives; 0: sends are not held
 	holdUntil     Time // time at which held sends resume without a list
 	logLines      [logKinds]logLine
 }
@@ -91,7 +91,7 @@
 	resetAt       Time          // time of the last end of maintenance; attempts sent before it are not counted
 	servedSentAt  Time          // send time of the latest attempt that the host has served
 	limit         float64       // in-flight attempts that the host may have from this instance
-	rttRatio      movingAverage // mean of the ratios that observe computes of RTTs, weighted by time; limitTargets is the goal
+	rttRatio      movingAverage // mean of the RTT ratios of observe, weighted by time and not decayed between samples; the goal is limitTargets
 	limitCutAt    Time          // time of the last cut of the limit
 	idleUntil     Time          // time before which the host gets no requests, after a refusal or with a limit below one
 
@@ -106,15 +106,15 @@
 	coldDeadline Time          // time from which the next send is not paced; 0: it is paced at any time
 	coldSent     float64       // sends while cold
 	coldAllowed  float64       // mean number of sends that the pacing allowed while cold
-	warmRTT      movingAverage // RTT of good answers in seconds, scaled to the mean class and, by the cold share, to a warm host
+	warmRTT      movingAverage // RTT in seconds of good answers, scaled to the mean class and, by the cold share, to a warm host
 }
 
 // class is a class of the settings with its statistics. An open request keeps its class when the
 // settings change.
 type class struct {
 	Class
-	rtt      movingAverage // RTT of good answers in seconds
-	aloneRTT movingAverage // RTT of good answers to lone attempts at a host in seconds
+	rtt      movingAverage // RTT in seconds of good answers
+	aloneRTT movingAverage // RTT in seconds of good answers to lone attempts at a host
 	queues   [4]int        // index in Balancer.queues, by queue flags
 }
 
