--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -62,7 +62,7 @@
 			if seeds < 1 {
 				return fmt.Errorf("--seeds: %d is below 1", seeds)
 			}
-			var plays fleetlab.Plays
+			var plays fleetlab.ResultFile
 			for i := range seeds {
 				one := *s
 				one.Seed += uint64(i)
@@ -71,7 +71,7 @@
 				if err != nil {
 					return err
 				}
-				plays.Plays = append(plays.Plays, r)
+				plays.Runs = append(plays.Runs, r)
 				fmt.Fprintf(os.Stderr, "seed %d: %.1f s of real time, %d of %d served in time, %d hosts fell\n",
 					one.Seed, time.Since(began).Seconds(), r.Requests.Served, r.Requests.Sent, r.Falls.Hosts)
 			}
@@ -81,14 +81,14 @@
 				}
 			}
 			if plot != "" {
-				if err := plays.Plays[0].Plot(plot); err != nil {
+				if err := plays.Runs[0].Plot(plot); err != nil {
 					return err
 				}
 			}
 			return plays.Table(os.Stdout)
 		}}
 	c.Flags().StringVar(&engine, "engine", "virtual", "virtual, oracle or real")
-	real.Says = os.Stderr
+	real.Progress = os.Stderr
 	c.Flags().StringVar(&real.Bin, "bin", here(), "real: folder with the binaries dunemoor and catalog")
 	c.Flags().StringVar(&real.Dir, "dir", "", "real: keep logs and data in this folder, which exists")
 	c.Flags().IntVar(&seeds, "seeds", 1, "plays, each with the next seed")
@@ -112,7 +112,7 @@
 func tableCmd() *cobra.Command {
 	return &cobra.Command{Use: "table RESULT", Short: "Print the figures of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := fleetlab.LoadPlays(args[0])
+			p, err := fleetlab.LoadResultFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -123,11 +123,11 @@
 func compareCmd() *cobra.Command {
 	return &cobra.Command{Use: "compare A B", Short: "Set two result files side by side", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			a, err := fleetlab.LoadPlays(args[0])
+			a, err := fleetlab.LoadResultFile(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := fleetlab.LoadPlays(args[1])
+			b, err := fleetlab.LoadResultFile(args[1])
 			if err != nil {
 				return err
 			}
@@ -139,11 +139,11 @@
 	var out string
 	c := &cobra.Command{Use: "plot RESULT", Short: "Draw the first play of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := fleetlab.LoadPlays(args[0])
+			p, err := fleetlab.LoadResultFile(args[0])
 			if err != nil {
 				return err
 			}
-			return p.Plays[0].Plot(out)
+			return p.Runs[0].Plot(out)
 		}}
 	c.Flags().StringVarP(&out, "out", "o", "fleet.svg", "where to (.svg or .png)")
 	return c
@@ -183,7 +183,7 @@
 
 func soakCmd() *cobra.Command {
 	opt := fleetlab.SoakDefaults()
-	opt.Says = os.Stderr
+	opt.Progress = os.Stderr
 	var seeds int
 	c := &cobra.Command{Use: "soak", Short: "Run real processes under troubles that overlap, and judge them by the rules", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/fleetlab/coldstart_test.go
+++ b/internal/fleetlab/coldstart_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// load reads a scenario of the repository and gives it a seed.
-func load(t *testing.T, name string, seed uint64) *Scenario {
+// loadScenario reads a scenario of the repository and gives it a seed.
+func loadScenario(t *testing.T, name string, seed uint64) *Scenario {
 	t.Helper()
 	s, err := LoadScenario("../../scenarios/" + name + ".toml")
 	if err != nil {
@@ -17,7 +17,7 @@
 // serves, no host pushed over, no connection turned away.
 func TestEverythingColdAtOnce(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		s := load(t, "start-cold", seed)
+		s := loadScenario(t, "start-cold", seed)
 		r, o := Virtual(s), Oracle(s)
 		if share := float64(r.Requests.Served) / float64(o.Requests.Served); share < 0.6 {
 			t.Errorf("seed %d: %.2f of the oracle's requests served", seed, share)
@@ -33,13 +33,13 @@
 // 100 ms at most, no host over its table. One alone is ready within 0.3 s.
 func TestStartFromNothing(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		r := Virtual(load(t, "start-300", seed))
+		r := Virtual(loadScenario(t, "start-300", seed))
 		calls := r.Catalogs[0]
 		if r.Ready.P99 > 2 || r.Ready.Never > 0 || calls.Busiest > 30 || calls.Calls > 360 || r.Conns.TurnedAway > 0 {
 			t.Errorf("seed %d: %+v, %+v, %+v", seed, r.Ready, calls, r.Conns)
 		}
 	}
-	s := load(t, "start-300", 1)
+	s := loadScenario(t, "start-300", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Load.Rate = 1, 1, 10
 	if r := Virtual(s); r.Ready.Max > 0.3 {
 		t.Errorf("one alone is ready after %v s", r.Ready.Max)
@@ -50,7 +50,7 @@
 // second at most, and are ready within 3 s of its return; with saved lists, at once.
 func TestStartWithoutListService(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		s := load(t, "start-no-catalog", seed)
+		s := loadScenario(t, "start-no-catalog", seed)
 		r := Virtual(s)
 		calls := 0
 		for _, n := range r.Series.Calls[0][60:200] { // from 6 s on, when the first calls are over
@@ -60,7 +60,7 @@
 		if r.Ready.Max > 20+3.01 || r.Ready.Never > 0 || calls > 100*14 || r.Catalogs[0].Busiest > 30 {
 			t.Errorf("seed %d: %+v, %d calls in 14 s of outage, %d in the busiest 100 ms", seed, r.Ready, calls, r.Catalogs[0].Busiest)
 		}
-		s.Gateways.Known = 1
+		s.Gateways.SavedListShare = 1
 		if r := Virtual(s); r.Ready.Max > 0.1 || r.Requests.ServedPart < 0.95 {
 			t.Errorf("seed %d, with saved lists: %+v, %+v", seed, r.Ready, r.Requests)
 		}
@@ -70,7 +70,7 @@
 // The list service takes 300 ms a call, one at a time: all 300 become ready as fast as it
 // can serve them, and none that it turns away calls more than once in two seconds.
 func TestStartOnSlowListService(t *testing.T) {
-	r := Virtual(load(t, "start-slow-catalog", 1))
+	r := Virtual(loadScenario(t, "start-slow-catalog", 1))
 	if c := r.Catalogs[0]; r.Ready.Never > 0 || r.Ready.Max > 300*0.3+3 || c.Second > 167 || c.Calls > 300*93/2 {
 		t.Errorf("%+v, %+v", r.Ready, c)
 	}
@@ -81,7 +81,7 @@
 // answers 503 to all for 10 s: within 3 s of its end, at 100 calls a second meanwhile.
 func TestStartWithAnInstanceGone(t *testing.T) {
 	for _, name := range []string{"start-leader-killed", "start-catalog-hole"} {
-		r := Virtual(load(t, name, 1))
+		r := Virtual(loadScenario(t, name, 1))
 		calls := 0
 		for _, c := range r.Catalogs {
 			calls += c.Calls
@@ -90,8 +90,8 @@
 			t.Errorf("%s: %+v, %d calls", name, r.Ready, calls)
 		}
 	}
-	s := load(t, "start-no-catalog", 1)
-	s.Faults[0].Do, s.Faults[0].For = "busy", Duration(10e9)
+	s := loadScenario(t, "start-no-catalog", 1)
+	s.Faults[0].Action, s.Faults[0].Length = "busy", Duration(10e9)
 	r := Virtual(s)
 	calls := 0
 	for _, n := range r.Series.Calls[0][60:100] {
@@ -108,7 +108,7 @@
 // others are served meanwhile.
 func TestRampHoldsForTheFleet(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		r := Virtual(load(t, "ramp-30", seed))
+		r := Virtual(loadScenario(t, "ramp-30", seed))
 		if r.Falls.Hosts > 0 || r.Requests.ServedPart < 0.8 {
 			t.Errorf("seed %d: %d hosts fell, %.3f served", seed, r.Falls.Hosts, r.Requests.ServedPart)
 		}
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const small = `name = "small"
+const smallScenario = `name = "small"
 length = "12s"
 [gateways]
 count = 30
@@ -23,8 +23,8 @@
 rate = 200
 `
 
-// everything has each kind of fault once.
-const everything = small + `
+// allFaultsScenario has each kind of fault once.
+const allFaultsScenario = smallScenario + `
 retries = 1
 [[fault]]
 at = "2s"
@@ -77,7 +77,7 @@
 }
 
 func TestSameSeedSameBytes(t *testing.T) {
-	s := parse(t, everything)
+	s := parse(t, allFaultsScenario)
 	a, _ := json.Marshal(Virtual(s))
 	b, _ := json.Marshal(Virtual(s))
 	if string(a) != string(b) {
@@ -91,7 +91,7 @@
 
 // Every request that was drawn has one end, whatever fails, and the oracle is a ceiling.
 func TestEveryRequestEndsOnce(t *testing.T) {
-	s := parse(t, everything)
+	s := parse(t, allFaultsScenario)
 	drawn := 0
 	for load := newArrivals(s); ; drawn++ {
 		if _, more := load.draw(); !more {
@@ -109,14 +109,14 @@
 
 func TestScenarioErrorsNameTheLine(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{small + "rats = 3\n", "line 14: unknown key \"load.rats\""},
-		{strings.Replace(small, "count = 30", "count = \"many\"", 1), "line 4: "},
-		{strings.Replace(small, "count = 30", "count = 0", 1), "line 4: gateways.count: 0 is not between"},
-		{strings.Replace(small, "length = \"12s\"", "length = \"twelve\"", 1), "line 2: "},
-		{strings.Replace(small, "cold = true", "speed = -1.0", 1), "line 11: hosts.speed: -1 is not above 0"},
-		{small + "[[fault]]\nat = \"1s\"\non = \"hosts\"\ndo = \"melt\"\n", "line 17: fault.do: \"melt\" is not one of kill"},
-		{small + "[[fault]]\nat = \"99s\"\non = \"hosts\"\ndo = \"kill\"\n", "line 15: fault.at: not within the length"},
-		{small + "[[fault\n", "line 14: "},
+		{smallScenario + "rats = 3\n", "line 14: unknown key \"load.rats\""},
+		{strings.Replace(smallScenario, "count = 30", "count = \"many\"", 1), "line 4: "},
+		{strings.Replace(smallScenario, "count = 30", "count = 0", 1), "line 4: gateways.count: 0 is not between"},
+		{strings.Replace(smallScenario, "length = \"12s\"", "length = \"twelve\"", 1), "line 2: "},
+		{strings.Replace(smallScenario, "cold = true", "speed = -1.0", 1), "line 11: hosts.speed: -1 is not above 0"},
+		{smallScenario + "[[fault]]\nat = \"1s\"\non = \"hosts\"\ndo = \"melt\"\n", "line 17: fault.do: \"melt\" is not one of kill"},
+		{smallScenario + "[[fault]]\nat = \"99s\"\non = \"hosts\"\ndo = \"kill\"\n", "line 15: fault.at: not within the length"},
+		{smallScenario + "[[fault\n", "line 14: "},
 		{"name = 'x'\nlength = '1s'\n[gateways]\ncount = 1\n", "hosts: there are none"},
 	} {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -139,24 +139,24 @@
 
 // A cold host stands what the rules allow in any window and falls above it; a warm one
 // never falls; the share of those that had been told is kept.
-func TestHostFalls(t *testing.T) {
-	s := parse(t, small) // 10 ms of mean work, cold from 0.13, factor 3, over 2 s
+func TestHostFailsOnOverload(t *testing.T) {
+	s := parse(t, smallScenario) // 10 ms of mean work, cold from 0.13, factor 3, over 2 s
 	push := func(h *Host, n int, told bool) {
 		for range n {
-			h.Arrive(1, &Job{Work: 10 * time.Millisecond, Told: told})
+			h.Arrive(1, &Job{Work: 10 * time.Millisecond, Notified: told})
 		}
 	}
 	cold, warm := NewHost(0, "c", &s.Hosts[1], s), NewHost(1, "w", &s.Hosts[0], s)
 	// 3 x 13 a second x 2 s = 78, and 2 x root(78) + 2 = 19.7 of slack.
 	push(cold, 97, true)
-	if cold.Fell {
+	if cold.Overloaded {
 		t.Fatal("it fell within its budget")
 	}
 	push(cold, 1, false)
-	if !cold.Fell || cold.FellBy < 0.98 || cold.Cond != Dead {
-		t.Errorf("over its budget: fell %v, by the told %v", cold.Fell, cold.FellBy)
+	if !cold.Overloaded || cold.NotifiedShare < 0.98 || cold.Condition != Dead {
+		t.Errorf("over its budget: fell %v, by the told %v", cold.Overloaded, cold.NotifiedShare)
 	}
-	if push(warm, 5000, true); warm.Fell {
+	if push(warm, 5000, true); warm.Overloaded {
 		t.Error("a warm host fell")
 	}
 }
@@ -164,14 +164,14 @@
 // One core at half speed does 50 requests of 10 ms a second, in turn; what is called off
 // takes no more of it, and over the queue they are turned away.
 func TestHostWorksInTurn(t *testing.T) {
-	s := parse(t, small)
+	s := parse(t, smallScenario)
 	s.Hosts[0].Speed = 0.5
 	h := NewHost(0, "h", &s.Hosts[0], s)
 	var jobs []*Job
-	for range s.Rules.Queue + 1 {
+	for range s.Rules.QueueLimit + 1 {
 		j := &Job{Work: 10 * time.Millisecond}
 		jobs = append(jobs, j)
-		if v := h.Arrive(0, j); (v == TurnAway) != (len(jobs) > s.Rules.Queue) {
+		if v := h.Arrive(0, j); (v == Rejected) != (len(jobs) > s.Rules.QueueLimit) {
 			t.Fatalf("request %d: verdict %d", len(jobs), v)
 		}
 	}
--- a/internal/fleetlab/plot.go
+++ b/internal/fleetlab/plot.go
@@ -21,9 +21,9 @@
 // least, middle and most loaded host. The file's ending says whether it is SVG or PNG.
 func (r *Result) Plot(path string) error {
 	step := float64(r.Series.BinMS) / 1000
-	calls, err := panel("calls at the catalog in 100 ms", func(p *plot.Plot) error {
+	calls, err := newPanel("calls at the catalog in 100 ms", func(p *plot.Plot) error {
 		for i, c := range r.Series.Calls {
-			if err := line(p, i, fmt.Sprintf("catalog %d", i+1), c, step); err != nil {
+			if err := addLine(p, i, fmt.Sprintf("catalog %d", i+1), c, step); err != nil {
 				return err
 			}
 		}
@@ -32,23 +32,23 @@
 	if err != nil {
 		return err
 	}
-	conns, err := panel("new connections to hosts in 100 ms", func(p *plot.Plot) error {
-		return line(p, 0, "", r.Series.NewConns, step)
+	conns, err := newPanel("new connections to hosts in 100 ms", func(p *plot.Plot) error {
+		return addLine(p, 0, "", r.Series.NewConns, step)
 	})
 	if err != nil {
 		return err
 	}
-	served, err := panel("requests a second", func(p *plot.Plot) error {
-		if err := line(p, 0, "sent", r.Series.SentSec, 1); err != nil {
+	served, err := newPanel("requests a second", func(p *plot.Plot) error {
+		if err := addLine(p, 0, "sent", r.Series.SentPerSecond, 1); err != nil {
 			return err
 		}
-		return line(p, 1, "served in time", r.Series.ServedSec, 1)
+		return addLine(p, 1, "served in time", r.Series.ServedPerSecond, 1)
 	})
 	if err != nil {
 		return err
 	}
-	hosts, err := panel("requests a second, each host", func(p *plot.Plot) error {
-		for _, h := range r.Series.HostReqs {
+	hosts, err := newPanel("requests a second, each host", func(p *plot.Plot) error {
+		for _, h := range r.Series.HostRequests {
 			l, err := plotter.NewLine(points(h, 1))
 			if err != nil {
 				return err
@@ -63,7 +63,7 @@
 	}
 	panels := []*plot.Plot{calls, conns, served, hosts}
 	for _, p := range panels {
-		p.X.Max = r.LengthS
+		p.X.Max = r.LengthSeconds
 	}
 	panels[len(panels)-1].X.Label.Text = "s"
 	width, height := 20*vg.Centimeter, 5*vg.Centimeter*vg.Length(len(panels))
@@ -93,13 +93,13 @@
 	return f.Close()
 }
 
-func panel(title string, fill func(*plot.Plot) error) (*plot.Plot, error) {
+func newPanel(title string, fill func(*plot.Plot) error) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Min, p.Legend.Top = title, 0, true
 	return p, fill(p)
 }
 
-func line(p *plot.Plot, i int, name string, list []int, step float64) error {
+func addLine(p *plot.Plot, i int, name string, list []int, step float64) error {
 	l, err := plotter.NewLine(points(list, step))
 	if err != nil {
 		return err
--- a/internal/fleetlab/preflight.go
+++ b/internal/fleetlab/preflight.go
@@ -12,8 +12,8 @@
 // What one process of each kind takes, as measured on fleets of 200 and 300: a gateway
 // holds 12 to 16 MB and a catalog 20 to 95 MB.
 const (
-	gatewayMB = 18
-	catalogMB = 100
+	gatewayMemoryMB = 18
+	catalogMemoryMB = 100
 )
 
 // preflight says what a real play needs that this machine has not: descriptors of this
@@ -22,32 +22,32 @@
 	n, hosts := s.Gateways.Count, s.hostCount()
 	// Clients' connections, one for the health calls, a log file; a host's listener and its
 	// table; two of each call at a catalog.
-	fds := n*(8+1+1+2) + hosts*(1+s.Rules.ConnCap) + 200
+	descriptors := n*(8+1+1+2) + hosts*(1+s.Rules.MaxConns) + 200
 	var lim syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
 		return err
 	}
-	if uint64(fds) > lim.Cur {
-		return fmt.Errorf("too large for this machine: it may take %d descriptors, the limit is %d", fds, lim.Cur)
+	if uint64(descriptors) > lim.Cur {
+		return fmt.Errorf("too large for this machine: it may take %d descriptors, the limit is %d", descriptors, lim.Cur)
 	}
-	if mb, have := n*gatewayMB+s.Catalog.Instances*catalogMB, availableMB(); have > 0 && mb > have*9/10 {
-		return fmt.Errorf("too large for this machine: it takes about %d MB, %d MB are free", mb, have)
+	if needed, available := n*gatewayMemoryMB+s.Catalog.Instances*catalogMemoryMB, availableMB(); available > 0 && needed > available*9/10 {
+		return fmt.Errorf("too large for this machine: it takes about %d MB, %d MB are free", needed, available)
 	}
-	procs := n + s.Catalog.Instances
+	processes := n + s.Catalog.Instances
 	for _, f := range []string{"/proc/sys/kernel/pid_max", "/sys/fs/cgroup/pids.max"} {
 		// A gateway has about 12 threads, and each counts.
-		if most := readInt(f); most > 0 && procs*12 > most {
-			return fmt.Errorf("too large for this machine: %d processes have about %d threads, %s says %d", procs, procs*12, f, most)
+		if limit := readInt(f); limit > 0 && processes*12 > limit {
+			return fmt.Errorf("too large for this machine: %d processes have about %d threads, %s says %d", processes, processes*12, f, limit)
 		}
 	}
 	for i, f := range s.Faults {
-		if f.On == "links" {
+		if f.Target == "links" {
 			return fmt.Errorf("fault %d: links between some gateways and some hosts are for the virtual engine", i+1)
 		}
-		if f.On == "gateways" && f.Do == "late" {
+		if f.Target == "gateways" && f.Action == "late" {
 			return fmt.Errorf("fault %d: late lists at some gateways are for the virtual engine", i+1)
 		}
-		if f.On == "hosts" && (f.Do == "replace" || f.Do == "join") {
+		if f.Target == "hosts" && (f.Action == "replace" || f.Action == "join") {
 			return fmt.Errorf("fault %d: hosts that join are for the virtual engine", i+1)
 		}
 	}
@@ -71,14 +71,14 @@
 	return n
 }
 
-// procFigures reads a process's resident memory in kB and its open descriptors.
-func procFigures(pid int) (rssKB, fds int) {
+// processUsage reads a process's resident memory in kB and its open descriptors.
+func processUsage(pid int) (rssKB, descriptors int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
 		if f := strings.Fields(line); len(f) >= 2 && f[0] == "VmRSS:" {
 			rssKB, _ = strconv.Atoi(f[1])
 		}
 	}
-	ents, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
-	return rssKB, len(ents)
+	entries, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
+	return rssKB, len(entries)
 }
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -21,32 +21,32 @@
 
 // RealOptions say where the real engine finds things.
 type RealOptions struct {
-	Bin  string    // folder with the binaries dunemoor and catalog
-	Dir  string    // for logs and data; "" takes a temporary one, removed at the end
-	Says io.Writer // progress; nil for none
+	Bin      string    // folder with the binaries dunemoor and catalog
+	Dir      string    // for logs and data; "" takes a temporary one, removed at the end
+	Progress io.Writer // progress; nil for none
 }
 
-// realPlay is a play with real processes.
-type realPlay struct {
-	s    *Scenario
-	opt  RealOptions
-	dir  string
-	net  string // first three octets' base of the play's loopback addresses: "127.N."
-	zero time.Time
-	ctx  context.Context
+// realRun is a play with real processes.
+type realRun struct {
+	scenario  *Scenario
+	options   RealOptions
+	dir       string
+	netPrefix string // first three octets' base of the play's loopback addresses: "127.N."
+	startedAt time.Time
+	ctx       context.Context
 
-	recMu sync.Mutex
-	rec   *Recorder
+	recorderMu sync.Mutex
+	recorder   *Recorder
 
-	starter  *starter
-	hosts    []*standIn
-	gateways []*realGateway
-	catalogs []*realCatalog
-	busy     net.Listener // answers 503 to all, for a list service that is busy
-	client   *http.Client
+	starter      *starter
+	hosts        []*loopbackHost
+	gateways     []*realGateway
+	catalogs     []*realCatalog
+	busyListener net.Listener // answers 503 to all, for a list service that is busy
+	httpClient   *http.Client
 
-	frontMu sync.Mutex
-	front   front
+	edgeMu sync.Mutex
+	edge   edgeBalancer
 }
 
 // Real plays a scenario with real gateways and catalogs on loopback. Every process that it
@@ -60,13 +60,13 @@
 			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", b, opt.Bin)
 		}
 	}
-	if opt.Says == nil {
-		opt.Says = io.Discard
+	if opt.Progress == nil {
+		opt.Progress = io.Discard
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p := &realPlay{s: s, opt: opt, dir: opt.Dir, ctx: ctx, rec: NewRecorder(s), front: newFront(s),
-		net: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: newStarter()}
+	p := &realRun{scenario: s, options: opt, dir: opt.Dir, ctx: ctx, recorder: NewRecorder(s), edge: newEdgeBalancer(s),
+		netPrefix: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: newStarter()}
 	defer p.starter.end()
 	if p.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetlab")
@@ -76,20 +76,20 @@
 		defer os.RemoveAll(dir)
 		p.dir = dir
 	}
-	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
+	p.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
-	defer p.client.CloseIdleConnections()
+	defer p.httpClient.CloseIdleConnections()
 	defer p.close()
-	p.zero = time.Now()
+	p.startedAt = time.Now()
 	if err := p.setUp(); err != nil {
 		return nil, err
 	}
-	p.zero = time.Now()
-	if err := p.restartColdClock(); err != nil {
+	p.startedAt = time.Now()
+	if err := p.restartColdHosts(); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(opt.Says, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(p.hosts), len(p.catalogs))
-	p.play()
+	fmt.Fprintf(opt.Progress, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(p.hosts), len(p.catalogs))
+	p.run()
 	if err := ctx.Err(); err != nil {
 		return nil, errors.New("ended before its time")
 	}
@@ -97,16 +97,16 @@
 }
 
 // now is the time since the play began.
-func (p *realPlay) now() Time { return time.Since(p.zero) }
+func (p *realRun) now() Time { return time.Since(p.startedAt) }
 
-func (p *realPlay) record(do func(r *Recorder, now Time)) {
-	p.recMu.Lock()
-	defer p.recMu.Unlock()
-	do(p.rec, p.now())
+func (p *realRun) record(do func(r *Recorder, now Time)) {
+	p.recorderMu.Lock()
+	defer p.recorderMu.Unlock()
+	do(p.recorder, p.now())
 }
 
 // at runs something at a time of the play, unless it has ended.
-func (p *realPlay) at(t Time, do func()) {
+func (p *realRun) at(t Time, do func()) {
 	go func() {
 		select {
 		case <-p.ctx.Done():
@@ -116,48 +116,48 @@
 	}()
 }
 
-func (p *realPlay) setUp() error {
-	s := p.s
+func (p *realRun) setUp() error {
+	s := p.scenario
 	for i := range s.Hosts {
 		for range s.Hosts[i].Count {
-			n := len(p.hosts)
-			h := NewHost(n, fmt.Sprintf("s-%04d", n), &s.Hosts[i], s)
-			st, err := newStandIn(p, h, fmt.Sprintf("%s%d.%d:9000", p.net, 200+n/250, 1+n%250))
+			index := len(p.hosts)
+			model := NewHost(index, fmt.Sprintf("s-%04d", index), &s.Hosts[i], s)
+			host, err := newLoopbackHost(p, model, fmt.Sprintf("%s%d.%d:9000", p.netPrefix, 200+index/250, 1+index%250))
 			if err != nil {
 				return err
 			}
-			p.hosts = append(p.hosts, st)
+			p.hosts = append(p.hosts, host)
 		}
 	}
 	if err := p.startCatalogs(); err != nil {
 		return err
 	}
 	for i := range s.Gateways.Count {
-		p.gateways = append(p.gateways, &realGateway{p: p, rank: i, configured: s.Gateways.Configured,
-			addr: fmt.Sprintf("%s%d.%d:9000", p.net, 1+i/250, 1+i%250)})
+		p.gateways = append(p.gateways, &realGateway{run: p, rank: i, configured: s.Gateways.Configured,
+			addr: fmt.Sprintf("%s%d.%d:9000", p.netPrefix, 1+i/250, 1+i%250)})
 	}
-	known := map[int]bool{}
-	if s.Gateways.Known > 0 {
-		for _, i := range choose(s.rng(streamAbsent+100), s.Gateways.Count, s.Gateways.Known, "random") {
-			known[i] = true
+	hasSavedList := map[int]bool{}
+	if s.Gateways.SavedListShare > 0 {
+		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
+			hasSavedList[i] = true
 		}
 	}
 	for i, g := range p.gateways {
-		if err := g.configure(known[i]); err != nil {
+		if err := g.configure(hasSavedList[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restartColdClock makes cold hosts start now, as setting up took time, and lists them so.
-func (p *realPlay) restartColdClock() error {
-	for _, st := range p.hosts {
-		if st.h.Spec.Cold {
-			st.mu.Lock()
-			st.h.Started = 0
-			st.mu.Unlock()
-			if err := p.list(st); err != nil {
+// restartColdHosts makes cold hosts start now, as setting up took time, and lists them so.
+func (p *realRun) restartColdHosts() error {
+	for _, host := range p.hosts {
+		if host.model.Spec.Cold {
+			host.mu.Lock()
+			host.model.Started = 0
+			host.mu.Unlock()
+			if err := p.listHost(host); err != nil {
 				return err
 			}
 		}
@@ -165,23 +165,23 @@
 	return nil
 }
 
-// play starts the gateways, sends the load and works off the time line.
-func (p *realPlay) play() {
-	s := p.s
-	here, spread := s.Present(), s.rng(streamSeeds+100)
+// run starts the gateways, sends the load and works off the time line.
+func (p *realRun) run() {
+	s := p.scenario
+	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
 	for i, g := range p.gateways {
-		at := Time(spread.Float64() * float64(s.Gateways.StartSpread))
-		if here[i] {
+		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
+		if present[i] {
 			p.at(at, g.start)
 		}
 	}
-	p.setFaults()
+	p.scheduleFaults()
 	var clients sync.WaitGroup
-	load := newArrivals(s)
-	samples := time.NewTicker(bin)
-	defer samples.Stop()
-	said := time.Duration(0)
-	next, more := load.draw()
+	arrivals := newArrivals(s)
+	sampleTicker := time.NewTicker(binWidth)
+	defer sampleTicker.Stop()
+	lastProgress := time.Duration(0)
+	next, more := arrivals.draw()
 	for {
 		until := s.Length.std()
 		if more {
@@ -190,15 +190,15 @@
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-samples.C:
-			p.sample()
-			if now := p.now(); now-said >= 5*time.Second {
-				said = now
-				p.recMu.Lock()
-				e := p.rec.ends
-				fmt.Fprintf(p.opt.Says, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
-					now.Seconds(), p.rec.ready.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGW])
-				p.recMu.Unlock()
+		case <-sampleTicker.C:
+			p.samplePending()
+			if now := p.now(); now-lastProgress >= 5*time.Second {
+				lastProgress = now
+				p.recorderMu.Lock()
+				e := p.recorder.ends
+				fmt.Fprintf(p.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
+					now.Seconds(), p.recorder.readyTimes.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGateway])
+				p.recorderMu.Unlock()
 			}
 			continue
 		case <-time.After(until - p.now()):
@@ -209,128 +209,128 @@
 		clients.Add(1)
 		go func(a Arrival) {
 			defer clients.Done()
-			p.request(a)
+			p.runClient(a)
 		}(next)
-		next, more = load.draw()
+		next, more = arrivals.draw()
 	}
 	clients.Wait()
 }
 
-// sample counts what the catalogs sent and what the hosts hold, once a bin.
-func (p *realPlay) sample() {
+// samplePending counts what the catalogs sent and what the hosts hold, once a bin.
+func (p *realRun) samplePending() {
 	var pending []int
-	for _, st := range p.hosts {
-		st.mu.Lock()
-		if st.h.Cond == Serving {
-			pending = append(pending, st.h.Pending())
+	for _, host := range p.hosts {
+		host.mu.Lock()
+		if host.model.Condition == Serving {
+			pending = append(pending, host.model.Pending())
 		}
-		st.mu.Unlock()
+		host.mu.Unlock()
 	}
 	p.record(func(r *Recorder, now Time) {
-		r.Pending(now, pending)
+		r.RecordPending(now, pending)
 		for i, c := range p.catalogs {
 			bytes := c.link.BytesFromTarget()
-			r.bytes[i] += bytes - c.bytes
-			c.bytes = bytes
+			r.catalogBytes[i] += bytes - c.countedBytes
+			c.countedBytes = bytes
 		}
 	})
 }
 
-// request is a client: one request through the gateway that the front names, and again
+// runClient is a client: one runClient through the gateway that the front names, and again
 // after a refusal as often as clients do.
-func (p *realPlay) request(a Arrival) {
-	c := &p.s.Classes[a.Class]
+func (p *realRun) runClient(a Arrival) {
+	class := &p.scenario.Classes[a.Class]
 	arrived := p.now()
-	for ; ; a.Tries++ {
-		end, took := p.try(&a, c)
-		if end == Refused && a.Tries < p.s.Load.Retries {
+	for ; ; a.Retries++ {
+		end, took := p.sendRequest(&a, class)
+		if end == Refused && a.Retries < p.scenario.Load.Retries {
 			select {
 			case <-p.ctx.Done():
-			case <-time.After(p.s.Load.RetryWait.std()):
+			case <-time.After(p.scenario.Load.RetryWait.std()):
 				continue
 			}
 		}
-		p.record(func(r *Recorder, _ Time) { r.Ended(arrived, end, took) })
+		p.record(func(r *Recorder, _ Time) { r.RecordEnd(arrived, end, took) })
 		return
 	}
 }
 
-func (p *realPlay) try(a *Arrival, c *Class) (End, time.Duration) {
-	p.frontMu.Lock()
-	i := p.front.pick(a.Front)
-	p.frontMu.Unlock()
-	if i < 0 {
-		return NoLiveGW, 0
+func (p *realRun) sendRequest(a *Arrival, class *Class) (End, time.Duration) {
+	p.edgeMu.Lock()
+	gateway := p.edge.pick(a.GatewayQuantile)
+	p.edgeMu.Unlock()
+	if gateway < 0 {
+		return NoLiveGateway, 0
 	}
 	method, body := http.MethodGet, io.Reader(nil)
-	if c.Effect == "at_most_once" {
+	if class.Effect == "at_most_once" {
 		method, body = http.MethodPost, strings.NewReader("x")
 	}
-	ctx, cancel := context.WithTimeout(p.ctx, c.Deadline.std()+500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(p.ctx, class.Deadline.std()+500*time.Millisecond)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/api/%d/%d", p.gateways[i].addr,
-		int(a.Work*float64(c.Work)/1e3), int(a.Waits*float64(c.Waits)/1e3))
+	url := fmt.Sprintf("http://%s/api/%d/%d", p.gateways[gateway].addr,
+		int(a.WorkFactor*float64(class.Work)/1e3), int(a.WaitFactor*float64(class.WaitTime)/1e3))
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return Failed, 0
 	}
-	req.Header.Set("X-Priority-Class", c.Name)
-	req.Header.Set("X-Timeout", fmt.Sprintf("%.3f", c.Deadline.std().Seconds()))
-	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Tries, i))
-	if a.Tries > 0 {
+	req.Header.Set("X-Priority-Class", class.Name)
+	req.Header.Set("X-Timeout", fmt.Sprintf("%.3f", class.Deadline.std().Seconds()))
+	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Retries, gateway))
+	if a.Retries > 0 {
 		req.Header.Set("X-Retried", "1")
 	}
-	began := time.Now()
-	resp, err := p.client.Do(req)
+	sentAt := time.Now()
+	resp, err := p.httpClient.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	took := time.Since(began)
+	elapsed := time.Since(sentAt)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return NoLiveGW, took
+		return NoLiveGateway, elapsed
 	case err != nil && ctx.Err() != nil:
-		return Failed, took
+		return Failed, elapsed
 	case err != nil:
-		return Lost, took
-	case resp.StatusCode == http.StatusOK && took <= c.Aim.std():
-		return Served, took
+		return Lost, elapsed
+	case resp.StatusCode == http.StatusOK && elapsed <= class.LatencyTarget.std():
+		return Served, elapsed
 	case resp.StatusCode == http.StatusOK:
-		return Late, took
+		return Late, elapsed
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		return Refused, took
+		return Refused, elapsed
 	}
-	return Failed, took
+	return Failed, elapsed
 }
 
-func (p *realPlay) result() *Result {
-	p.recMu.Lock()
-	defer p.recMu.Unlock()
+func (p *realRun) result() *Result {
+	p.recorderMu.Lock()
+	defer p.recorderMu.Unlock()
 	for _, g := range p.gateways {
 		g.mu.Lock()
 		if g.proc != nil && !g.ready {
-			p.rec.never++
+			p.recorder.neverReady++
 		}
 		g.mu.Unlock()
 	}
 	var hosts []*Host
-	for _, st := range p.hosts {
-		st.mu.Lock()
-		defer st.mu.Unlock()
-		hosts = append(hosts, st.h)
+	for _, host := range p.hosts {
+		host.mu.Lock()
+		defer host.mu.Unlock()
+		hosts = append(hosts, host.model)
 	}
-	r := p.rec.Result("real", hosts)
+	r := p.recorder.Result("real", hosts)
 	for i, c := range p.catalogs {
 		if c.proc != nil {
-			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = procFigures(c.proc.Pid())
+			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = processUsage(c.proc.Pid())
 		}
 	}
 	return r
 }
 
 // close ends every process and listener of the play.
-func (p *realPlay) close() {
+func (p *realRun) close() {
 	var ends sync.WaitGroup
 	for _, g := range p.gateways {
 		ends.Add(1)
@@ -344,11 +344,11 @@
 	for _, c := range p.catalogs {
 		c.link.Close()
 	}
-	if p.busy != nil {
-		p.busy.Close()
+	if p.busyListener != nil {
+		p.busyListener.Close()
 	}
-	for _, st := range p.hosts {
-		st.close()
+	for _, host := range p.hosts {
+		host.close()
 	}
 }
 
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -23,10 +23,10 @@
 	os.Exit(code)
 }
 
-// playReal plays a scenario with real processes, built once without the race detector.
-func playReal(t *testing.T, s *Scenario) *Result {
+// runReal plays a scenario with real processes, built once without the race detector.
+func runReal(t *testing.T, s *Scenario) *Result {
 	t.Helper()
-	bin := realBinaries(t)
+	bin := buildBinaries(t)
 	r, err := Real(t.Context(), s, RealOptions{Bin: bin, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
@@ -35,8 +35,8 @@
 	return r
 }
 
-// realBinaries builds gateway and catalog once, without the race detector, and names their folder.
-func realBinaries(t *testing.T) string {
+// buildBinaries builds gateway and catalog once, without the race detector, and names their folder.
+func buildBinaries(t *testing.T) string {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts a hundred processes")
@@ -57,10 +57,10 @@
 // second: each becomes ready by one call, none turned away, no host pushed over, and half
 // of what the oracle serves is served. The bounds count; they time nothing.
 func TestRealColdStart(t *testing.T) {
-	s := load(t, "start-cold", 1)
+	s := loadScenario(t, "start-cold", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 100, 100, 20, 300
 	s.Length /= 2
-	r, o := playReal(t, s), Oracle(s)
+	r, o := runReal(t, s), Oracle(s)
 	if r.Ready.Starts != 100 || r.Ready.Never > 0 || r.Catalogs[0].Calls > 120 || r.Conns.TurnedAway > 0 || r.Falls.Hosts > 0 {
 		t.Error("want 100 ready, 120 calls at most, none turned away, no host fallen")
 	}
@@ -72,12 +72,12 @@
 // Seven in ten of 100 real gateways are killed under load and start again: all become
 // ready, no host falls, and nine in ten of what reaches a live gateway is served in time.
 func TestRealRestartStorm(t *testing.T) {
-	s := load(t, "restart-storm", 1)
+	s := loadScenario(t, "restart-storm", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 100, 100, 60, 300
 	s.Length /= 2
 	s.Faults = s.Faults[:1]
-	s.Faults[0].At /= 2
-	r := playReal(t, s)
+	s.Faults[0].Start /= 2
+	r := runReal(t, s)
 	if r.Ready.Starts != 170 || r.Ready.Never > 0 || r.Falls.Hosts > 0 || r.Conns.TurnedAway > 0 {
 		t.Error("want 170 starts to end ready, no host fallen, none turned away")
 	}
@@ -88,13 +88,13 @@
 
 // What no machine has is refused before anything starts, and so is a fault that only the
 // virtual engine can make.
-func TestRealRefusesWhatIsTooMuch(t *testing.T) {
-	s := load(t, "start-warm", 1)
+func TestRealRejectsWhatItCannotRun(t *testing.T) {
+	s := loadScenario(t, "start-warm", 1)
 	s.Gateways.Count = 10_000
 	if err := s.preflight(); err == nil || !strings.Contains(err.Error(), "too large for this machine") {
 		t.Errorf("10,000 gateways: %v", err)
 	}
-	s = parse(t, everything)
+	s = parse(t, allFaultsScenario)
 	if err := s.preflight(); err == nil || !strings.Contains(err.Error(), "virtual engine") {
 		t.Errorf("a fault of links: %v", err)
 	}
@@ -103,11 +103,11 @@
 // No list service at all, and one in ten of 60 gateways has a list from before: through
 // their peers all become ready and serve, with not one call answered.
 func TestRealStartThroughPeers(t *testing.T) {
-	s := load(t, "start-peers", 1)
+	s := loadScenario(t, "start-peers", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 60, 60, 20, 120
 	s.Length = s.Length / 5 * 3
-	s.Faults[0].For = 0 // it stays
-	r := playReal(t, s)
+	s.Faults[0].Length = 0 // it stays
+	r := runReal(t, s)
 	if r.Ready.Starts != 60 || r.Ready.Never > 0 || r.Catalogs[0].Bytes > 0 {
 		t.Errorf("%d of 60 ready; the catalog answered %d bytes", r.Ready.Starts, r.Catalogs[0].Bytes)
 	}
@@ -119,10 +119,10 @@
 // Two fifths of 100 ranks are not there, in a run, and traffic is skewed: with membership no
 // host is left under a third of the mean, and each gateway's place says who is there.
 func TestRealSpreadWithAbsentRanks(t *testing.T) {
-	s := load(t, "spread-view", 1)
-	s.Gateways.Count, s.Gateways.Configured, s.Gateways.Absent, s.Gateways.AbsentHow = 100, 100, 0.4, "run"
-	s.Hosts[0].Count, s.Load.Rate, s.Length, s.Measure = 40, 200, s.Length/2, s.Measure/2
-	r := playReal(t, s)
+	s := loadScenario(t, "spread-view", 1)
+	s.Gateways.Count, s.Gateways.Configured, s.Gateways.AbsentShare, s.Gateways.AbsentSelection = 100, 100, 0.4, "run"
+	s.Hosts[0].Count, s.Load.Rate, s.Length, s.MeasureFrom = 40, 200, s.Length/2, s.MeasureFrom/2
+	r := runReal(t, s)
 	t.Logf("spread %+v", r.Spread)
 	if r.Ready.Starts != 60 || r.Requests.ServedPart < 0.9 {
 		t.Errorf("%d of 60 ready, %.2f served in time", r.Ready.Starts, r.Requests.ServedPart)
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -17,55 +17,55 @@
 
 // realGateway is one dunemoor process, with the front's calls for its health.
 type realGateway struct {
-	p          *realPlay
-	rank       int
-	configured int
-	addr       string
-	config     string // path of its configuration
-	saved      bool
+	run          *realRun
+	rank         int
+	configured   int
+	addr         string
+	configPath   string // path of its configuration
+	hasSavedList bool
 
-	mu    sync.Mutex
-	proc  *faultnet.Proc
-	gen   int
-	ready bool
+	mu         sync.Mutex
+	proc       *faultnet.Proc
+	generation int
+	ready      bool
 }
 
 // configure writes its configuration file; saved gives it the list as it is now.
-func (g *realGateway) configure(saved bool) error {
-	g.saved = saved
-	return g.write()
+func (g *realGateway) configure(hasSavedList bool) error {
+	g.hasSavedList = hasSavedList
+	return g.writeConfig()
 }
 
-func (g *realGateway) write() error {
-	type obj map[string]any
-	p := g.p
+func (g *realGateway) writeConfig() error {
+	type object map[string]any
+	p := g.run
 	var addrs []string
 	for i := range p.catalogs { // each begins at another instance
 		addrs = append(addrs, p.catalogs[(g.rank+i)%len(p.catalogs)].link.Addr)
 	}
-	known := obj{"version": 0, "full": true, "servers": []obj{}}
-	if g.saved {
-		var servers []obj
-		for _, st := range p.hosts {
-			servers = append(servers, p.entry(st))
+	known := object{"version": 0, "full": true, "servers": []object{}}
+	if g.hasSavedList {
+		var hosts []object
+		for _, host := range p.hosts {
+			hosts = append(hosts, p.listEntry(host))
 		}
-		known = obj{"version": 1, "full": true, "servers": servers}
+		known = object{"version": 1, "full": true, "servers": hosts}
 	}
-	cfg := obj{"name": fmt.Sprintf("g%04d", g.rank), "listen": g.addr, "discovery": strings.Join(addrs, ","),
-		"seed":   fmt.Sprintf("%x", p.s.Seed*1_000_003+uint64(g.rank)+1),
-		"limits": obj{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": p.s.SettingsJSON(g.rank, g.configured)}
-	if p.s.Gateways.Membership {
+	config := object{"name": fmt.Sprintf("g%04d", g.rank), "listen": g.addr, "discovery": strings.Join(addrs, ","),
+		"seed":   fmt.Sprintf("%x", p.scenario.Seed*1_000_003+uint64(g.rank)+1),
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": known,
+		"settings": p.scenario.SettingsJSON(g.rank, g.configured)}
+	if p.scenario.Gateways.Membership {
 		var peers []string
-		for i, here := range p.s.Present() {
+		for i, here := range p.scenario.PresentRanks() {
 			if here && len(peers) < 3 {
 				peers = append(peers, p.gateways[i].memberAddr())
 			}
 		}
-		cfg["membership"] = obj{"bind": g.memberAddr(), "peers": peers, "local": true}
+		config["membership"] = object{"bind": g.memberAddr(), "peers": peers, "local": true}
 	}
-	g.config = filepath.Join(p.dir, fmt.Sprintf("g%04d.json", g.rank))
-	return writeJSON(g.config, cfg)
+	g.configPath = filepath.Join(p.dir, fmt.Sprintf("g%04d.json", g.rank))
+	return writeJSON(g.configPath, config)
 }
 
 func (g *realGateway) memberAddr() string { return strings.Replace(g.addr, ":9000", ":7946", 1) }
@@ -78,34 +78,34 @@
 	if g.proc != nil {
 		return
 	}
-	proc, began, err := g.p.starter.start(g.p.dir, name, filepath.Join(g.p.opt.Bin, "dunemoor"), nil,
-		"GW_CONFIG="+g.config, "GW_NAME="+name, "GW_LISTEN="+g.addr, "TMPDIR="+g.p.dir)
+	proc, startedAt, err := g.run.starter.start(g.run.dir, name, filepath.Join(g.run.options.Bin, "dunemoor"), nil,
+		"GW_CONFIG="+g.configPath, "GW_NAME="+name, "GW_LISTEN="+g.addr, "TMPDIR="+g.run.dir)
 	if err != nil {
-		fmt.Fprintf(g.p.opt.Says, "%s: %v\n", name, err)
+		fmt.Fprintf(g.run.options.Progress, "%s: %v\n", name, err)
 		return
 	}
-	g.gen++
+	g.generation++
 	g.proc, g.ready = proc, false
-	go g.await(g.gen, began.Sub(g.p.zero))
+	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
-// await asks for the health of a process until it is ready or ends.
-func (g *realGateway) await(gen int, began Time) {
-	cl := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	defer cl.CloseIdleConnections()
+// awaitReady asks for the health of a process until it is ready or ends.
+func (g *realGateway) awaitReady(generation int, began Time) {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	defer client.CloseIdleConnections()
 	for {
 		select {
-		case <-g.p.ctx.Done():
+		case <-g.run.ctx.Done():
 			return
 		case <-time.After(80 * time.Millisecond):
 		}
 		g.mu.Lock()
-		same := g.gen == gen && g.proc != nil
+		current := g.generation == generation && g.proc != nil
 		g.mu.Unlock()
-		if !same {
+		if !current {
 			return
 		}
-		resp, err := cl.Get("http://" + g.addr + "/_health")
+		resp, err := client.Get("http://" + g.addr + "/_health")
 		if err != nil {
 			continue
 		}
@@ -115,22 +115,22 @@
 			continue
 		}
 		g.mu.Lock()
-		if same = g.gen == gen && g.proc != nil; same {
+		if current = g.generation == generation && g.proc != nil; current {
 			g.ready = true
 		}
 		g.mu.Unlock()
-		if same {
-			g.p.record(func(r *Recorder, now Time) { r.GatewayReady(now - began) })
-			g.admit(true)
+		if current {
+			g.run.record(func(r *Recorder, now Time) { r.RecordGatewayReady(now - began) })
+			g.setAdmitted(true)
 		}
 		return
 	}
 }
 
-func (g *realGateway) admit(in bool) {
-	g.p.frontMu.Lock()
-	defer g.p.frontMu.Unlock()
-	g.p.front.admit(g.rank, in)
+func (g *realGateway) setAdmitted(admitted bool) {
+	g.run.edgeMu.Lock()
+	defer g.run.edgeMu.Unlock()
+	g.run.edge.setAdmitted(g.rank, admitted)
 }
 
 // kill ends the process; the front notices after a while.
@@ -138,23 +138,23 @@
 	g.mu.Lock()
 	proc := g.proc
 	g.proc = nil
-	g.gen++
-	gen := g.gen
+	g.generation++
+	generation := g.generation
 	g.mu.Unlock()
 	if proc == nil {
 		return
 	}
 	proc.Kill()
-	g.p.at(g.p.now()+g.p.s.Load.Notice.std(), func() {
+	g.run.at(g.run.now()+g.run.scenario.Load.EdgeDetection.std(), func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.gen == gen {
-			g.admit(false)
+		if g.generation == generation {
+			g.setAdmitted(false)
 		}
 	})
 }
 
-func (g *realGateway) signal(do func(*faultnet.Proc)) {
+func (g *realGateway) withProcess(do func(*faultnet.Proc)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.proc != nil {
@@ -164,14 +164,14 @@
 
 // realCatalog is one catalog process and the link that gateways reach it by.
 type realCatalog struct {
-	p     *realPlay
-	id    string
-	args  []string
-	http  string
-	link  *faultnet.Link
-	bytes int64
-	mu    sync.Mutex
-	proc  *faultnet.Proc
+	run          *realRun
+	id           string
+	args         []string
+	httpAddr     string
+	link         *faultnet.Link
+	countedBytes int64
+	mu           sync.Mutex
+	proc         *faultnet.Proc
 }
 
 func (c *realCatalog) start() error {
@@ -181,7 +181,7 @@
 		return nil
 	}
 	var err error
-	c.proc, _, err = c.p.starter.start(c.p.dir, c.id, filepath.Join(c.p.opt.Bin, "catalog"), c.args)
+	c.proc, _, err = c.run.starter.start(c.run.dir, c.id, filepath.Join(c.run.options.Bin, "catalog"), c.args)
 	return err
 }
 
@@ -196,18 +196,18 @@
 }
 
 // startCatalogs starts the list service and lists all hosts.
-func (p *realPlay) startCatalogs() error {
-	n := p.s.Catalog.Instances
+func (p *realRun) startCatalogs() error {
+	n := p.scenario.Catalog.Instances
 	var peers []string
 	for i := range n {
-		c := &realCatalog{p: p, id: fmt.Sprintf("c%d", i+1), http: fmt.Sprintf("%s199.%d:8500", p.net, i+1)}
-		raft := fmt.Sprintf("%s199.%d:7500", p.net, i+1)
+		c := &realCatalog{run: p, id: fmt.Sprintf("c%d", i+1), httpAddr: fmt.Sprintf("%s199.%d:8500", p.netPrefix, i+1)}
+		raft := fmt.Sprintf("%s199.%d:7500", p.netPrefix, i+1)
 		var err error
-		if c.link, err = faultnet.NewLink(c.http); err != nil {
+		if c.link, err = faultnet.NewLink(c.httpAddr); err != nil {
 			return err
 		}
-		c.args = []string{"-id", c.id, "-data", filepath.Join(p.dir, c.id), "-raft", raft, "-http", c.http, "-heartbeat", "200ms", "-stale-after", "1s"}
-		peers = append(peers, c.id+"="+raft+"/"+c.http)
+		c.args = []string{"-id", c.id, "-data", filepath.Join(p.dir, c.id), "-raft", raft, "-http", c.httpAddr, "-heartbeat", "200ms", "-stale-after", "1s"}
+		peers = append(peers, c.id+"="+raft+"/"+c.httpAddr)
 		p.catalogs = append(p.catalogs, c)
 	}
 	for _, c := range p.catalogs {
@@ -218,151 +218,151 @@
 			return err
 		}
 	}
-	for _, st := range p.hosts {
-		if err := p.list(st); err != nil {
+	for _, host := range p.hosts {
+		if err := p.listHost(host); err != nil {
 			return err
 		}
 	}
 	for i, c := range p.catalogs {
 		c.link.OnAccept(func() {
-			p.record(func(r *Recorder, now Time) { r.Call(i, now, 0, false) })
+			p.record(func(r *Recorder, now Time) { r.RecordCall(i, now, 0, false) })
 		})
 	}
 	return nil
 }
 
-// entry is a host as the list has it.
-func (p *realPlay) entry(st *standIn) map[string]any {
+// listEntry is a host as the list has it.
+func (p *realRun) listEntry(host *loopbackHost) map[string]any {
 	started := int64(0)
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	if st.h.Started >= 0 {
-		started = p.zero.Add(st.h.Started).UnixMilli()
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	if host.model.Started >= 0 {
+		started = p.startedAt.Add(host.model.Started).UnixMilli()
 	}
-	return map[string]any{"id": st.h.ID, "addr": st.addr, "zone": st.h.Spec.Zone, "kind": st.h.Spec.Kind,
+	return map[string]any{"id": host.model.ID, "addr": host.addr, "zone": host.model.Spec.Zone, "kind": host.model.Spec.Kind,
 		"state": "ready", "weight": 1, "started_ms": started}
 }
 
-// list writes a host to the list, at whichever instance takes it, for 15 s at most.
-func (p *realPlay) list(st *standIn) error {
-	e := p.entry(st)
-	id := e["id"].(string)
-	delete(e, "id")
-	return p.write(http.MethodPut, id, e)
+// listHost writes a host to the listHost, at whichever instance takes it, for 15 s at most.
+func (p *realRun) listHost(host *loopbackHost) error {
+	entry := p.listEntry(host)
+	id := entry["id"].(string)
+	delete(entry, "id")
+	return p.writeMember(http.MethodPut, id, entry)
 }
 
-func (p *realPlay) write(method, id string, body any) error {
-	var last error
-	for try := range 150 {
-		c := p.catalogs[try%len(p.catalogs)]
-		var text io.Reader
+func (p *realRun) writeMember(method, id string, body any) error {
+	var lastErr error
+	for attempt := range 150 {
+		c := p.catalogs[attempt%len(p.catalogs)]
+		var requestBody io.Reader
 		if body != nil {
 			b, err := jsonText(body)
 			if err != nil {
 				return err
 			}
-			text = bytes.NewReader(b)
+			requestBody = bytes.NewReader(b)
 		}
-		req, err := http.NewRequestWithContext(p.ctx, method, "http://"+c.http+"/catalog/members/"+id, text)
+		req, err := http.NewRequestWithContext(p.ctx, method, "http://"+c.httpAddr+"/catalog/members/"+id, requestBody)
 		if err != nil {
 			return err
 		}
-		resp, err := p.client.Do(req)
+		resp, err := p.httpClient.Do(req)
 		if err == nil {
-			said, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
+			answer, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
-			err = fmt.Errorf("%s: %s", resp.Status, said)
+			err = fmt.Errorf("%s: %s", resp.Status, answer)
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-p.ctx.Done():
 			return p.ctx.Err()
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("host %s could not be listed: %w", id, last)
+	return fmt.Errorf("host %s could not be listed: %w", id, lastErr)
 }
 
-// setFaults puts the time line into force.
-func (p *realPlay) setFaults() {
-	s := p.s
-	for k := range s.Faults {
-		f := &s.Faults[k]
-		switch f.On {
+// scheduleFaults puts the time line into force.
+func (p *realRun) scheduleFaults() {
+	s := p.scenario
+	for faultIndex := range s.Faults {
+		f := &s.Faults[faultIndex]
+		switch f.Target {
 		case "catalog":
-			p.at(f.At.std(), func() { p.catalogFault(f, true) })
-			if f.For > 0 {
-				p.at(f.At.std()+f.For.std(), func() { p.catalogFault(f, false) })
+			p.at(f.Start.std(), func() { p.applyCatalogFault(f, true) })
+			if f.Length > 0 {
+				p.at(f.Start.std()+f.Length.std(), func() { p.applyCatalogFault(f, false) })
 			}
 		case "gateways":
-			for step, part := range s.targets(s.Gateways.Count, s.zoneOfGateway, f, k) {
-				for _, i := range part {
-					p.at(f.At.std()+Time(step)*f.Step.std(), func() { p.gatewayFault(f, p.gateways[i]) })
+			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
+				for _, i := range targets {
+					p.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { p.applyGatewayFault(f, p.gateways[i]) })
 				}
 			}
 		case "hosts":
-			for step, part := range s.targets(len(p.hosts), s.zoneOfHost, f, k) {
-				for _, i := range part {
-					p.at(f.At.std()+Time(step)*f.Step.std(), func() { p.hostFault(f, p.hosts[i]) })
+			for step, targets := range s.faultTargets(len(p.hosts), s.zoneOfHost, f, faultIndex) {
+				for _, i := range targets {
+					p.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { p.applyHostFault(f, p.hosts[i]) })
 				}
 			}
 		}
 	}
 }
 
-func (p *realPlay) catalogFault(f *Fault, on bool) {
+func (p *realRun) applyCatalogFault(f *Fault, on bool) {
 	for i, c := range p.catalogs {
 		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(p.catalogs)))) {
 			continue
 		}
 		switch {
-		case f.Do == "kill-leader" && on:
+		case f.Action == "kill-leader" && on:
 			p.leader().kill()
 			return
-		case f.Do == "kill-leader":
+		case f.Action == "kill-leader":
 			for _, c := range p.catalogs {
 				c.start()
 			}
 			return
-		case f.Do == "slow" && on:
+		case f.Action == "slow" && on:
 			c.link.Delay(f.Delay.std())
-		case f.Do == "busy" && on:
+		case f.Action == "busy" && on:
 			c.link.Retarget(p.busyAddr())
 			c.link.Set(faultnet.Reset) // what is open ends, as at a service that starts anew
 			c.link.Set(faultnet.Pass)
 		case !on:
 			c.link.Delay(0)
-			c.link.Retarget(c.http)
+			c.link.Retarget(c.httpAddr)
 			c.link.Set(faultnet.Pass)
 		default:
-			c.link.Set(map[string]faultnet.Mode{"down": faultnet.Refuse, "reset": faultnet.Reset, "black-hole": faultnet.Blackhole}[f.Do])
+			c.link.Set(map[string]faultnet.Mode{"down": faultnet.Refuse, "reset": faultnet.Reset, "black-hole": faultnet.Blackhole}[f.Action])
 		}
 	}
 }
 
 // busyAddr is a server that answers 503 to all.
-func (p *realPlay) busyAddr() string {
-	if p.busy == nil {
+func (p *realRun) busyAddr() string {
+	if p.busyListener == nil {
 		ln, err := listenLoopback()
 		if err != nil {
 			return ""
 		}
-		p.busy = ln
+		p.busyListener = ln
 		go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		}))
 	}
-	return p.busy.Addr().String()
+	return p.busyListener.Addr().String()
 }
 
 // leader is the catalog that says it leads, or the first.
-func (p *realPlay) leader() *realCatalog {
+func (p *realRun) leader() *realCatalog {
 	for _, c := range p.catalogs {
-		if resp, err := p.client.Get("http://" + c.http + "/catalog/status"); err == nil {
+		if resp, err := p.httpClient.Get("http://" + c.httpAddr + "/catalog/status"); err == nil {
 			b, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if bytes.Contains(b, []byte(`"Leader"`)) {
@@ -373,73 +373,73 @@
 	return p.catalogs[0]
 }
 
-func (p *realPlay) gatewayFault(f *Fault, g *realGateway) {
-	back := func(do func()) {
-		if f.For > 0 || f.Do == "restart" {
-			p.at(p.now()+f.For.std(), do)
+func (p *realRun) applyGatewayFault(f *Fault, g *realGateway) {
+	atEnd := func(do func()) {
+		if f.Length > 0 || f.Action == "restart" {
+			p.at(p.now()+f.Length.std(), do)
 		}
 	}
-	switch f.Do {
+	switch f.Action {
 	case "kill", "restart":
-		back(g.start)
+		atEnd(g.start)
 		g.kill()
 	case "term":
-		g.admit(false)
-		g.signal(func(q *faultnet.Proc) { q.Signal(syscall.SIGTERM) })
-		p.at(p.now()+p.s.longest()+700*time.Millisecond, g.kill)
-		back(g.start)
+		g.setAdmitted(false)
+		g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGTERM) })
+		p.at(p.now()+p.scenario.longestDeadline()+700*time.Millisecond, g.kill)
+		atEnd(g.start)
 	case "stop":
-		g.signal((*faultnet.Proc).Stop)
-		back(func() { g.signal((*faultnet.Proc).Cont) })
+		g.withProcess((*faultnet.Proc).Stop)
+		atEnd(func() { g.withProcess((*faultnet.Proc).Cont) })
 	case "reconfigure":
-		g.configured = max(1, int(f.Factor*float64(p.s.Gateways.Configured)))
-		if g.write() == nil {
-			g.signal(func(q *faultnet.Proc) { q.Signal(syscall.SIGHUP) })
+		g.configured = max(1, int(f.Factor*float64(p.scenario.Gateways.Configured)))
+		if g.writeConfig() == nil {
+			g.withProcess(func(q *faultnet.Proc) { q.Signal(syscall.SIGHUP) })
 		}
 	}
 }
 
-func (p *realPlay) hostFault(f *Fault, st *standIn) {
-	notice := p.s.Catalog.Notice.std()
-	back := func(do func()) {
-		if f.For > 0 {
-			p.at(p.now()+f.For.std(), do)
+func (p *realRun) applyHostFault(f *Fault, host *loopbackHost) {
+	listingDelay := p.scenario.Catalog.ListingDelay.std()
+	atEnd := func(do func()) {
+		if f.Length > 0 {
+			p.at(p.now()+f.Length.std(), do)
 		}
 	}
 	restart := func() {
-		st.do(func(h *Host) { h.Restart(p.now()) }, true)
-		if st.listen() == nil {
-			p.at(p.now()+notice, func() { p.list(st) })
+		host.update(func(h *Host) { h.Restart(p.now()) }, true)
+		if host.listen() == nil {
+			p.at(p.now()+listingDelay, func() { p.listHost(host) })
 		}
 	}
-	switch f.Do {
+	switch f.Action {
 	case "kill":
-		st.do(func(h *Host) { h.Kill() }, true)
-		p.at(p.now()+notice, func() {
-			st.mu.Lock()
-			dead := st.h.Cond == Dead
-			st.mu.Unlock()
+		host.update(func(h *Host) { h.Kill() }, true)
+		p.at(p.now()+listingDelay, func() {
+			host.mu.Lock()
+			dead := host.model.Condition == Dead
+			host.mu.Unlock()
 			if dead {
-				p.write(http.MethodDelete, st.h.ID, nil)
+				p.writeMember(http.MethodDelete, host.model.ID, nil)
 			}
 		})
-		back(restart)
+		atEnd(restart)
 	case "silence":
-		st.do(func(h *Host) { h.Mute() }, false)
-		back(restart)
+		host.update(func(h *Host) { h.Silence() }, false)
+		atEnd(restart)
 	case "cold":
 		restart()
 	case "slow":
-		st.do(func(h *Host) { h.Slow = f.Factor }, false)
-		back(func() { st.do(func(h *Host) { h.Slow = 1 }, false) })
+		host.update(func(h *Host) { h.SlowFactor = f.Factor }, false)
+		atEnd(func() { host.update(func(h *Host) { h.SlowFactor = 1 }, false) })
 	case "fail":
-		st.do(func(h *Host) { h.Cond = Failing }, false)
-		back(func() { st.do(func(h *Host) { h.Cond = Serving }, false) })
+		host.update(func(h *Host) { h.Condition = Failing }, false)
+		atEnd(func() { host.update(func(h *Host) { h.Condition = Serving }, false) })
 	case "refuse":
-		st.do(func(h *Host) { h.Kill(); h.Cond = Refusing }, true)
-		back(func() {
-			st.do(func(h *Host) { h.Cond = Serving; h.Inc++ }, false)
-			st.listen()
+		host.update(func(h *Host) { h.Kill(); h.Condition = Refusing }, true)
+		atEnd(func() {
+			host.update(func(h *Host) { h.Condition = Serving; h.Incarnation++ }, false)
+			host.listen()
 		})
 	}
 }
--- a/internal/fleetlab/record.go
+++ b/internal/fleetlab/record.go
@@ -8,146 +8,146 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// bin is the width of the windows in which peaks are counted.
-const bin = 100 * time.Millisecond
+// binWidth is the width of the windows in which peaks are counted.
+const binWidth = 100 * time.Millisecond
 
 // End is how a client's request ended.
 type End uint8
 
 // Ends of a request.
 const (
-	Served   End = iota // within its aim
-	Late                // served after its aim
-	Refused             // turned away
-	Failed              // an error, or no answer within its time
-	Lost                // its gateway died or closed on it
-	NoLiveGW            // no gateway took it
+	Served        End = iota // within its aim
+	Late                     // served after its aim
+	Refused                  // turned away
+	Failed                   // an error, or no answer within its time
+	Lost                     // its gateway died or closed on it
+	NoLiveGateway            // no gateway took it
 	numEnds
 )
 
 // Recorder collects what happens in a play; Result gives the figures. It is not safe for
 // concurrent use.
 type Recorder struct {
-	s     *Scenario
-	ready *hdrhistogram.Histogram // microseconds from a gateway's start
-	lat   *hdrhistogram.Histogram // microseconds of served requests
-	never int                     // gateways that had not become ready at the end
+	scenario   *Scenario
+	readyTimes *hdrhistogram.Histogram // microseconds from a gateway's start
+	latencies  *hdrhistogram.Histogram // microseconds of served requests
+	neverReady int                     // gateways that had not become ready at the end
 
-	calls     [][]int // at each catalog, by bin
-	bytes     []int64
-	shed      []int
-	newConns  []int   // at all hosts, by bin
-	connPeak  [][]int // host, bin: for the busiest at one host
-	took      [][]int // requests taken, by host and second, within the measured part
-	ends      [numEnds]int
-	endsBySec [][numEnds]int // by second of arrival
-	herd      Herd
-	pendBuf   []int
+	callsByCatalog [][]int // at each catalog, by bin
+	catalogBytes   []int64
+	catalogShed    []int
+	newConns       []int   // at all hosts, by bin
+	newConnsByHost [][]int // host, bin: for the busiest at one host
+	requestsByHost [][]int // requests taken, by host and second, within the measured part
+	ends           [numEnds]int
+	endsBySecond   [][numEnds]int // by second of arrival
+	herd           Herd
+	sortBuffer     []int
 }
 
 // NewRecorder returns a Recorder for hosts and catalogs of a scenario.
 func NewRecorder(s *Scenario) *Recorder {
-	r := &Recorder{s: s, ready: hdrhistogram.New(1, 3_600_000_000, 3), lat: hdrhistogram.New(1, 60_000_000, 3)}
-	r.calls = make([][]int, s.Catalog.Instances)
-	r.bytes, r.shed = make([]int64, s.Catalog.Instances), make([]int, s.Catalog.Instances)
+	r := &Recorder{scenario: s, readyTimes: hdrhistogram.New(1, 3_600_000_000, 3), latencies: hdrhistogram.New(1, 60_000_000, 3)}
+	r.callsByCatalog = make([][]int, s.Catalog.Instances)
+	r.catalogBytes, r.catalogShed = make([]int64, s.Catalog.Instances), make([]int, s.Catalog.Instances)
 	return r
 }
 
-// addAt counts one into the window of at; what falls outside of the play is left out.
-func addAt(list []int, at Time, width time.Duration, n int) []int {
+// addToBin counts one into the window of at; what falls outside of the play is left out.
+func addToBin(bins []int, at Time, width time.Duration, n int) []int {
 	i := int(at / width)
 	if at < 0 || i > 1<<20 {
-		return list
+		return bins
 	}
-	for len(list) <= i {
-		list = append(list, 0)
+	for len(bins) <= i {
+		bins = append(bins, 0)
 	}
-	list[i] += n
-	return list
+	bins[i] += n
+	return bins
 }
 
-// GatewayReady notes how long a gateway took from its start until it could serve.
-func (r *Recorder) GatewayReady(took time.Duration) {
-	r.ready.RecordValue(max(1, took.Microseconds()))
+// RecordGatewayReady notes how long a gateway took from its start until it could serve.
+func (r *Recorder) RecordGatewayReady(took time.Duration) {
+	r.readyTimes.RecordValue(max(1, took.Microseconds()))
 }
 
-// Call notes one call at a catalog; shed says that it was turned away.
-func (r *Recorder) Call(cat int, at Time, bytes int, shed bool) {
-	r.calls[cat] = addAt(r.calls[cat], at, bin, 1)
-	r.bytes[cat] += int64(bytes)
+// RecordCall notes one call at a catalog; shed says that it was turned away.
+func (r *Recorder) RecordCall(catalog int, at Time, bytes int, shed bool) {
+	r.callsByCatalog[catalog] = addToBin(r.callsByCatalog[catalog], at, binWidth, 1)
+	r.catalogBytes[catalog] += int64(bytes)
 	if shed {
-		r.shed[cat]++
+		r.catalogShed[catalog]++
 	}
 }
 
-// NewConn notes a connection that a host accepted or turned away.
-func (r *Recorder) NewConn(host int, at Time) {
-	r.newConns = addAt(r.newConns, at, bin, 1)
-	for len(r.connPeak) <= host {
-		r.connPeak = append(r.connPeak, nil)
+// RecordNewConn notes a connection that a host accepted or turned away.
+func (r *Recorder) RecordNewConn(host int, at Time) {
+	r.newConns = addToBin(r.newConns, at, binWidth, 1)
+	for len(r.newConnsByHost) <= host {
+		r.newConnsByHost = append(r.newConnsByHost, nil)
 	}
-	r.connPeak[host] = addAt(r.connPeak[host], at, bin, 1)
+	r.newConnsByHost[host] = addToBin(r.newConnsByHost[host], at, binWidth, 1)
 }
 
-// Took notes a request that reached a host.
-func (r *Recorder) Took(host int, at Time) {
-	for len(r.took) <= host {
-		r.took = append(r.took, nil)
+// RecordHostRequest notes a request that reached a host.
+func (r *Recorder) RecordHostRequest(host int, at Time) {
+	for len(r.requestsByHost) <= host {
+		r.requestsByHost = append(r.requestsByHost, nil)
 	}
-	r.took[host] = addAt(r.took[host], at, time.Second, 1)
+	r.requestsByHost[host] = addToBin(r.requestsByHost[host], at, time.Second, 1)
 }
 
-// Ended notes how a request that arrived at a time ended.
-func (r *Recorder) Ended(arrived Time, e End, took time.Duration) {
+// RecordEnd notes how a request that arrived at a time ended.
+func (r *Recorder) RecordEnd(arrived Time, end End, took time.Duration) {
 	i := int(arrived / time.Second)
-	for len(r.endsBySec) <= i {
-		r.endsBySec = append(r.endsBySec, [numEnds]int{})
+	for len(r.endsBySecond) <= i {
+		r.endsBySecond = append(r.endsBySecond, [numEnds]int{})
 	}
-	r.endsBySec[i][e]++
-	if arrived < r.s.Measure.std() {
+	r.endsBySecond[i][end]++
+	if arrived < r.scenario.MeasureFrom.std() {
 		return
 	}
-	r.ends[e]++
-	if e == Served || e == Late {
-		r.lat.RecordValue(max(1, took.Microseconds()))
+	r.ends[end]++
+	if end == Served || end == Late {
+		r.latencies.RecordValue(max(1, took.Microseconds()))
 	}
 }
 
-// Pending notes how many requests each serving host holds, once a bin.
-func (r *Recorder) Pending(at Time, pending []int) {
-	if at < r.s.Measure.std() || len(pending) == 0 {
+// RecordPending notes how many requests each serving host holds, once a bin.
+func (r *Recorder) RecordPending(at Time, pending []int) {
+	if at < r.scenario.MeasureFrom.std() || len(pending) == 0 {
 		return
 	}
-	r.pendBuf = append(r.pendBuf[:0], pending...)
-	slices.Sort(r.pendBuf)
-	most, median := r.pendBuf[len(r.pendBuf)-1], r.pendBuf[len(r.pendBuf)/2]
+	r.sortBuffer = append(r.sortBuffer[:0], pending...)
+	slices.Sort(r.sortBuffer)
+	most, median := r.sortBuffer[len(r.sortBuffer)-1], r.sortBuffer[len(r.sortBuffer)/2]
 	r.herd.Windows++
 	if most > 2*median+2 {
 		r.herd.Over++
 	}
-	if over := most - (2*median + 2); r.herd.Windows == 1 || over > r.herd.worst {
-		r.herd = Herd{Windows: r.herd.Windows, Over: r.herd.Over, Most: most, Median: median, AtS: at.Seconds(), worst: over}
+	if excess := most - (2*median + 2); r.herd.Windows == 1 || excess > r.herd.worst {
+		r.herd = Herd{Windows: r.herd.Windows, Over: r.herd.Over, Most: most, Median: median, AtS: at.Seconds(), worst: excess}
 	}
 }
 
 // Result is what a play gave. Times are in seconds or, where the name says so, in
 // milliseconds; shares run from 0 to 1.
 type Result struct {
-	Scenario string  `json:"scenario"`
-	Engine   string  `json:"engine"` // virtual, real or oracle
-	Seed     uint64  `json:"seed"`
-	Gateways int     `json:"gateways"`
-	Hosts    int     `json:"hosts"`
-	LengthS  float64 `json:"length_s"`
+	Scenario      string  `json:"scenario"`
+	Engine        string  `json:"engine"` // virtual, real or oracle
+	Seed          uint64  `json:"seed"`
+	Gateways      int     `json:"gateways"`
+	Hosts         int     `json:"hosts"`
+	LengthSeconds float64 `json:"length_s"`
 
-	Ready    Ready        `json:"ready"`
-	Catalogs []CatalogFig `json:"catalogs"`
-	Conns    Conns        `json:"connections"`
-	Falls    Falls        `json:"falls"`
-	Requests Requests     `json:"requests"`
-	Spread   Spread       `json:"spread"`
-	Herd     Herd         `json:"herd"`
-	Series   Series       `json:"series"`
+	Ready    Ready            `json:"ready"`
+	Catalogs []CatalogFigures `json:"catalogs"`
+	Conns    Conns            `json:"connections"`
+	Falls    Falls            `json:"falls"`
+	Requests Requests         `json:"requests"`
+	Spread   Spread           `json:"spread"`
+	Herd     Herd             `json:"herd"`
+	Series   Series           `json:"series"`
 }
 
 // Ready is how long gateways took from their start until they could serve.
@@ -159,8 +159,8 @@
 	Max    float64 `json:"max_s"`
 }
 
-// CatalogFig is what reached one catalog.
-type CatalogFig struct {
+// CatalogFigures is what reached one catalog.
+type CatalogFigures struct {
 	Calls   int   `json:"calls"`
 	Busiest int   `json:"busiest_100ms"`
 	Second  int   `json:"busiest_second"`
@@ -224,93 +224,93 @@
 
 // Series are the figures over time, for plots.
 type Series struct {
-	BinMS     int     `json:"bin_ms"`
-	Calls     [][]int `json:"calls"`     // by catalog and bin
-	NewConns  []int   `json:"new_conns"` // by bin
-	HostReqs  [][]int `json:"host_requests_a_second"`
-	ServedSec []int   `json:"served_a_second"`
-	SentSec   []int   `json:"sent_a_second"`
+	BinMS           int     `json:"bin_ms"`
+	Calls           [][]int `json:"calls"`     // by catalog and bin
+	NewConns        []int   `json:"new_conns"` // by bin
+	HostRequests    [][]int `json:"host_requests_a_second"`
+	ServedPerSecond []int   `json:"served_a_second"`
+	SentPerSecond   []int   `json:"sent_a_second"`
 }
 
 // Result computes the figures at the end of a play.
 func (r *Recorder) Result(engine string, hosts []*Host) *Result {
-	s := r.s
-	out := &Result{Scenario: s.Name, Engine: engine, Seed: s.Seed, Gateways: s.Gateways.Count, Hosts: len(hosts), LengthS: s.Length.std().Seconds()}
-	q := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1e6 }
-	out.Ready = Ready{Starts: r.ready.TotalCount(), Never: r.never, P50: q(r.ready, 50), P99: q(r.ready, 99), Max: float64(r.ready.Max()) / 1e6}
-	for i := range r.calls {
-		c := CatalogFig{Bytes: r.bytes[i], Shed: r.shed[i]}
-		for k, n := range r.calls[i] {
+	s := r.scenario
+	out := &Result{Scenario: s.Name, Engine: engine, Seed: s.Seed, Gateways: s.Gateways.Count, Hosts: len(hosts), LengthSeconds: s.Length.std().Seconds()}
+	quantile := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1e6 }
+	out.Ready = Ready{Starts: r.readyTimes.TotalCount(), Never: r.neverReady, P50: quantile(r.readyTimes, 50), P99: quantile(r.readyTimes, 99), Max: float64(r.readyTimes.Max()) / 1e6}
+	for i := range r.callsByCatalog {
+		c := CatalogFigures{Bytes: r.catalogBytes[i], Shed: r.catalogShed[i]}
+		for k, n := range r.callsByCatalog[i] {
 			c.Calls += n
 			c.Busiest = max(c.Busiest, n)
 			second := 0
-			for _, m := range r.calls[i][max(0, k-9) : k+1] {
+			for _, m := range r.callsByCatalog[i][max(0, k-9) : k+1] {
 				second += m
 			}
 			c.Second = max(c.Second, second)
 		}
 		out.Catalogs = append(out.Catalogs, c)
 	}
-	open := 0
+	openConns := 0
 	for _, n := range r.newConns {
 		out.Conns.Busiest = max(out.Conns.Busiest, n)
 	}
-	for _, list := range r.connPeak {
+	for _, list := range r.newConnsByHost {
 		for _, n := range list {
 			out.Conns.OneHost = max(out.Conns.OneHost, n)
 		}
 	}
 	for _, h := range hosts {
 		out.Conns.New += h.NewConns
-		out.Conns.TurnedAway += h.TurnedAway
-		out.Conns.MostOpen = max(out.Conns.MostOpen, h.MostConns)
-		open += h.conns
-		if h.Fell {
+		out.Conns.TurnedAway += h.RejectedConns
+		out.Conns.MostOpen = max(out.Conns.MostOpen, h.MaxOpenConns)
+		openConns += h.openConns
+		if h.Overloaded {
 			out.Falls.Hosts++
-			if h.FellBy > 2.0/3 {
+			if h.NotifiedShare > 2.0/3 {
 				out.Falls.Told++
 			}
 		}
 	}
-	out.Conns.MeanOpen = float64(open) / float64(len(hosts))
+	out.Conns.MeanOpen = float64(openConns) / float64(len(hosts))
 	e := r.ends
-	out.Requests = Requests{Served: e[Served], Late: e[Late], Refused: e[Refused], Failed: e[Failed], Lost: e[Lost], NoGateway: e[NoLiveGW],
-		P50MS: q(r.lat, 50) * 1e3, P99MS: q(r.lat, 99) * 1e3}
+	out.Requests = Requests{Served: e[Served], Late: e[Late], Refused: e[Refused], Failed: e[Failed], Lost: e[Lost], NoGateway: e[NoLiveGateway],
+		P50MS: quantile(r.latencies, 50) * 1e3, P99MS: quantile(r.latencies, 99) * 1e3}
 	for _, n := range e {
 		out.Requests.Sent += n
 	}
-	if reached := out.Requests.Sent - e[NoLiveGW] - e[Lost]; reached > 0 {
+	if reached := out.Requests.Sent - e[NoLiveGateway] - e[Lost]; reached > 0 {
 		out.Requests.ServedPart = float64(e[Served]) / float64(reached)
 	}
-	counts, relative := make([]float64, len(hosts)), make([]float64, len(hosts))
-	from := int(s.Measure.std() / time.Second)
+	counts, countsBySpeed := make([]float64, len(hosts)), make([]float64, len(hosts))
+	firstSecond := int(s.MeasureFrom.std() / time.Second)
 	for i, h := range hosts {
-		if i < len(r.took) {
-			for sec, n := range r.took[i] {
-				if sec >= from {
+		if i < len(r.requestsByHost) {
+			for sec, n := range r.requestsByHost[i] {
+				if sec >= firstSecond {
 					counts[i] += float64(n)
 				}
 			}
 		}
-		relative[i] = counts[i] / (h.Spec.Speed * float64(h.Spec.Cores))
+		countsBySpeed[i] = counts[i] / (h.Spec.Speed * float64(h.Spec.Cores))
 	}
-	out.Spread = spread(counts)
-	out.Spread.Utilised = spread(relative).CV
+	out.Spread = measureSpread(counts)
+	out.Spread.Utilised = measureSpread(countsBySpeed).CV
 	out.Herd = r.herd
-	out.Series = Series{BinMS: int(bin / time.Millisecond), Calls: r.calls, NewConns: r.newConns, HostReqs: r.took}
-	for _, e := range r.endsBySec {
+	out.Series = Series{BinMS: int(binWidth / time.Millisecond), Calls: r.callsByCatalog, NewConns: r.newConns, HostRequests: r.requestsByHost}
+	for _, e := range r.endsBySecond {
 		sent := 0
 		for _, n := range e {
 			sent += n
 		}
-		out.Series.SentSec = append(out.Series.SentSec, sent)
-		out.Series.ServedSec = append(out.Series.ServedSec, e[Served])
+		out.Series.SentPerSecond = append(out.Series.SentPerSecond, sent)
+		out.Series.ServedPerSecond = append(out.Series.ServedPerSecond, e[Served])
 	}
 	return out
 }
 
-// spread measures how even counts are.
-func spread(counts []float64) Spread {
+// measureSpread measures how even counts are.
+func measureSpread(counts []float64) Spread {
 	n, sum := float64(len(counts)), 0.0
 	for _, c := range counts {
 		sum += c
@@ -319,9 +319,9 @@
 		return Spread{UnderFifth: len(counts), UnderHalf: len(counts)}
 	}
 	out := Spread{Mean: sum / n, Min: int(slices.Min(counts)), Poisson: 1 / math.Sqrt(sum/n)}
-	varsum := 0.0
+	squares := 0.0
 	for _, c := range counts {
-		varsum += (c - out.Mean) * (c - out.Mean)
+		squares += (c - out.Mean) * (c - out.Mean)
 		out.MaxMean = max(out.MaxMean, c/out.Mean)
 		if c < out.Mean/5 {
 			out.UnderFifth++
@@ -330,6 +330,6 @@
 			out.UnderHalf++
 		}
 	}
-	out.CV = math.Sqrt(varsum/n) / out.Mean
+	out.CV = math.Sqrt(squares/n) / out.Mean
 	return out
 }
--- a/internal/fleetlab/soak.go
+++ b/internal/fleetlab/soak.go
@@ -83,8 +83,8 @@
 			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", binary, opt.Bin)
 		}
 	}
-	if opt.Says == nil {
-		opt.Says = io.Discard
+	if opt.Progress == nil {
+		opt.Progress = io.Discard
 	}
 	dir, err := os.MkdirTemp(opt.Dir, "soak")
 	if err != nil {
--- a/internal/fleetlab/soak_server.go
+++ b/internal/fleetlab/soak_server.go
@@ -57,7 +57,7 @@
 
 // listen opens the listening socket of the host.
 func (h *soakHost) listen() error {
-	ln, err := serveAgain(h.addr, h.serve)
+	ln, err := listenAndServe(h.addr, h.serve)
 	if err != nil {
 		return fmt.Errorf("host %s: %w", h.name, err)
 	}
@@ -149,7 +149,7 @@
 	attempt.rejected = mode == hostRejects
 	h.s.ledger.addAttempt(id, attempt)
 	if mode == hostRejects {
-		return writeAnswer(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+		return writeResponse(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
 	}
 	time.Sleep(time.Duration(5+idHash%36) * time.Millisecond)
 	switch {
@@ -157,7 +157,7 @@
 		io.Copy(io.Discard, c) // until the gateway gives up
 		return false
 	case mode == hostFails:
-		return writeAnswer(c, "500 Internal Server Error", "", "")
+		return writeResponse(c, "500 Internal Server Error", "", "")
 	case mode == hostResets && idHash%3 != 0:
 		if idHash%3 == 1 {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it")
@@ -172,7 +172,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone "+id)
 		return false
 	}
-	return writeAnswer(c, "200 OK", "", "done "+id)
+	return writeResponse(c, "200 OK", "", "done "+id)
 }
 
 // writeChunkedAnswer writes an answer without Content-Length, with a pause after each part.
--- a/internal/fleetlab/soak_test.go
+++ b/internal/fleetlab/soak_test.go
@@ -17,7 +17,7 @@
 // A short soak breaks no rule with either of two seeds. Its load is low, so that a busy machine does
 // not delay the processes.
 func TestSoakBreaksNoRule(t *testing.T) {
-	bin := realBinaries(t)
+	bin := buildBinaries(t)
 	faulty := filepath.Join(bin, FaultyGateway)
 	if out, err := exec.Command("go", "build", "-tags", "faultinject", "-o", faulty, "lynxspool/cmd/dunemoor").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
--- a/internal/fleetlab/spread_test.go
+++ b/internal/fleetlab/spread_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// spreadPlay is 150 requests a host over skewed gateways, once the view has settled.
-func spreadPlay(t *testing.T, seed uint64, change func(*Scenario)) *Result {
-	s := load(t, "spread-view", seed)
+// runSpread is 150 requests a host over skewed gateways, once the view has settled.
+func runSpread(t *testing.T, seed uint64, change func(*Scenario)) *Result {
+	s := loadScenario(t, "spread-view", seed)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 120, 120, 60, 360
-	s.Length = s.Measure + Duration(25e9)
+	s.Length = s.MeasureFrom + Duration(25e9)
 	change(s)
 	return Virtual(s)
 }
@@ -30,8 +30,8 @@
 		{"a third absent in a run, no view", false, 0.33, "run", 3.5, 1.8, 0, 0},
 		{"half absent in a run, no view", false, 0.5, "run", 4.5, 1.9, 4, 0},
 	} {
-		r := spreadPlay(t, 1, func(s *Scenario) {
-			s.Gateways.Membership, s.Gateways.Absent, s.Gateways.AbsentHow = c.view, c.absent, c.how
+		r := runSpread(t, 1, func(s *Scenario) {
+			s.Gateways.Membership, s.Gateways.AbsentShare, s.Gateways.AbsentSelection = c.view, c.absent, c.how
 		})
 		p := r.Spread
 		t.Logf("%s: %+v, open at a host %.1f", c.name, p, r.Conns.MeanOpen)
--- a/internal/fleetlab/table.go
+++ b/internal/fleetlab/table.go
@@ -9,9 +9,9 @@
 	"text/tabwriter"
 )
 
-// Plays is a result file: one or more plays of a scenario, by seed or by repetition.
-type Plays struct {
-	Plays []*Result `json:"plays"`
+// ResultFile is a result file: one or more plays of a scenario, by seed or by repetition.
+type ResultFile struct {
+	Runs []*Result `json:"plays"`
 }
 
 // Figure is one number of a Result, named for tables.
@@ -26,10 +26,10 @@
 	{"ready p99 s", func(r *Result) float64 { return r.Ready.P99 }},
 	{"ready max s", func(r *Result) float64 { return r.Ready.Max }},
 	{"never ready", func(r *Result) float64 { return float64(r.Ready.Never) }},
-	{"calls at catalogs", func(r *Result) float64 { return r.catalogs(func(c CatalogFig) int { return c.Calls }) }},
-	{"... shed", func(r *Result) float64 { return r.catalogs(func(c CatalogFig) int { return c.Shed }) }},
-	{"... busiest 100 ms", func(r *Result) float64 { return r.catalogs(func(c CatalogFig) int { return c.Busiest }) }},
-	{"... busiest second", func(r *Result) float64 { return r.catalogs(func(c CatalogFig) int { return c.Second }) }},
+	{"calls at catalogs", func(r *Result) float64 { return r.sumCatalogs(func(c CatalogFigures) int { return c.Calls }) }},
+	{"... shed", func(r *Result) float64 { return r.sumCatalogs(func(c CatalogFigures) int { return c.Shed }) }},
+	{"... busiest 100 ms", func(r *Result) float64 { return r.sumCatalogs(func(c CatalogFigures) int { return c.Busiest }) }},
+	{"... busiest second", func(r *Result) float64 { return r.sumCatalogs(func(c CatalogFigures) int { return c.Second }) }},
 	{"new connections", func(r *Result) float64 { return float64(r.Conns.New) }},
 	{"... busiest 100 ms", func(r *Result) float64 { return float64(r.Conns.Busiest) }},
 	{"... at one host", func(r *Result) float64 { return float64(r.Conns.OneHost) }},
@@ -60,7 +60,7 @@
 	{"... 100 ms over 2 x median + 2", func(r *Result) float64 { return float64(r.Herd.Over) }},
 }
 
-func (r *Result) catalogs(get func(CatalogFig) int) float64 {
+func (r *Result) sumCatalogs(get func(CatalogFigures) int) float64 {
 	sum := 0
 	for _, c := range r.Catalogs {
 		sum += get(c)
@@ -68,10 +68,10 @@
 	return float64(sum)
 }
 
-// stats are the least, median and greatest of a figure over plays.
-func (p *Plays) stats(f Figure) (least, median, most float64) {
+// minMedianMax are the least, median and greatest of a figure over plays.
+func (p *ResultFile) minMedianMax(f Figure) (least, median, most float64) {
 	var v []float64
-	for _, r := range p.Plays {
+	for _, r := range p.Runs {
 		v = append(v, f.Get(r))
 	}
 	slices.Sort(v)
@@ -79,38 +79,38 @@
 }
 
 // Table prints the figures of a result file: of one play, or median and range of several.
-func (p *Plays) Table(to io.Writer) error {
+func (p *ResultFile) Table(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	r := p.Plays[0]
-	fmt.Fprintf(w, "%s (%s)\t%d plays\t%d gateways, %d hosts, %g s\n", r.Scenario, r.Engine, len(p.Plays), r.Gateways, r.Hosts, r.LengthS)
+	r := p.Runs[0]
+	fmt.Fprintf(w, "%s (%s)\t%d plays\t%d gateways, %d hosts, %g s\n", r.Scenario, r.Engine, len(p.Runs), r.Gateways, r.Hosts, r.LengthSeconds)
 	for _, f := range Figures {
-		least, median, most := p.stats(f)
-		if len(p.Plays) == 1 {
-			fmt.Fprintf(w, "%s\t%s\n", f.Name, number(median))
+		least, median, most := p.minMedianMax(f)
+		if len(p.Runs) == 1 {
+			fmt.Fprintf(w, "%s\t%s\n", f.Name, formatNumber(median))
 		} else {
-			fmt.Fprintf(w, "%s\t%s\t%s to %s\n", f.Name, number(median), number(least), number(most))
+			fmt.Fprintf(w, "%s\t%s\t%s to %s\n", f.Name, formatNumber(median), formatNumber(least), formatNumber(most))
 		}
 	}
 	return w.Flush()
 }
 
 // Compare prints the figures of two result files side by side, as median and range.
-func Compare(to io.Writer, a, b *Plays) error {
+func Compare(to io.Writer, a, b *ResultFile) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "\tA: %s (%s)\t\tB: %s (%s)\t\tB/A\n", a.Plays[0].Scenario, a.Plays[0].Engine, b.Plays[0].Scenario, b.Plays[0].Engine)
+	fmt.Fprintf(w, "\tA: %s (%s)\t\tB: %s (%s)\t\tB/A\n", a.Runs[0].Scenario, a.Runs[0].Engine, b.Runs[0].Scenario, b.Runs[0].Engine)
 	for _, f := range Figures {
-		al, am, ah := a.stats(f)
-		bl, bm, bh := b.stats(f)
+		aMin, aMedian, aMax := a.minMedianMax(f)
+		bMin, bMedian, bMax := b.minMedianMax(f)
 		ratio := ""
-		if am != 0 {
-			ratio = fmt.Sprintf("%.2f", bm/am)
+		if aMedian != 0 {
+			ratio = fmt.Sprintf("%.2f", bMedian/aMedian)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s to %s\t%s\t%s to %s\t%s\n", f.Name, number(am), number(al), number(ah), number(bm), number(bl), number(bh), ratio)
+		fmt.Fprintf(w, "%s\t%s\t%s to %s\t%s\t%s to %s\t%s\n", f.Name, formatNumber(aMedian), formatNumber(aMin), formatNumber(aMax), formatNumber(bMedian), formatNumber(bMin), formatNumber(bMax), ratio)
 	}
 	return w.Flush()
 }
 
-func number(x float64) string {
+func formatNumber(x float64) string {
 	if x == float64(int64(x)) {
 		return fmt.Sprintf("%d", int64(x))
 	}
@@ -118,7 +118,7 @@
 }
 
 // Save writes a result file.
-func (p *Plays) Save(path string) error {
+func (p *ResultFile) Save(path string) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -126,17 +126,17 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// LoadPlays reads a result file.
-func LoadPlays(path string) (*Plays, error) {
+// LoadResultFile reads a result file.
+func LoadResultFile(path string) (*ResultFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	p := new(Plays)
+	p := new(ResultFile)
 	if err := json.Unmarshal(text, p); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(p.Plays) == 0 {
+	if len(p.Runs) == 0 {
 		return nil, fmt.Errorf("%s: holds no play", path)
 	}
 	return p, nil
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -8,177 +8,177 @@
 
 // linkFault is a fault between some gateways and some hosts.
 type linkFault struct {
-	do       string // cut, delay or black-hole
+	action   string // cut, delay or black-hole
 	gateways map[int]bool
 	hosts    map[int]bool
 	delay    time.Duration
 }
 
-// link says what lies between a gateway and a host: whether it is reset, silent, and what
+// linkState says what lies between a gateway and a host: whether it is reset, silent, and what
 // it adds one way.
-func (w *world) link(g, h int) (cut, silent bool, delay time.Duration) {
-	for _, l := range w.links {
-		if l.gateways[g] && l.hosts[h] {
-			cut = cut || l.do == "cut"
-			silent = silent || l.do == "black-hole"
+func (w *world) linkState(gatewayRank, hostIndex int) (cut, silent bool, delay time.Duration) {
+	for _, l := range w.linkFaults {
+		if l.gateways[gatewayRank] && l.hosts[hostIndex] {
+			cut = cut || l.action == "cut"
+			silent = silent || l.action == "black-hole"
 			delay += l.delay
 		}
 	}
 	return
 }
 
-// send starts an attempt: over an idle connection, or over a new one.
-func (g *gateway) send(act lynxspool.Action) {
-	w, r := g.w, g.reqs[act.Request]
-	i, ok := g.byID[act.Host]
+// sendAttempt starts an attempt: over an idle connection, or over a new one.
+func (g *gateway) sendAttempt(action lynxspool.Action) {
+	w, r := g.world, g.requests[action.Request]
+	i, ok := g.hostIndex[action.Host]
 	if r == nil || !ok {
 		panic("fleetlab: attempt of an unknown request or host")
 	}
 	h := w.hosts[i]
-	a := &attempt{g: g, r: r, n: len(r.atts), host: h, sent: w.now}
-	r.atts = append(r.atts, a)
-	r.out++
-	until := r.deadline
-	if at := act.At - clockBase; act.At > 0 && at < until {
-		until = at
+	a := &attempt{gateway: g, request: r, index: len(r.attempts), host: h, sentAt: w.now}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	deadline := r.deadline
+	if at := action.At - clockBase; action.At > 0 && at < deadline {
+		deadline = at
 	}
-	w.at(until, func() { g.giveUp(a, lynxspool.TimedOut) })
+	w.at(deadline, func() { g.abandon(a, lynxspool.TimedOut) })
 	p := g.pools[i]
 	if p == nil {
 		p = &pool{}
 		g.pools[i] = p
 	}
-	for len(p.idle) > 0 && w.now-p.idle[0].since > w.s.Rules.ConnIdle.std()/2 {
-		h.Disconnect(p.idle[0].inc) // kept for half of the host's idle limit, as the gateway does
+	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
+		h.Disconnect(p.idle[0].incarnation) // kept for half of the host's idle limit, as the gateway does
 		p.idle = p.idle[1:]
 		p.open--
 	}
-	cut, silent, delay := w.link(g.rank, i)
-	d := w.oneWay(g.zone, w.list[i].host.Zone) + delay
+	cut, silent, delay := w.linkState(g.rank, i)
+	oneWay := w.oneWayDelay(g.zone, w.hostList[i].host.Zone) + delay
 	if n := len(p.idle); n > 0 {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		a.conn, a.inc = true, c.inc
-		w.after(d, func() {
+		a.connected, a.incarnation = true, c.incarnation
+		w.after(oneWay, func() {
 			switch {
 			case silent:
-			case cut || c.inc != h.Inc:
-				a.back(d, lynxspool.Reset)
+			case cut || c.incarnation != h.Incarnation:
+				a.finishAfter(oneWay, lynxspool.Reset)
 			default:
-				a.arrive(d, false)
+				a.arriveAtHost(oneWay, false)
 			}
 		})
 		return
 	}
 	p.open++
-	w.after(d, func() {
+	w.after(oneWay, func() {
 		switch {
-		case a.over:
-		case silent || h.Cond == Silent:
-			a.back(w.s.Rules.DialTimeout.std(), lynxspool.ConnectFailed)
-		case cut || h.Cond == Dead || h.Cond == Refusing:
-			w.rec.NewConn(i, w.now)
-			a.back(d, lynxspool.ConnectFailed)
+		case a.ended:
+		case silent || h.Condition == Silent:
+			a.finishAfter(w.scenario.Rules.DialTimeout.std(), lynxspool.ConnectFailed)
+		case cut || h.Condition == Dead || h.Condition == Refusing:
+			w.recorder.RecordNewConn(i, w.now)
+			a.finishAfter(oneWay, lynxspool.ConnectFailed)
 		default:
-			w.rec.NewConn(i, w.now)
+			w.recorder.RecordNewConn(i, w.now)
 			if !h.Connect() {
-				a.back(d, lynxspool.Full) // accepted, answered 503 and closed
+				a.finishAfter(oneWay, lynxspool.Full) // accepted, answered 503 and closed
 				return
 			}
-			a.conn, a.inc = true, h.Inc
-			w.after(2*d, func() { a.arrive(d, true) })
+			a.connected, a.incarnation = true, h.Incarnation
+			w.after(2*oneWay, func() { a.arriveAtHost(oneWay, true) })
 		}
 	})
 }
 
-// arrive is the last byte of an attempt at its host.
-func (a *attempt) arrive(d time.Duration, fresh bool) {
-	w, h := a.g.w, a.host
-	if a.over {
+// arriveAtHost is the last byte of an attempt at its host.
+func (a *attempt) arriveAtHost(oneWay time.Duration, newConn bool) {
+	w, h := a.gateway.world, a.host
+	if a.ended {
 		return
 	}
-	if a.inc != h.Inc || h.Cond == Dead || h.Cond == Refusing {
-		a.back(d, lynxspool.Reset)
+	if a.incarnation != h.Incarnation || h.Condition == Dead || h.Condition == Refusing {
+		a.finishAfter(oneWay, lynxspool.Reset)
 		return
 	}
-	c := &w.s.Classes[a.r.a.Class]
-	j := &Job{Work: time.Duration(a.r.a.Work * float64(c.Work)), Waits: time.Duration(a.r.a.Waits * float64(c.Waits))}
-	if fresh {
-		j.Work += w.s.Rules.ConnCost.std()
+	c := &w.scenario.Classes[a.request.arrival.Class]
+	job := &Job{Work: time.Duration(a.request.arrival.WorkFactor * float64(c.Work)), WaitTime: time.Duration(a.request.arrival.WaitFactor * float64(c.WaitTime))}
+	if newConn {
+		job.Work += w.scenario.Rules.ConnCost.std()
 	}
-	j.Told = h.Started < 0 || a.g.told[h.Index] == clockBase+h.Started
-	j.Done = func(ok bool) { a.back(d, lynxspool.OK) }
-	w.tick(h)
-	w.rec.Took(h.Index, w.now)
-	switch h.Arrive(w.now, j) {
+	job.Notified = h.Started < 0 || a.gateway.knownStart[h.Index] == clockBase+h.Started
+	job.Done = func(ok bool) { a.finishAfter(oneWay, lynxspool.OK) }
+	w.advanceHost(h)
+	w.recorder.RecordHostRequest(h.Index, w.now)
+	switch h.Arrive(w.now, job) {
 	case Accepted:
-		a.job = j
-		w.tick(h)
-	case TurnAway:
-		a.back(d, lynxspool.Full)
+		a.job = job
+		w.advanceHost(h)
+	case Rejected:
+		a.finishAfter(oneWay, lynxspool.Full)
 	case FastError:
-		a.back(d+fastError, lynxspool.Failed)
-	case Broken:
-		a.back(d, lynxspool.Reset)
+		a.finishAfter(oneWay+fastErrorDelay, lynxspool.Failed)
+	case ConnectionReset:
+		a.finishAfter(oneWay, lynxspool.Reset)
 	}
 }
 
-// back brings the end of an attempt to its gateway after d.
-func (a *attempt) back(d time.Duration, res lynxspool.Result) {
-	a.g.w.after(d, func() {
-		if a.over {
+// finishAfter brings the end of an attempt to its gateway after d.
+func (a *attempt) finishAfter(delay time.Duration, result lynxspool.Result) {
+	a.gateway.world.after(delay, func() {
+		if a.ended {
 			return
 		}
-		a.over = true
-		if res == lynxspool.OK || res == lynxspool.Failed || res == lynxspool.Full && a.conn {
-			a.keep()
+		a.ended = true
+		if result == lynxspool.OK || result == lynxspool.Failed || result == lynxspool.Full && a.connected {
+			a.keepConnection()
 		} else {
-			a.hangUp()
+			a.closeConnection()
 		}
-		a.g.event(func() { a.g.outcome(a, res) })
+		a.gateway.handle(func() { a.gateway.reportOutcome(a, result) })
 	})
 }
 
-// giveUp ends an attempt at the gateway's side: its connection is closed, and its work
+// abandon ends an attempt at the gateway's side: its connection is closed, and its work
 // stops when that reaches the host.
-func (g *gateway) giveUp(a *attempt, res lynxspool.Result) {
-	if a.over {
+func (g *gateway) abandon(a *attempt, result lynxspool.Result) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	a.hangUp()
-	g.w.after(0, func() { // as an event of its own, not within the one that called it off
-		if g.up && g.reqs[a.r.id] == a.r {
-			g.event(func() { g.outcome(a, res) })
+	a.ended = true
+	a.closeConnection()
+	g.world.after(0, func() { // as an event of its own, not within the one that called it off
+		if g.up && g.requests[a.request.id] == a.request {
+			g.handle(func() { g.reportOutcome(a, result) })
 		}
 	})
 }
 
-// hangUp closes an attempt's connection.
-func (a *attempt) hangUp() {
-	w, h := a.g.w, a.host
-	if p := a.g.pools[h.Index]; p != nil {
+// closeConnection closes an attempt's connection.
+func (a *attempt) closeConnection() {
+	w, h := a.gateway.world, a.host
+	if p := a.gateway.pools[h.Index]; p != nil {
 		p.open--
 	}
-	job, inc, held := a.job, a.inc, a.conn
-	w.after(w.s.Net.Same.std(), func() {
-		if held {
-			h.Disconnect(inc)
+	job, incarnation, connected := a.job, a.incarnation, a.connected
+	w.after(w.scenario.Net.SameZone.std(), func() {
+		if connected {
+			h.Disconnect(incarnation)
 		}
 		if job != nil {
-			w.tick(h)
+			w.advanceHost(h)
 			h.Cancel(w.now, job)
-			w.tick(h)
+			w.advanceHost(h)
 		}
 	})
 }
 
-// keep leaves an attempt's connection idle for the next one.
-func (a *attempt) keep() {
-	p := a.g.pools[a.host.Index]
-	if !a.g.usable[a.host.Index] || a.inc != a.host.Inc {
-		a.hangUp()
+// keepConnection leaves an attempt's connection idle for the next one.
+func (a *attempt) keepConnection() {
+	p := a.gateway.pools[a.host.Index]
+	if !a.gateway.usable[a.host.Index] || a.incarnation != a.host.Incarnation {
+		a.closeConnection()
 		return
 	}
-	p.idle = append(p.idle, conn{a.inc, a.g.w.now})
+	p.idle = append(p.idle, conn{a.incarnation, a.gateway.world.now})
 }
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/vfaults.go
@@ -7,25 +7,25 @@
 	"lynxspool"
 )
 
-// targets are the gateways or hosts that a fault strikes, in the parts it is done in.
-func (s *Scenario) targets(n int, zoneOf func(int) string, f *Fault, k int) [][]int {
-	var in []int
-	for i := range n {
+// faultTargets are the gateways or hosts that a fault strikes, in the parts it is done in.
+func (s *Scenario) faultTargets(count int, zoneOf func(int) string, f *Fault, faultIndex int) [][]int {
+	var candidates []int
+	for i := range count {
 		if f.Zone == "" || zoneOf(i) == f.Zone {
-			in = append(in, i)
+			candidates = append(candidates, i)
 		}
 	}
-	rng := s.rng(streamFaults + 1000*uint64(k+1))
-	var all []int
-	for _, i := range choose(rng, len(in), f.Share, f.How) {
-		all = append(all, in[i])
+	rng := s.newRand(streamFaults + 1000*uint64(faultIndex+1))
+	var chosen []int
+	for _, i := range chooseShare(rng, len(candidates), f.Share, f.Selection) {
+		chosen = append(chosen, candidates[i])
 	}
 	steps := max(f.Steps, 1)
-	parts := make([][]int, steps)
-	for i, x := range all {
-		parts[i*steps/len(all)] = append(parts[i*steps/len(all)], x)
+	byStep := make([][]int, steps)
+	for i, x := range chosen {
+		byStep[i*steps/len(chosen)] = append(byStep[i*steps/len(chosen)], x)
 	}
-	return parts
+	return byStep
 }
 
 // zoneOfHost and zoneOfGateway name the zone of each; gateways are spread over the zones
@@ -43,7 +43,7 @@
 func (s *Scenario) zoneOfGateway(i int) string {
 	var zones []string
 	for _, g := range s.Hosts {
-		zones = addOnce(zones, g.Zone)
+		zones = appendUnique(zones, g.Zone)
 	}
 	return zones[i*len(zones)/s.Gateways.Count]
 }
@@ -55,90 +55,90 @@
 	return n
 }
 
-// setFaults puts the time line into the queue.
-func (w *world) setFaults() {
-	s := w.s
-	for k := range s.Faults {
-		f := &s.Faults[k]
-		at, ends := f.At.std(), f.For.std()
-		switch f.On {
+// scheduleFaults puts the time line into the queue.
+func (w *world) scheduleFaults() {
+	s := w.scenario
+	for faultIndex := range s.Faults {
+		f := &s.Faults[faultIndex]
+		start, length := f.Start.std(), f.Length.std()
+		switch f.Target {
 		case "catalog":
-			w.at(at, func() { w.catalogFault(f, true) })
-			if ends > 0 {
-				w.at(at+ends, func() { w.catalogFault(f, false) })
+			w.at(start, func() { w.applyCatalogFault(f, true) })
+			if length > 0 {
+				w.at(start+length, func() { w.applyCatalogFault(f, false) })
 			}
 		case "links":
-			w.linkFault(f, k)
+			w.scheduleLinkFault(f, faultIndex)
 		case "members":
-			side := map[int]bool{}
-			for _, part := range s.targets(s.Gateways.Count, s.zoneOfGateway, f, k) {
-				for _, i := range part {
-					side[i] = true
+			partition := map[int]bool{}
+			for _, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
+				for _, i := range targets {
+					partition[i] = true
 				}
 			}
-			w.at(at, func() { w.side, w.cutAt = side, w.now })
-			if ends > 0 {
-				w.at(at+ends, func() { w.side = nil })
+			w.at(start, func() { w.partition, w.partitionedAt = partition, w.now })
+			if length > 0 {
+				w.at(start+length, func() { w.partition = nil })
 			}
 		case "gateways":
-			for step, part := range s.targets(s.Gateways.Count, s.zoneOfGateway, f, k) {
-				for _, i := range part {
-					g := w.gws[i]
-					w.at(at+Time(step)*f.Step.std(), func() { w.gatewayFault(f, g) })
+			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
+				for _, i := range targets {
+					g := w.gateways[i]
+					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyGatewayFault(f, g) })
 				}
 			}
 		case "hosts":
-			for step, part := range s.targets(s.hostCount(), s.zoneOfHost, f, k) {
-				for _, i := range part {
+			for step, targets := range s.faultTargets(s.hostCount(), s.zoneOfHost, f, faultIndex) {
+				for _, i := range targets {
 					h := w.hosts[i]
-					w.at(at+Time(step)*f.Step.std(), func() { w.hostFault(f, h) })
+					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyHostFault(f, h) })
 				}
 			}
 		}
 	}
 }
 
-func (w *world) catalogFault(f *Fault, on bool) {
-	for i, c := range w.cats {
-		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(w.cats)))) {
+func (w *world) applyCatalogFault(f *Fault, on bool) {
+	for i, c := range w.catalogs {
+		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(w.catalogs)))) {
 			continue
 		}
-		mode := catUp
+		mode := catalogUp
 		if on {
-			mode = map[string]int{"down": catDown, "reset": catReset, "busy": catBusy, "black-hole": catBlackHole, "kill-leader": catDown, "slow": catUp}[f.Do]
+			mode = map[string]int{"down": catalogDown, "reset": catalogReset, "busy": catalogBusy, "black-hole": catalogBlackHole, "kill-leader": catalogDown, "slow": catalogUp}[f.Action]
 		}
-		c.call = 0
-		if f.Do == "slow" && on {
-			c.call = f.Delay.std()
+		c.callTime = 0
+		if f.Action == "slow" && on {
+			c.callTime = f.Delay.std()
 		}
-		c.set(mode)
-		if f.Do == "kill-leader" {
+		c.setMode(mode)
+		if f.Action == "kill-leader" {
 			return // the first instance leads
 		}
 	}
 }
 
-func (w *world) linkFault(f *Fault, k int) {
-	s := w.s
-	l := &linkFault{do: f.Do, gateways: map[int]bool{}, hosts: map[int]bool{}, delay: f.Delay.std()}
-	for _, part := range s.targets(s.Gateways.Count, func(int) string { return f.Zone }, f, k) {
-		for _, i := range part {
-			l.gateways[i] = true
+func (w *world) scheduleLinkFault(f *Fault, faultIndex int) {
+	s := w.scenario
+	fault := &linkFault{action: f.Action, gateways: map[int]bool{}, hosts: map[int]bool{}, delay: f.Delay.std()}
+	for _, targets := range s.faultTargets(s.Gateways.Count, func(int) string { return f.Zone }, f, faultIndex) {
+		for _, i := range targets {
+			fault.gateways[i] = true
 		}
 	}
-	far := *f
-	far.Share = f.Hosts
-	for _, part := range s.targets(s.hostCount(), s.zoneOfHost, &far, k+500) {
-		for _, i := range part {
-			l.hosts[i] = true
+	hostSide := *f
+	hostSide.Share = f.HostShare
+	for _, targets := range s.faultTargets(s.hostCount(), s.zoneOfHost, &hostSide, faultIndex+500) {
+		for _, i := range targets {
+			fault.hosts[i] = true
 		}
 	}
-	w.at(f.At.std(), func() { w.links = append(w.links, l) })
-	if f.For > 0 {
-		w.at(f.At.std()+f.For.std(), func() {
-			for i := range w.links {
-				if w.links[i] == l {
-					w.links = append(w.links[:i:i], w.links[i+1:]...)
+	w.at(f.Start.std(), func() { w.linkFaults = append(w.linkFaults, fault) })
+	if f.Length > 0 {
+		w.at(f.Start.std()+f.Length.std(), func() {
+			for i := range w.linkFaults {
+				if w.linkFaults[i] == fault {
+					w.linkFaults = append(w.linkFaults[:i:i], w.linkFaults[i+1:]...)
 					return
 				}
 			}
@@ -146,42 +146,42 @@
 	}
 }
 
-func (w *world) gatewayFault(f *Fault, g *gateway) {
-	back := func(do func()) {
-		if f.For > 0 {
-			w.after(f.For.std(), do)
+func (w *world) applyGatewayFault(f *Fault, g *gateway) {
+	atEnd := func(do func()) {
+		if f.Length > 0 {
+			w.after(f.Length.std(), do)
 		}
 	}
-	switch f.Do {
+	switch f.Action {
 	case "kill":
 		g.kill()
-		back(g.start)
+		atEnd(g.start)
 	case "term":
-		w.front.admit(g.rank, false)
-		w.after(w.s.longest(), g.kill)
-		back(g.start)
+		w.edgeBalancer.setAdmitted(g.rank, false)
+		w.after(w.scenario.longestDeadline(), g.kill)
+		atEnd(g.start)
 	case "restart":
 		if g.up {
 			g.kill()
-			w.after(max(f.For.std(), time.Millisecond), g.start)
+			w.after(max(f.Length.std(), time.Millisecond), g.start)
 		}
 	case "stop":
-		g.stop()
-		back(g.resume)
+		g.pause()
+		atEnd(g.resume)
 	case "late":
-		g.late = f.Delay.std()
-		back(func() { g.late = 0 })
+		g.listDelay = f.Delay.std()
+		atEnd(func() { g.listDelay = 0 })
 	case "reconfigure":
-		g.reconfigure(max(1, int(f.Factor*float64(w.s.Gateways.Configured))))
+		g.reconfigure(max(1, int(f.Factor*float64(w.scenario.Gateways.Configured))))
 	}
 }
 
-func (w *world) hostFault(f *Fault, h *Host) {
-	i, inc := h.Index, h.Inc
-	back := func(do func()) {
-		if f.For > 0 {
-			w.after(f.For.std(), func() {
-				if h.Inc == inc && !h.Fell {
+func (w *world) applyHostFault(f *Fault, h *Host) {
+	i, incarnation := h.Index, h.Incarnation
+	atEnd := func(do func()) {
+		if f.Length > 0 {
+			w.after(f.Length.std(), func() {
+				if h.Incarnation == incarnation && !h.Overloaded {
 					do()
 				}
 			})
@@ -189,37 +189,37 @@
 	}
 	restart := func() {
 		h.Restart(w.now)
-		w.after(w.s.Catalog.Notice.std(), func() { w.change(i, lynxspool.Ready) })
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(i, lynxspool.Ready) })
 	}
-	switch f.Do {
+	switch f.Action {
 	case "kill":
 		h.Kill()
-		w.after(w.s.Catalog.Notice.std(), func() {
-			if h.Cond == Dead {
-				w.change(i, lynxspool.Removed)
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() {
+			if h.Condition == Dead {
+				w.updateListing(i, lynxspool.Removed)
 			}
 		})
-		back(restart)
+		atEnd(restart)
 	case "silence":
-		h.Mute()
-		back(restart)
+		h.Silence()
+		atEnd(restart)
 	case "slow":
-		h.Slow = f.Factor
-		back(func() { h.Slow = 1 })
+		h.SlowFactor = f.Factor
+		atEnd(func() { h.SlowFactor = 1 })
 	case "fail":
-		h.Cond = Failing
-		back(func() { h.Cond = Serving })
+		h.Condition = Failing
+		atEnd(func() { h.Condition = Serving })
 	case "refuse":
 		h.Kill()
-		h.Cond = Refusing
-		back(func() { h.Cond = Serving; h.Inc++ })
+		h.Condition = Refusing
+		atEnd(func() { h.Condition = Serving; h.Incarnation++ })
 	case "cold":
 		restart()
 	case "replace":
-		w.change(i, lynxspool.Draining)
+		w.updateListing(i, lynxspool.Draining)
 		w.after(2*time.Second, func() {
 			h.Kill()
-			w.after(w.s.Catalog.Notice.std(), func() { w.change(i, lynxspool.Removed) })
+			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(i, lynxspool.Removed) })
 		})
 		w.addHost(h.Spec)
 	case "join":
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -10,34 +10,34 @@
 // gateway is one gateway in the virtual engine: a Balancer with the connections, requests
 // and list client that the real gateway keeps round it.
 type gateway struct {
-	w          *world
-	rank, zone int
-	configured int
-	saved      bool // it has a list from before
+	world        *world
+	rank, zone   int
+	configured   int
+	hasSavedList bool // it has a list from before
 
-	up, ready bool
-	stopped   bool
-	backlog   []func() // events that came while it was stopped
-	gen       int      // of its process
-	startedAt Time
-	bal       *lynxspool.Balancer
-	acts      []lynxspool.Action
-	pools     map[int]*pool
-	told      map[int]Time // the start of each host, as told
-	byID      map[lynxspool.HostID]int
-	usable    map[int]bool
-	reqs      map[lynxspool.RequestID]*request
-	lastID    lynxspool.RequestID
-	watch     *watch
-	cat       int // which list service it asks next
-	version   uint64
-	late      time.Duration // lists reach it this much later
-	backoff   time.Duration // in push mode
-	rate      float64       // as last told to the others
-	rateAt    Time          // ... then
-	goneAt    Time          // when its process ended
-	tried     int           // instances that failed one after another
-	resting   Time          // until when a busy list service asked not to be called
+	up, ready      bool
+	paused         bool
+	deferred       []func() // events that came while it was stopped
+	generation     int      // of its process
+	startedAt      Time
+	balancer       *lynxspool.Balancer
+	actions        []lynxspool.Action
+	pools          map[int]*pool
+	knownStart     map[int]Time // the start of each host, as told
+	hostIndex      map[lynxspool.HostID]int
+	usable         map[int]bool
+	requests       map[lynxspool.RequestID]*request
+	lastRequestID  lynxspool.RequestID
+	watch          *watch
+	catalogIndex   int // which list service it asks next
+	listVersion    uint64
+	listDelay      time.Duration // lists reach it this much later
+	pushBackoff    time.Duration // in push mode
+	reportedRate   float64       // as last told to the others
+	rateReportedAt Time          // ... then
+	exitedAt       Time          // when its process ended
+	failedCatalogs int           // instances that failed one after another
+	nextCallAt     Time          // until when a busy list service asked not to be called
 }
 
 // pool is a gateway's idle connections to one host.
@@ -47,358 +47,358 @@
 }
 
 type conn struct {
-	inc   int // of the host's process
-	since Time
+	incarnation int // of the host's process
+	idleSince   Time
 }
 
 // request is a client's request at a gateway.
 type request struct {
-	a        Arrival
-	id       lynxspool.RequestID
-	arrived  Time
-	deadline Time
-	done     bool
-	out      int
-	atts     []*attempt
+	arrival   Arrival
+	id        lynxspool.RequestID
+	arrivedAt Time
+	deadline  Time
+	answered  bool
+	inFlight  int
+	attempts  []*attempt
 }
 
 // attempt is one try of a request at a host.
 type attempt struct {
-	g    *gateway
-	r    *request
-	n    int
-	host *Host
-	sent Time
-	inc  int
-	conn bool // it holds a connection
-	job  *Job
-	over bool
+	gateway     *gateway
+	request     *request
+	index       int
+	host        *Host
+	sentAt      Time
+	incarnation int
+	connected   bool // it holds a connection
+	job         *Job
+	ended       bool
 }
 
-// event lets something happen at the gateway, or once it is no longer stopped.
-func (g *gateway) event(do func()) {
-	if g.stopped {
-		g.backlog = append(g.backlog, do)
+// handle lets something happen at the gateway, or once it is no longer stopped.
+func (g *gateway) handle(do func()) {
+	if g.paused {
+		g.deferred = append(g.deferred, do)
 		return
 	}
 	do()
-	g.perform()
+	g.performActions()
 }
 
 // start starts its process.
 func (g *gateway) start() {
-	w := g.w
-	g.gen++
-	g.up, g.ready, g.stopped, g.backlog = true, false, false, nil
-	g.startedAt, g.version, g.cat = w.now, 0, g.rank%len(w.cats)
-	g.pools, g.told, g.usable = map[int]*pool{}, map[int]Time{}, map[int]bool{}
-	g.reqs, g.byID, g.backoff = map[lynxspool.RequestID]*request{}, map[lynxspool.HostID]int{}, 0
-	set, err := wire.ParseSettings(g.w.s.SettingsJSON(g.rank, g.configured))
+	w := g.world
+	g.generation++
+	g.up, g.ready, g.paused, g.deferred = true, false, false, nil
+	g.startedAt, g.listVersion, g.catalogIndex = w.now, 0, g.rank%len(w.catalogs)
+	g.pools, g.knownStart, g.usable = map[int]*pool{}, map[int]Time{}, map[int]bool{}
+	g.requests, g.hostIndex, g.pushBackoff = map[lynxspool.RequestID]*request{}, map[lynxspool.HostID]int{}, 0
+	settings, err := wire.ParseSettings(g.world.scenario.SettingsJSON(g.rank, g.configured))
 	if err == nil {
-		g.bal, err = lynxspool.New(set, w.seeds.Uint64())
+		g.balancer, err = lynxspool.New(settings, w.seedRand.Uint64())
 	}
 	if err != nil {
 		panic(err) // the scenario was checked
 	}
-	g.rate, g.rateAt = 0, 0
-	g.event(func() {
-		if w.s.Gateways.Membership {
-			g.look(g.gen)
+	g.reportedRate, g.rateReportedAt = 0, 0
+	g.handle(func() {
+		if w.scenario.Gateways.Membership {
+			g.updatePeers(g.generation)
 		}
-		g.bal.Start(g.clock())
-		if g.saved {
-			list := make([]lynxspool.Host, len(w.list))
-			for i := range w.list {
-				list[i] = w.list[i].host
+		g.balancer.Start(g.clock())
+		if g.hasSavedList {
+			list := make([]lynxspool.Host, len(w.hostList))
+			for i := range w.hostList {
+				list[i] = w.hostList[i].host
 			}
-			g.take(lynxspool.ListSaved, list)
-			g.version = w.version
+			g.applyList(lynxspool.ListSaved, list)
+			g.listVersion = w.listVersion
 		}
-		if w.s.Catalog.Push {
-			g.call()
+		if w.scenario.Catalog.Push {
+			g.openWatch()
 		}
 	})
 }
 
-// look tells the Balancer the view of the bank, once a second; each gateway tells the others
+// updatePeers tells the Balancer the view of the bank, once a second; each gateway tells the others
 // its rate every 5 s.
-func (g *gateway) look(gen int) {
-	w := g.w
-	if !g.up || g.gen != gen {
+func (g *gateway) updatePeers(generation int) {
+	w := g.world
+	if !g.up || g.generation != generation {
 		return
 	}
-	if w.now-g.rateAt >= 5*time.Second || g.rate == 0 {
-		g.rate, g.rateAt = g.bal.RequestRate(g.clock()), w.now
+	if w.now-g.rateReportedAt >= 5*time.Second || g.reportedRate == 0 {
+		g.reportedRate, g.rateReportedAt = g.balancer.RequestRate(g.clock()), w.now
 	}
 	var peers []lynxspool.Peer
-	for _, o := range w.gws {
-		gone := !o.up && (o.gen == 0 || w.now-o.goneAt >= w.s.Gateways.Detect.std())
-		cut := w.side != nil && w.side[o.rank] != w.side[g.rank] && w.now-w.cutAt >= w.s.Gateways.Detect.std()
-		if !gone && !cut {
-			peers = append(peers, lynxspool.Peer{Rank: o.rank % g.configured, Rate: o.rate})
+	for _, other := range w.gateways {
+		exited := !other.up && (other.generation == 0 || w.now-other.exitedAt >= w.scenario.Gateways.PeerDetection.std())
+		partitioned := w.partition != nil && w.partition[other.rank] != w.partition[g.rank] && w.now-w.partitionedAt >= w.scenario.Gateways.PeerDetection.std()
+		if !exited && !partitioned {
+			peers = append(peers, lynxspool.Peer{Rank: other.rank % g.configured, Rate: other.reportedRate})
 		}
 	}
-	g.event(func() { g.bal.UpdatePeers(g.clock(), peers) })
-	w.after(time.Second, func() { g.look(gen) })
+	g.handle(func() { g.balancer.UpdatePeers(g.clock(), peers) })
+	w.after(time.Second, func() { g.updatePeers(generation) })
 }
 
-func (g *gateway) clock() lynxspool.Time { return clockBase + g.w.now }
+func (g *gateway) clock() lynxspool.Time { return clockBase + g.world.now }
 
 // kill ends its process: its connections are reset, its requests lost.
 func (g *gateway) kill() {
 	if !g.up {
 		return
 	}
-	w := g.w
-	g.up, g.stopped, g.backlog, g.goneAt = false, false, nil, w.now
-	g.gen++
-	g.loseOpen(Lost)
+	w := g.world
+	g.up, g.paused, g.deferred, g.exitedAt = false, false, nil, w.now
+	g.generation++
+	g.endOpenRequests(Lost)
 	for i, h := range w.hosts {
 		if p := g.pools[i]; p != nil {
 			for _, c := range p.idle {
-				h.Disconnect(c.inc)
+				h.Disconnect(c.incarnation)
 			}
 		}
 	}
 	if g.watch != nil {
-		c := w.cats[g.watch.cat(w)]
-		g.watch.over = true
+		c := w.catalogs[g.watch.catalogIndex(w)]
+		g.watch.ended = true
 		delete(c.watches, g.rank)
 		g.watch = nil
 	}
-	w.after(w.s.Load.Notice.std(), func() {
+	w.after(w.scenario.Load.EdgeDetection.std(), func() {
 		if !g.up {
-			w.front.admit(g.rank, false)
+			w.edgeBalancer.setAdmitted(g.rank, false)
 		}
 	})
 }
 
-func (x *watch) cat(w *world) int {
-	for i, c := range w.cats {
-		if c.watches[x.g.rank] == x {
+func (watch *watch) catalogIndex(w *world) int {
+	for i, c := range w.catalogs {
+		if c.watches[watch.gateway.rank] == watch {
 			return i
 		}
 	}
 	return 0
 }
 
-// loseOpen ends the open requests of a process that has gone.
-func (g *gateway) loseOpen(e End) {
-	if g.bal == nil {
+// endOpenRequests ends the open requests of a process that has gone.
+func (g *gateway) endOpenRequests(end End) {
+	if g.balancer == nil {
 		return
 	}
-	for id := lynxspool.RequestID(1); id <= g.lastID; id++ {
-		r := g.reqs[id]
+	for id := lynxspool.RequestID(1); id <= g.lastRequestID; id++ {
+		r := g.requests[id]
 		if r == nil {
 			continue
 		}
-		for _, a := range r.atts {
-			if !a.over {
-				a.over = true
-				a.hangUp()
+		for _, a := range r.attempts {
+			if !a.ended {
+				a.ended = true
+				a.closeConnection()
 			}
 		}
-		if !r.done {
-			r.done = true
-			g.w.rec.Ended(r.a.At, e, 0)
+		if !r.answered {
+			r.answered = true
+			g.world.recorder.RecordEnd(r.arrival.At, end, 0)
 		}
 	}
-	g.reqs = map[lynxspool.RequestID]*request{}
+	g.requests = map[lynxspool.RequestID]*request{}
 }
 
-// stop freezes the process, resume lets it go on.
-func (g *gateway) stop() { g.stopped = g.up }
+// pause freezes the process, resume lets it go on.
+func (g *gateway) pause() { g.paused = g.up }
 
 func (g *gateway) resume() {
-	if !g.stopped {
+	if !g.paused {
 		return
 	}
-	g.stopped = false
-	backlog := g.backlog
-	g.backlog = nil
-	for _, do := range backlog {
-		g.event(do)
+	g.paused = false
+	deferred := g.deferred
+	g.deferred = nil
+	for _, do := range deferred {
+		g.handle(do)
 	}
 }
 
 // reconfigure is SIGHUP with settings that say another count.
 func (g *gateway) reconfigure(configured int) {
 	g.configured = configured
-	set, err := wire.ParseSettings(g.w.s.SettingsJSON(g.rank, configured))
+	settings, err := wire.ParseSettings(g.world.scenario.SettingsJSON(g.rank, configured))
 	if err == nil && g.up {
-		g.event(func() { g.bal.UpdateSettings(g.clock(), set) })
+		g.handle(func() { g.balancer.UpdateSettings(g.clock(), settings) })
 	}
 }
 
-// call asks the list service for a watch.
-func (g *gateway) call() {
-	w := g.w
-	c := w.cats[g.cat%len(w.cats)]
-	x := &watch{g: g, gen: g.gen, version: g.version}
+// openWatch asks the list service for a watch.
+func (g *gateway) openWatch() {
+	w := g.world
+	c := w.catalogs[g.catalogIndex%len(w.catalogs)]
+	x := &watch{gateway: g, generation: g.generation, listVersion: g.listVersion}
 	g.watch = x
-	w.after(w.s.Net.Same.std(), func() {
-		if !x.over {
-			c.take(x)
+	w.after(w.scenario.Net.SameZone.std(), func() {
+		if !x.ended {
+			c.handleCall(x)
 		}
 	})
 }
 
 // watchLost is the end of a watch, or of a call for one.
-func (g *gateway) watchLost(x *watch) {
-	if !g.up || x.gen != g.gen || g.watch != x {
+func (g *gateway) watchLost(watch *watch) {
+	if !g.up || watch.generation != g.generation || g.watch != watch {
 		return
 	}
 	g.watch = nil
-	g.cat++
-	if x.rest > 0 { // as the gateway's client does
-		most := g.w.s.Catalog.AskWithin.std()
-		if g.version > 0 {
-			most = min(most, lynxspool.MaxWatchBackoff)
+	g.catalogIndex++
+	if watch.retryAfter > 0 { // as the gateway's client does
+		maxBackoff := g.world.scenario.Catalog.AskWithin.std()
+		if g.listVersion > 0 {
+			maxBackoff = min(maxBackoff, lynxspool.MaxWatchBackoff)
 		}
-		g.resting = g.w.now + min(time.Duration(float64(x.rest)*(1+g.w.wait.Float64()/4)), most)
+		g.nextCallAt = g.world.now + min(time.Duration(float64(watch.retryAfter)*(1+g.world.retryRand.Float64()/4)), maxBackoff)
 	}
-	if g.tried++; !x.open && g.tried < len(g.w.cats) && g.w.now >= g.resting {
-		g.call() // another instance may be well
+	if g.failedCatalogs++; !watch.open && g.failedCatalogs < len(g.world.catalogs) && g.world.now >= g.nextCallAt {
+		g.openWatch() // another instance may be well
 		return
 	}
-	g.tried = 0
-	if !g.w.s.Catalog.Push {
-		g.event(func() { g.bal.UpdateHosts(g.clock(), lynxspool.ListFailed, nil) })
+	g.failedCatalogs = 0
+	if !g.world.scenario.Catalog.Push {
+		g.handle(func() { g.balancer.UpdateHosts(g.clock(), lynxspool.ListFailed, nil) })
 		return
 	}
 	// The gateway's own backoff where lists are pushed: full jitter over twice the step.
-	g.backoff = min(max(2*g.backoff, 50*time.Millisecond), time.Second)
-	gen := g.gen
-	g.w.after(time.Duration(g.w.wait.Float64()*2*float64(g.backoff)), func() {
-		if g.up && g.gen == gen {
-			g.call()
+	g.pushBackoff = min(max(2*g.pushBackoff, 50*time.Millisecond), time.Second)
+	generation := g.generation
+	g.world.after(time.Duration(g.world.retryRand.Float64()*2*float64(g.pushBackoff)), func() {
+		if g.up && g.generation == generation {
+			g.openWatch()
 		}
 	})
 }
 
-// listed is what a watch has brought.
-func (g *gateway) listed(x *watch, kind lynxspool.ListKind, list []lynxspool.Host) {
-	if !g.up || x.gen != g.gen || x.over {
+// listReceived is what a watch has brought.
+func (g *gateway) listReceived(watch *watch, kind lynxspool.ListKind, list []lynxspool.Host) {
+	if !g.up || watch.generation != g.generation || watch.ended {
 		return
 	}
-	g.backoff, g.version = 0, x.version
-	g.event(func() { g.take(kind, list) })
+	g.pushBackoff, g.listVersion = 0, watch.listVersion
+	g.handle(func() { g.applyList(kind, list) })
 }
 
-// take hands a list to the Balancer and keeps what the pool needs of it.
-func (g *gateway) take(kind lynxspool.ListKind, list []lynxspool.Host) {
-	w := g.w
-	if len(g.byID) == 0 || len(g.byID) < len(w.hosts) {
-		for i := range w.list {
-			g.byID[w.list[i].host.ID] = i
+// applyList hands a list to the Balancer and keeps what the pool needs of it.
+func (g *gateway) applyList(kind lynxspool.ListKind, list []lynxspool.Host) {
+	w := g.world
+	if len(g.hostIndex) == 0 || len(g.hostIndex) < len(w.hosts) {
+		for i := range w.hostList {
+			g.hostIndex[w.hostList[i].host.ID] = i
 		}
 	}
 	for _, e := range list {
-		i := g.byID[e.ID]
-		if g.usable[i] && (e.State != lynxspool.Ready || g.told[i] != e.Started) {
+		i := g.hostIndex[e.ID]
+		if g.usable[i] && (e.State != lynxspool.Ready || g.knownStart[i] != e.Started) {
 			g.closeIdle(i)
 		}
-		g.usable[i], g.told[i] = e.State == lynxspool.Ready, e.Started
+		g.usable[i], g.knownStart[i] = e.State == lynxspool.Ready, e.Started
 	}
-	g.bal.UpdateHosts(g.clock(), kind, list)
+	g.balancer.UpdateHosts(g.clock(), kind, list)
 	if !g.ready && len(list) > 0 {
 		g.ready = true
-		w.rec.GatewayReady(w.now - g.startedAt)
-		w.front.admit(g.rank, true)
+		w.recorder.RecordGatewayReady(w.now - g.startedAt)
+		w.edgeBalancer.setAdmitted(g.rank, true)
 	}
 }
 
-// request is a request whose last byte has come from a client.
-func (g *gateway) request(a Arrival) {
-	c := &g.w.s.Classes[a.Class]
-	g.lastID++
-	r := &request{a: a, id: g.lastID, arrived: g.w.now, deadline: g.w.now + c.Deadline.std()}
-	g.reqs[r.id] = r
-	g.bal.Request(g.clock(), lynxspool.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Tries > 0, Remaining: c.Deadline.std()})
+// handleRequest is a handleRequest whose last byte has come from a client.
+func (g *gateway) handleRequest(a Arrival) {
+	c := &g.world.scenario.Classes[a.Class]
+	g.lastRequestID++
+	r := &request{arrival: a, id: g.lastRequestID, arrivedAt: g.world.now, deadline: g.world.now + c.Deadline.std()}
+	g.requests[r.id] = r
+	g.balancer.Request(g.clock(), lynxspool.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Retries > 0, Remaining: c.Deadline.std()})
 }
 
-// perform carries out what the Balancer has decided, as the real gateway's loop does.
-func (g *gateway) perform() {
-	for g.up && !g.stopped {
-		g.acts = g.bal.TakeActions(g.acts[:0])
-		if len(g.acts) == 0 {
+// performActions carries out what the Balancer has decided, as the real gateway's loop does.
+func (g *gateway) performActions() {
+	for g.up && !g.paused {
+		g.actions = g.balancer.TakeActions(g.actions[:0])
+		if len(g.actions) == 0 {
 			return
 		}
-		for i := range g.acts {
-			g.carryOut(g.acts[i])
+		for i := range g.actions {
+			g.performAction(g.actions[i])
 		}
 	}
 }
 
-func (g *gateway) carryOut(a lynxspool.Action) {
-	w, gen := g.w, g.gen
-	switch a.Kind {
+func (g *gateway) performAction(action lynxspool.Action) {
+	w, generation := g.world, g.generation
+	switch action.Kind {
 	case lynxspool.Send:
-		g.send(a)
+		g.sendAttempt(action)
 	case lynxspool.Cancel:
-		if r := g.reqs[a.Request]; r != nil && a.Attempt < len(r.atts) {
-			g.giveUp(r.atts[a.Attempt], lynxspool.Canceled)
+		if r := g.requests[action.Request]; r != nil && action.Attempt < len(r.attempts) {
+			g.abandon(r.attempts[action.Attempt], lynxspool.Canceled)
 		}
 	case lynxspool.Refuse:
-		g.answer(a.Request, Refused)
+		g.answer(action.Request, Refused)
 	case lynxspool.Fail:
-		g.answer(a.Request, Failed)
+		g.answer(action.Request, Failed)
 	case lynxspool.Wake:
-		w.at(a.At-clockBase, func() {
-			if g.up && g.gen == gen {
-				g.event(func() { g.bal.Timer(g.clock(), a.Token) })
+		w.at(action.At-clockBase, func() {
+			if g.up && g.generation == generation {
+				g.handle(func() { g.balancer.Timer(g.clock(), action.Token) })
 			}
 		})
 	case lynxspool.Close:
-		if i, ok := g.byID[a.Host]; ok {
+		if i, ok := g.hostIndex[action.Host]; ok {
 			g.closeIdle(i)
 		}
 	case lynxspool.Watch:
-		w.at(g.resting, func() {
-			if g.up && g.gen == gen && g.watch == nil {
-				g.call()
+		w.at(g.nextCallAt, func() {
+			if g.up && g.generation == generation && g.watch == nil {
+				g.openWatch()
 			}
 		})
 	}
 }
 
 // answer is the final answer to a client; a refused one may come again.
-func (g *gateway) answer(id lynxspool.RequestID, e End) {
-	r := g.reqs[id]
-	if r == nil || r.done {
+func (g *gateway) answer(id lynxspool.RequestID, end End) {
+	r := g.requests[id]
+	if r == nil || r.answered {
 		return
 	}
-	r.done = true
-	w := g.w
-	took := w.now - r.arrived
-	if e == Served && took > w.s.Classes[r.a.Class].Aim.std() {
-		e = Late
+	r.answered = true
+	w := g.world
+	took := w.now - r.arrivedAt
+	if end == Served && took > w.scenario.Classes[r.arrival.Class].LatencyTarget.std() {
+		end = Late
 	}
-	if e == Refused && r.a.Tries < w.s.Load.Retries {
-		a := r.a
-		a.Tries++
-		w.after(w.s.Load.RetryWait.std(), func() { w.arrive(a) })
+	if end == Refused && r.arrival.Retries < w.scenario.Load.Retries {
+		a := r.arrival
+		a.Retries++
+		w.after(w.scenario.Load.RetryWait.std(), func() { w.handleArrival(a) })
 	} else {
-		w.rec.Ended(r.a.At, e, took)
+		w.recorder.RecordEnd(r.arrival.At, end, took)
 	}
-	g.release(r)
+	g.removeIfFinished(r)
 }
 
-func (g *gateway) release(r *request) {
-	if r.done && r.out == 0 {
-		delete(g.reqs, r.id)
+func (g *gateway) removeIfFinished(r *request) {
+	if r.answered && r.inFlight == 0 {
+		delete(g.requests, r.id)
 	}
 }
 
-// outcome reports the end of an attempt to the Balancer.
-func (g *gateway) outcome(a *attempt, res lynxspool.Result) {
-	r := a.r
-	r.out--
-	if res == lynxspool.OK {
+// reportOutcome reports the end of an attempt to the Balancer.
+func (g *gateway) reportOutcome(attempt *attempt, result lynxspool.Result) {
+	r := attempt.request
+	r.inFlight--
+	if result == lynxspool.OK {
 		g.answer(r.id, Served)
 	}
-	g.bal.Outcome(g.clock(), lynxspool.Outcome{Request: r.id, Attempt: a.n, Result: res, Elapsed: g.w.now - a.sent, Answered: r.done})
-	g.release(r)
+	g.balancer.Outcome(g.clock(), lynxspool.Outcome{Request: r.id, Attempt: attempt.index, Result: result, Elapsed: g.world.now - attempt.sentAt, Answered: r.answered})
+	g.removeIfFinished(r)
 }
 
 func (g *gateway) closeIdle(i int) {
@@ -407,7 +407,7 @@
 		return
 	}
 	for _, c := range p.idle {
-		g.w.hosts[i].Disconnect(c.inc)
+		g.world.hosts[i].Disconnect(c.incarnation)
 		p.open--
 	}
 	p.idle = nil
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -17,35 +17,35 @@
 	run func()
 }
 
-// events is a binary heap, the next one first.
-type events []event
+// eventQueue is a binary heap, the next one first.
+type eventQueue []event
 
-func (q events) before(i, j int) bool {
+func (q eventQueue) less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
-func (q *events) push(e event) {
+func (q *eventQueue) push(e event) {
 	*q = append(*q, e)
 	for i := len(*q) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !q.before(i, up) {
+		parent := (i - 1) / 2
+		if !q.less(i, parent) {
 			return
 		}
-		(*q)[i], (*q)[up] = (*q)[up], (*q)[i]
-		i = up
+		(*q)[i], (*q)[parent] = (*q)[parent], (*q)[i]
+		i = parent
 	}
 }
 
-func (q *events) pop() event {
+func (q *eventQueue) pop() event {
 	old := *q
 	top, last := old[0], len(old)-1
 	old[0], old[last] = old[last], event{}
 	*q = old[:last]
 	for i := 0; ; {
 		least := i
-		for _, c := range [2]int{2*i + 1, 2*i + 2} {
-			if c < last && q.before(c, least) {
-				least = c
+		for _, child := range [2]int{2*i + 1, 2*i + 2} {
+			if child < last && q.less(child, least) {
+				least = child
 			}
 		}
 		if least == i {
@@ -58,33 +58,33 @@
 
 // world is a play in the virtual engine: one process, one thread, one clock.
 type world struct {
-	s       *Scenario
-	now     Time
-	seq     uint64
-	queue   events
-	rec     *Recorder
-	net     *rand.Rand
-	seeds   *rand.Rand
-	wait    *rand.Rand // of list clients, where they wait by themselves
-	hosts   []*Host
-	ticks   []Time // when each host's next job ends, as scheduled
-	gws     []*gateway
-	front   front
-	cats    []*listService
-	list    []entry // the list, by host
-	version uint64
-	links   []*linkFault
-	side    map[int]bool // gateways that no other has word of
-	cutAt   Time         // since then
-	zones   []string
-	kinds   []string
-	oracle  bool
-	open    map[*Job]Time // when each request came that the oracle has out
-	pending []int
+	scenario       *Scenario
+	now            Time
+	seq            uint64
+	queue          eventQueue
+	recorder       *Recorder
+	netRand        *rand.Rand
+	seedRand       *rand.Rand
+	retryRand      *rand.Rand // of list clients, where they wait by themselves
+	hosts          []*Host
+	nextTick       []Time // when each host's next job ends, as scheduled
+	gateways       []*gateway
+	edgeBalancer   edgeBalancer
+	catalogs       []*listService
+	hostList       []listEntry // the list, by host
+	listVersion    uint64
+	linkFaults     []*linkFault
+	partition      map[int]bool // gateways that no other has word of
+	partitionedAt  Time         // since then
+	zones          []string
+	kinds          []string
+	oracle         bool
+	oracleRequests map[*Job]Time // when each request came that the oracle has out
+	pendingBuffer  []int
 }
 
-// entry is a host on the list.
-type entry struct {
+// listEntry is a host on the list.
+type listEntry struct {
 	host    lynxspool.Host
 	version uint64 // of its last change
 	listed  bool
@@ -92,78 +92,78 @@
 
 // Virtual plays a scenario on a virtual clock in this process. The same scenario gives the
 // same Result to the byte.
-func Virtual(s *Scenario) *Result { return playVirtual(s, false) }
+func Virtual(s *Scenario) *Result { return runVirtual(s, false) }
 
 // Oracle plays a scenario with one dispatcher in place of the gateways, which knows each
 // host's true state and sends as much as the cold rules allow: a ceiling for any fleet.
-func Oracle(s *Scenario) *Result { return playVirtual(s, true) }
+func Oracle(s *Scenario) *Result { return runVirtual(s, true) }
 
-func playVirtual(s *Scenario, oracle bool) *Result {
-	w := &world{s: s, rec: NewRecorder(s), net: s.rng(streamNet), seeds: s.rng(streamSeeds), wait: s.rng(streamWait + 100), oracle: oracle, open: map[*Job]Time{}}
+func runVirtual(s *Scenario, oracle bool) *Result {
+	w := &world{scenario: s, recorder: NewRecorder(s), netRand: s.newRand(streamNet), seedRand: s.newRand(streamSeeds), retryRand: s.newRand(streamWait + 100), oracle: oracle, oracleRequests: map[*Job]Time{}}
 	for i := range s.Hosts {
-		g := &s.Hosts[i]
-		w.zones, w.kinds = addOnce(w.zones, g.Zone), addOnce(w.kinds, g.Kind)
-		for range g.Count {
-			w.addHost(g)
+		group := &s.Hosts[i]
+		w.zones, w.kinds = appendUnique(w.zones, group.Zone), appendUnique(w.kinds, group.Kind)
+		for range group.Count {
+			w.addHost(group)
 		}
 	}
 	for i := range s.Catalog.Instances {
-		w.cats = append(w.cats, newListService(w, i))
+		w.catalogs = append(w.catalogs, newListService(w, i))
 	}
-	here := s.Present()
-	w.front = newFront(s)
-	starts := s.rng(streamSeeds + 100)
-	known := map[int]bool{}
-	if s.Gateways.Known > 0 {
-		for _, i := range choose(s.rng(streamAbsent+100), s.Gateways.Count, s.Gateways.Known, "random") {
-			known[i] = true
+	present := s.PresentRanks()
+	w.edgeBalancer = newEdgeBalancer(s)
+	startRand := s.newRand(streamSeeds + 100)
+	hasSavedList := map[int]bool{}
+	if s.Gateways.SavedListShare > 0 {
+		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
+			hasSavedList[i] = true
 		}
 	}
 	for i := range s.Gateways.Count {
-		g := &gateway{w: w, rank: i, zone: i * len(w.zones) / s.Gateways.Count, configured: s.Gateways.Configured, saved: known[i]}
-		w.gws = append(w.gws, g)
-		at := Time(starts.Float64() * float64(s.Gateways.StartSpread))
-		if here[i] && !oracle {
+		g := &gateway{world: w, rank: i, zone: i * len(w.zones) / s.Gateways.Count, configured: s.Gateways.Configured, hasSavedList: hasSavedList[i]}
+		w.gateways = append(w.gateways, g)
+		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
+		if present[i] && !oracle {
 			w.at(at, g.start)
 		}
 	}
-	w.setFaults()
-	load := newArrivals(s)
+	w.scheduleFaults()
+	arrivals := newArrivals(s)
 	var arrive func()
-	next, more := load.draw()
+	next, more := arrivals.draw()
 	arrive = func() {
-		w.arrive(next)
-		if next, more = load.draw(); more {
+		w.handleArrival(next)
+		if next, more = arrivals.draw(); more {
 			w.at(next.At, arrive)
 		}
 	}
 	if more {
 		w.at(next.At, arrive)
 	}
-	w.at(bin, w.sample)
-	end := s.Length.std() + s.longest() + 100*time.Millisecond
+	w.at(binWidth, w.samplePending)
+	end := s.Length.std() + s.longestDeadline() + 100*time.Millisecond
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		e := w.queue.pop()
 		w.now = e.at
 		e.run()
 	}
-	for _, g := range w.gws {
+	for _, g := range w.gateways {
 		if g.up && !g.ready {
-			w.rec.never++
+			w.recorder.neverReady++
 		}
-		g.loseOpen(Failed)
+		g.endOpenRequests(Failed)
 	}
-	for _, at := range w.open { // their hosts went; only sums come of it, in whatever order
-		w.rec.Ended(at, Failed, 0)
+	for _, at := range w.oracleRequests { // their hosts went; only sums come of it, in whatever order
+		w.recorder.RecordEnd(at, Failed, 0)
 	}
 	engine := "virtual"
 	if oracle {
 		engine = "oracle"
 	}
-	return w.rec.Result(engine, w.hosts)
+	return w.recorder.Result(engine, w.hosts)
 }
 
-func (s *Scenario) longest() (d time.Duration) {
+func (s *Scenario) longestDeadline() (d time.Duration) {
 	for _, c := range s.Classes {
 		d = max(d, c.Deadline.std())
 	}
@@ -179,23 +179,23 @@
 func (w *world) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
 // addHost adds a host, on the list from now on.
-func (w *world) addHost(g *Hosts) *Host {
+func (w *world) addHost(group *HostGroup) *Host {
 	i := len(w.hosts)
-	h := NewHost(i, fmt.Sprintf("s-%04d", i), g, w.s)
+	h := NewHost(i, fmt.Sprintf("s-%04d", i), group, w.scenario)
 	if w.now > 0 {
 		h.Started = w.now
 	}
-	w.hosts, w.ticks = append(w.hosts, h), append(w.ticks, 0)
+	w.hosts, w.nextTick = append(w.hosts, h), append(w.nextTick, 0)
 	started := lynxspool.Time(0)
 	if h.Started >= 0 {
 		started = clockBase + h.Started
 	}
-	w.list = append(w.list, entry{host: lynxspool.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, g.Zone), Kind: indexOf(w.kinds, g.Kind), Started: started}})
+	w.hostList = append(w.hostList, listEntry{host: lynxspool.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, group.Zone), Kind: indexOf(w.kinds, group.Kind), Started: started}})
 	if w.now == 0 {
-		w.version++
-		w.list[i].version, w.list[i].listed = w.version, true
+		w.listVersion++
+		w.hostList[i].version, w.hostList[i].listed = w.listVersion, true
 	} else {
-		w.after(w.s.Catalog.Notice.std(), func() { w.change(i, lynxspool.Ready) })
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(i, lynxspool.Ready) })
 	}
 	return h
 }
@@ -209,152 +209,152 @@
 	return lynxspool.HostID(h.Sum64())
 }
 
-// change puts a host's state on the list and tells the open watches.
-func (w *world) change(i int, state lynxspool.HostState) {
-	w.version++
-	e := &w.list[i]
-	e.host.State, e.version, e.listed = state, w.version, state != lynxspool.Removed
+// updateListing puts a host's state on the list and tells the open watches.
+func (w *world) updateListing(i int, state lynxspool.HostState) {
+	w.listVersion++
+	e := &w.hostList[i]
+	e.host.State, e.version, e.listed = state, w.listVersion, state != lynxspool.Removed
 	if h := w.hosts[i]; h.Started >= 0 {
 		e.host.Started = clockBase + h.Started
 	}
-	for _, c := range w.cats {
-		c.news()
+	for _, c := range w.catalogs {
+		c.sendUpdates()
 	}
 }
 
-// oneWay is the time of a message between two zones, give or take a fifth.
-func (w *world) oneWay(a, b int) time.Duration {
-	d := w.s.Net.Same
+// oneWayDelay is the time of a message between two zones, give or take a fifth.
+func (w *world) oneWayDelay(a, b int) time.Duration {
+	d := w.scenario.Net.SameZone
 	if a != b {
-		d = w.s.Net.Cross
+		d = w.scenario.Net.CrossZone
 	}
-	return time.Duration(float64(d) * (0.8 + 0.4*w.net.Float64()))
+	return time.Duration(float64(d) * (0.8 + 0.4*w.netRand.Float64()))
 }
 
-// tick brings a host up to now and sets its next event.
-func (w *world) tick(h *Host) {
+// advanceHost brings a host up to now and sets its next event.
+func (w *world) advanceHost(h *Host) {
 	for _, j := range h.Advance(w.now) {
-		w.after(j.Waits, func() {
+		w.after(j.WaitTime, func() {
 			if h.Release(j) {
 				j.Done(true)
 			}
 		})
 	}
-	if next := h.Next(); next != 0 && next != w.ticks[h.Index] {
-		w.ticks[h.Index] = next
+	if next := h.NextCompletion(); next != 0 && next != w.nextTick[h.Index] {
+		w.nextTick[h.Index] = next
 		w.at(next, func() {
-			if w.ticks[h.Index] == next {
-				w.ticks[h.Index] = 0
-				w.tick(h)
+			if w.nextTick[h.Index] == next {
+				w.nextTick[h.Index] = 0
+				w.advanceHost(h)
 			}
 		})
 	}
 }
 
-// sample notes what each host holds, once a bin.
-func (w *world) sample() {
-	w.pending = w.pending[:0]
+// samplePending notes what each host holds, once a bin.
+func (w *world) samplePending() {
+	w.pendingBuffer = w.pendingBuffer[:0]
 	for _, h := range w.hosts {
-		if h.Cond == Serving {
-			w.pending = append(w.pending, h.Pending())
+		if h.Condition == Serving {
+			w.pendingBuffer = append(w.pendingBuffer, h.Pending())
 		}
 	}
-	w.rec.Pending(w.now, w.pending)
-	if w.now < w.s.Length.std() {
-		w.after(bin, w.sample)
+	w.recorder.RecordPending(w.now, w.pendingBuffer)
+	if w.now < w.scenario.Length.std() {
+		w.after(binWidth, w.samplePending)
 	}
 }
 
-// arrive is a client's request: the front gives it to a gateway.
-func (w *world) arrive(a Arrival) {
+// handleArrival is a client's request: the front gives it to a gateway.
+func (w *world) handleArrival(a Arrival) {
 	if w.oracle {
-		w.dispatch(a)
+		w.dispatchOracle(a)
 		return
 	}
-	i := w.front.pick(a.Front)
-	if i < 0 || !w.gws[i].up {
-		w.rec.Ended(a.At, NoLiveGW, 0)
+	i := w.edgeBalancer.pick(a.GatewayQuantile)
+	if i < 0 || !w.gateways[i].up {
+		w.recorder.RecordEnd(a.At, NoLiveGateway, 0)
 		return
 	}
-	g := w.gws[i]
-	g.event(func() { g.request(a) })
+	g := w.gateways[i]
+	g.handle(func() { g.handleRequest(a) })
 }
 
-// front spreads clients over the gateways it has admitted, by weight.
-type front struct {
-	weights  []float64
-	admitted []bool
-	sums     []float64 // of the admitted, cumulative; nil when stale
+// edgeBalancer spreads clients over the gateways it has admitted, by weight.
+type edgeBalancer struct {
+	weights    []float64
+	admitted   []bool
+	cumulative []float64 // of the admitted, cumulative; nil when stale
 }
 
-func newFront(s *Scenario) front {
-	return front{weights: s.Weights(), admitted: make([]bool, s.Gateways.Count)}
+func newEdgeBalancer(s *Scenario) edgeBalancer {
+	return edgeBalancer{weights: s.GatewayWeights(), admitted: make([]bool, s.Gateways.Count)}
 }
 
-func (f *front) admit(i int, in bool) {
-	if f.admitted[i] != in {
-		f.admitted[i], f.sums = in, nil
+func (f *edgeBalancer) setAdmitted(i int, admitted bool) {
+	if f.admitted[i] != admitted {
+		f.admitted[i], f.cumulative = admitted, nil
 	}
 }
 
 // pick returns the gateway at a place from 0 to 1 among the weights, or -1 with none.
-func (f *front) pick(x float64) int {
-	if f.sums == nil {
-		f.sums = make([]float64, len(f.weights))
+func (f *edgeBalancer) pick(quantile float64) int {
+	if f.cumulative == nil {
+		f.cumulative = make([]float64, len(f.weights))
 		sum := 0.0
-		for i, wt := range f.weights {
+		for i, weight := range f.weights {
 			if f.admitted[i] {
-				sum += wt
+				sum += weight
 			}
-			f.sums[i] = sum
+			f.cumulative[i] = sum
 		}
 	}
-	total := f.sums[len(f.sums)-1]
+	total := f.cumulative[len(f.cumulative)-1]
 	if total == 0 {
 		return -1
 	}
-	return min(sort.Search(len(f.sums), func(i int) bool { return f.sums[i] > x*total }), len(f.sums)-1)
+	return min(sort.Search(len(f.cumulative), func(i int) bool { return f.cumulative[i] > quantile*total }), len(f.cumulative)-1)
 }
 
-// dispatch is the oracle: of the hosts that stand one more request, the one that would
+// dispatchOracle is the oracle: of the hosts that stand one more request, the one that would
 // answer soonest; with none that answers within the aim the request is refused.
-func (w *world) dispatch(a Arrival) {
-	c := &w.s.Classes[a.Class]
-	work, waits := time.Duration(a.Work*float64(c.Work)), time.Duration(a.Waits*float64(c.Waits))
+func (w *world) dispatchOracle(a Arrival) {
+	c := &w.scenario.Classes[a.Class]
+	work, waitTime := time.Duration(a.WorkFactor*float64(c.Work)), time.Duration(a.WaitFactor*float64(c.WaitTime))
 	var best *Host
-	soonest := c.Aim.std() - 2*w.s.Net.Same.std() - waits
+	soonest := c.LatencyTarget.std() - 2*w.scenario.Net.SameZone.std() - waitTime
 	for _, h := range w.hosts {
-		if h.Cond != Serving || h.held >= h.rules.Queue || h.Cold(w.now) && h.Room(w.now) < 1+float64(work)/float64(h.mean) {
+		if h.Condition != Serving || h.pending >= h.rules.QueueLimit || h.Cold(w.now) && h.Headroom(w.now) < 1+float64(work)/float64(h.meanWork) {
 			continue
 		}
 		backlog := work
 		for _, j := range h.queue {
-			backlog += j.left
+			backlog += j.remaining
 		}
 		for _, j := range h.running {
-			backlog += max(0, j.left-time.Duration(float64(w.now-j.since)*h.speed(j.since)))
+			backlog += max(0, j.remaining-time.Duration(float64(w.now-j.startedAt)*h.speed(j.startedAt)))
 		}
 		if took := time.Duration(float64(backlog) / h.speed(w.now) / float64(h.Spec.Cores)); took < soonest {
 			best, soonest = h, took
 		}
 	}
 	if best == nil {
-		w.rec.Ended(a.At, Refused, 0)
+		w.recorder.RecordEnd(a.At, Refused, 0)
 		return
 	}
-	j := &Job{Work: work, Waits: waits, Told: true}
+	j := &Job{Work: work, WaitTime: waitTime, Notified: true}
 	j.Done = func(bool) {
-		delete(w.open, j)
-		took := w.now - a.At + 2*w.s.Net.Same.std()
-		e := Served
-		if took > c.Aim.std() {
-			e = Late
+		delete(w.oracleRequests, j)
+		took := w.now - a.At + 2*w.scenario.Net.SameZone.std()
+		end := Served
+		if took > c.LatencyTarget.std() {
+			end = Late
 		}
-		w.rec.Ended(a.At, e, took)
+		w.recorder.RecordEnd(a.At, end, took)
 	}
-	w.tick(best)
-	w.rec.Took(best.Index, w.now)
-	w.open[j] = a.At
+	w.advanceHost(best)
+	w.recorder.RecordHostRequest(best.Index, w.now)
+	w.oracleRequests[j] = a.At
 	best.Arrive(w.now, j)
-	w.tick(best)
+	w.advanceHost(best)
 }
