--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -91,7 +91,7 @@
 // ColdFrom to 1 over WarmAfter (BRIEF, drains and cold starts).
 func (h *Host) Capacity(now Time) float64 {
 	age := float64(now-h.Started) / float64(h.rules.WarmAfter)
-	return min(1, h.rules.ColdFrom+(1-h.rules.ColdFrom)*max(age, 0))
+	return min(1, h.rules.ColdCapacity+(1-h.rules.ColdCapacity)*max(age, 0))
 }
 
 // Cold says whether the host started less than WarmAfter ago.
@@ -105,7 +105,7 @@
 // workBudget is how many requests of mean work a cold host stands within any Fall: what the
 // settings allow and a little slack for chance (STANDING: N + 2 x root of N + 2).
 func (h *Host) workBudget(now Time) float64 {
-	n := h.rules.OverloadFactor * h.Rate(now) * h.SlowFactor * h.rules.OverloadPeriod.std().Seconds()
+	n := h.rules.OverloadFactor * h.Rate(now) * h.SlowFactor * h.rules.OverloadWindow.std().Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
 
@@ -121,7 +121,7 @@
 
 func (h *Host) dropOldWork(now Time) {
 	n := 0
-	for n < len(h.recentWork) && now-h.recentWork[n].at >= h.rules.OverloadPeriod.std() {
+	for n < len(h.recentWork) && now-h.recentWork[n].at >= h.rules.OverloadWindow.std() {
 		n++
 	}
 	h.recentWork = h.recentWork[n:]
--- a/internal/fleetlab/scenario.go
+++ b/internal/fleetlab/scenario.go
@@ -1,9 +1,9 @@
-// Package fleetlab measures how a whole fleet of gateways behaves when parts of it fail:
-// it plays one scenario file either in one process on a virtual clock or with real
-// processes, and gives the same figures of both.
+// Package fleetlab measures how a fleet of gateways behaves when parts of the system fail. It runs a
+// scenario file either as a simulation on a virtual clock, in one process, or with real processes on
+// loopback, and reports the same figures for both.
 //
-// It is the project's own model of what the gateway serves (hosts, clients, list service,
-// network). It is a measuring tool and never part of a gateway.
+// The package models the environment of a gateway: hosts, clients, the list service and the network.
+// It is a test tool and not part of the gateway.
 package fleetlab
 
 import (
@@ -17,25 +17,26 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a span of time, written "1.5s" or "200ms" in a scenario.
+// Duration is a time.Duration that a scenario file writes as text, such as "1.5s" or "200ms".
 type Duration time.Duration
 
-// UnmarshalText reads Go's form of a span.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
+// std returns d as a duration of the standard library.
 func (d Duration) std() time.Duration { return time.Duration(d) }
 
-// Scenario is one experiment: a fleet, its load and a time line of faults. docs/fleetlab.md
-// explains every key; keys that a file leaves out have the values of Defaults.
+// Scenario is one experiment: a fleet, its load and a timeline of faults. Defaults returns the values
+// of the keys that a file omits. docs/fleetlab.md describes every key.
 type Scenario struct {
 	Name        string      `toml:"name"`
 	Seed        uint64      `toml:"seed"`
 	Length      Duration    `toml:"length"`
-	MeasureFrom Duration    `toml:"measure_from"` // figures of requests and spread count from here on
+	MeasureFrom Duration    `toml:"measure_from"` // earlier requests are not counted in the figures of requests and spread
 	Gateways    Gateways    `toml:"gateways"`
 	Hosts       []HostGroup `toml:"hosts"`
 	Rules       Rules       `toml:"rules"`
@@ -48,14 +49,14 @@
 
 // Gateways describes the fleet of gateways.
 type Gateways struct {
-	Count           int      `toml:"count"`      // ranks 0 to count-1
-	Configured      int      `toml:"configured"` // what their settings say there are; 0: count
-	AbsentShare     float64  `toml:"absent"`     // share of the ranks that never start
-	AbsentSelection string   `toml:"absent_how"` // run, random or every (the k-th of 1/absent)
-	StartSpread     Duration `toml:"start_spread"`
-	SavedListShare  float64  `toml:"known"`      // share that starts with a saved list
-	Membership      bool     `toml:"membership"` // each has a view of the others
-	PeerDetection   Duration `toml:"detect"`     // until a view has one dead that has gone (virtual)
+	Count           int      `toml:"count"`        // the ranks are 0 to Count-1
+	Configured      int      `toml:"configured"`   // number of gateways that their settings state; 0: Count
+	AbsentShare     float64  `toml:"absent"`       // share of the ranks that never start
+	AbsentSelection string   `toml:"absent_how"`   // which ranks are absent: run, random or every (see chooseShare)
+	StartSpread     Duration `toml:"start_spread"` // gateways start at random times within this period
+	SavedListShare  float64  `toml:"known"`        // share of the gateways that start with a saved host list
+	Membership      bool     `toml:"membership"`   // every gateway knows which others are alive
+	PeerDetection   Duration `toml:"detect"`       // time until the others know that a gateway has exited (virtual engine)
 }
 
 // HostGroup is a group of hosts of one kind in one zone.
@@ -64,83 +65,84 @@
 	Kind  string  `toml:"kind"`
 	Zone  string  `toml:"zone"`
 	Cores int     `toml:"cores"`
-	Speed float64 `toml:"speed"` // of a core: work of 10 ms takes 10 ms at speed 1
-	Cold  bool    `toml:"cold"`  // started at the first moment, else long ago
+	Speed float64 `toml:"speed"` // speed of a core: work of 10 ms takes 10 ms at speed 1
+	Cold  bool    `toml:"cold"`  // the hosts start when the run starts; otherwise they are warm
 }
 
-// Rules are what every host keeps to and what gateways are told of it (BRIEF, PROTOCOL).
+// Rules are the limits that every host enforces. The settings of the gateways state those on slow start
+// and connections.
 type Rules struct {
-	QueueLimit     int      `toml:"queue"`           // requests a host holds, in work or waiting; more are turned away
-	MaxConns       int      `toml:"conn_cap"`        // open connections it accepts
+	QueueLimit     int      `toml:"queue"`           // maximum number of requests that a host holds, running or waiting; it rejects more
+	MaxConns       int      `toml:"conn_cap"`        // maximum number of open connections of a host
 	ConnCost       Duration `toml:"conn_cost"`       // work of a new connection at speed 1
-	ConnIdle       Duration `toml:"conn_idle"`       // it closes one that is idle this long
-	DialTimeout    Duration `toml:"dial_timeout"`    // a gateway gives up a connection by then
-	ColdFrom       float64  `toml:"cold_from"`       // capacity it starts with, as a share
-	WarmAfter      Duration `toml:"warm_after"`      // and it is warm after this, rising evenly
-	OverloadFactor float64  `toml:"overload_factor"` // cold, it falls at this multiple of its present capacity
-	OverloadPeriod Duration `toml:"fall"`            // kept up over this window
+	ConnIdle       Duration `toml:"conn_idle"`       // a host closes a connection that is idle for this long
+	DialTimeout    Duration `toml:"dial_timeout"`    // a gateway abandons a connection attempt after this time
+	ColdCapacity   float64  `toml:"cold_from"`       // share of its full capacity that a host has when it starts
+	WarmAfter      Duration `toml:"warm_after"`      // time from the start of a host until its capacity, which rises linearly, is full
+	OverloadFactor float64  `toml:"overload_factor"` // multiple of its present capacity at which a cold host fails
+	OverloadWindow Duration `toml:"fall"`            // period over which the load of a cold host is compared with its capacity
 }
 
 // Load is what clients send.
 type Load struct {
-	Rate          float64  `toml:"rate"` // requests a second over the whole fleet
-	Skew          float64  `toml:"skew"` // weight of a gateway: 1-skew + skew x an exponential
-	Start         Duration `toml:"from"`
-	Retries       int      `toml:"retries"` // a client asks again after a refusal
-	RetryWait     Duration `toml:"retry_wait"`
-	EdgeDetection Duration `toml:"front_notice"` // until the front sees that a gateway has died
-	BurstFactor   float64  `toml:"burst"`        // times as many requests
-	BurstStart    Duration `toml:"burst_at"`     // ... from then on,
-	BurstLength   Duration `toml:"burst_for"`    // ... for so long
+	Rate          float64  `toml:"rate"`         // requests per second over the whole fleet
+	Skew          float64  `toml:"skew"`         // a gateway has the weight 1-Skew + Skew * X, with X exponentially distributed of mean 1
+	Start         Duration `toml:"from"`         // time of the run at which the load begins
+	Retries       int      `toml:"retries"`      // maximum number of retries of a client after refusals
+	RetryWait     Duration `toml:"retry_wait"`   // time from a refusal to the client's retry
+	EdgeDetection Duration `toml:"front_notice"` // time until the edge balancer sends nothing more to a gateway that has died
+	BurstFactor   float64  `toml:"burst"`        // factor on Rate during the burst
+	BurstStart    Duration `toml:"burst_at"`
+	BurstLength   Duration `toml:"burst_for"`
 }
 
-// Class is one kind of request.
+// Class is a request class.
 type Class struct {
 	Name          string   `toml:"name"`
-	Share         float64  `toml:"share"`
+	Share         float64  `toml:"share"` // share of all requests, relative to the sum over the classes
 	Work          Duration `toml:"work"`  // mean work at speed 1
-	WaitTime      Duration `toml:"waits"` // mean wait on others, which uses no core
-	LatencyTarget Duration `toml:"aim"`
+	WaitTime      Duration `toml:"waits"` // mean time that a host waits for other services, which uses no core
+	LatencyTarget Duration `toml:"aim"`   // an answer after this time counts as late
 	Deadline      Duration `toml:"deadline"`
 	Effect        string   `toml:"effect"` // idempotent or at_most_once
-	Importance    float64  `toml:"worth"`
+	Importance    float64  `toml:"worth"`  // importance in the settings of the gateways
 }
 
-// Catalog is the list service.
+// Catalog describes the list service.
 type Catalog struct {
 	Instances    int      `toml:"instances"`
-	CallTime     Duration `toml:"call"`       // what a call takes
-	MaxInWork    int      `toml:"work"`       // calls in work at most; 1: in turn
-	QueueLimit   int      `toml:"queue"`      // calls that wait at most
-	MaxCallWait  Duration `toml:"call_wait"`  // a call that waited this long is turned away
-	ListingDelay Duration `toml:"notice"`     // until a change of a host is on the list
-	AskWithin    Duration `toml:"ask_within"` // as the settings say
-	Push         bool     `toml:"push"`       // the gateways need not ask (settings: automatic)
+	CallTime     Duration `toml:"call"`       // time that an instance works on a call
+	MaxInWork    int      `toml:"work"`       // maximum number of calls that an instance works on; 1: one after another
+	QueueLimit   int      `toml:"queue"`      // maximum number of waiting calls of an instance
+	MaxCallWait  Duration `toml:"call_wait"`  // a call that has waited this long is shed
+	ListingDelay Duration `toml:"notice"`     // time until a change of a host is on the list
+	MaxWatchGap  Duration `toml:"ask_within"` // longest time that a gateway may be without a watch or a call, as its settings state
+	Push         bool     `toml:"push"`       // gateways get the list without asking (discovery = automatic in their settings)
 }
 
-// Net is the network between gateways and hosts.
+// Net describes the latency of the network between gateways and hosts.
 type Net struct {
 	SameZone  Duration `toml:"same"`  // one way within a zone
 	CrossZone Duration `toml:"cross"` // one way between two zones
 }
 
-// Fault is one entry of the time line.
+// Fault is one entry of the timeline of faults.
 type Fault struct {
 	Start        Duration `toml:"at"`
-	Length       Duration `toml:"for"`    // until it ends; 0: it stays
-	Target       string   `toml:"on"`     // gateways, hosts, links or catalog
+	Length       Duration `toml:"for"`    // 0: the fault stays
+	Target       string   `toml:"on"`     // a key of faultActions
 	Action       string   `toml:"do"`     // see faultActions
-	Share        float64  `toml:"share"`  // of the gateways or hosts; 0: all
-	Selection    string   `toml:"how"`    // which: random (default), run, every
-	Zone         string   `toml:"zone"`   // only hosts of this zone, or gateways in it
-	HostShare    float64  `toml:"hosts"`  // for links: share of hosts at their far end; 0: all
-	Factor       float64  `toml:"factor"` // for slow: times slower
-	Delay        Duration `toml:"delay"`  // for delay and late: added one way; for catalog slow: a call's time
-	Steps        int      `toml:"steps"`  // done in this many parts
-	StepInterval Duration `toml:"step"`   // ... one after this time
+	Share        float64  `toml:"share"`  // share of the gateways or hosts; 0: all
+	Selection    string   `toml:"how"`    // how they are selected: random (default), run or every (see chooseShare)
+	Zone         string   `toml:"zone"`   // selects only hosts or gateways of this zone
+	HostShare    float64  `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
+	Factor       float64  `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
+	Delay        Duration `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
+	Steps        int      `toml:"steps"`  // the targets are struck in this many groups, one after another
+	StepInterval Duration `toml:"step"`   // time between two groups
 }
 
-// faultActions are the actions on each target.
+// faultActions lists the actions on each target.
 var faultActions = map[string][]string{
 	"gateways": {"kill", "term", "stop", "restart", "late", "reconfigure"},
 	"hosts":    {"kill", "silence", "slow", "fail", "refuse", "cold", "replace", "join"},
@@ -149,16 +151,16 @@
 	"catalog":  {"down", "reset", "busy", "slow", "black-hole", "kill-leader"},
 }
 
-// Defaults is a scenario with every value that a file may leave out.
+// Defaults returns a scenario with the values of all keys that a file may omit.
 func Defaults() Scenario {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return Scenario{
 		Seed: 1, Length: ms(20_000),
 		Gateways: Gateways{AbsentSelection: "random", PeerDetection: ms(4_000)},
 		Rules: Rules{QueueLimit: 64, MaxConns: 22, ConnCost: ms(6), ConnIdle: ms(60_000), DialTimeout: ms(250),
-			ColdFrom: 0.13, WarmAfter: ms(24_000), OverloadFactor: 3, OverloadPeriod: ms(2_000)},
+			ColdCapacity: 0.13, WarmAfter: ms(24_000), OverloadFactor: 3, OverloadWindow: ms(2_000)},
 		Load:    Load{Skew: 0.7, EdgeDetection: ms(2_500), RetryWait: ms(100)},
-		Catalog: Catalog{Instances: 1, CallTime: ms(1), MaxInWork: 1, QueueLimit: 1024, MaxCallWait: ms(1_000), ListingDelay: ms(1_000), AskWithin: ms(10_000)},
+		Catalog: Catalog{Instances: 1, CallTime: ms(1), MaxInWork: 1, QueueLimit: 1024, MaxCallWait: ms(1_000), ListingDelay: ms(1_000), MaxWatchGap: ms(10_000)},
 		Net:     Net{SameZone: Duration(200 * time.Microsecond), CrossZone: ms(6)},
 	}
 }
@@ -171,7 +173,8 @@
 	}
 }
 
-// Load reads and checks a scenario file. An error is one line that names the file's line.
+// LoadScenario reads and validates a scenario file. The text of an error has one line, which names the
+// line in the file.
 func LoadScenario(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -184,8 +187,8 @@
 	return s, nil
 }
 
-// Parse reads a scenario strictly: an unknown key, a wrong type or an impossible value is
-// an error "line N: ...", and nothing is started.
+// Parse parses and validates a scenario. An unknown key, a wrong type or a value out of range is an
+// error of the form "line N: ...".
 func Parse(text []byte) (*Scenario, error) {
 	s := Defaults()
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -228,7 +231,7 @@
 	return &s, nil
 }
 
-// validate refuses impossible values, each with the line of its key.
+// validate returns an error for the first value that is out of range, with the line of its key.
 func (s *Scenario) validate(text []byte) error {
 	var err error
 	require := func(ok bool, table string, n int, key, format string, args ...any) {
@@ -266,10 +269,10 @@
 	require(r.ConnCost >= 0, "rules", 0, "conn_cost", "below 0")
 	require(r.ConnIdle > 0, "rules", 0, "conn_idle", "not above 0")
 	require(r.DialTimeout > 0, "rules", 0, "dial_timeout", "not above 0")
-	require(r.ColdFrom > 0 && r.ColdFrom <= 1, "rules", 0, "cold_from", "%v is not above 0 and up to 1", r.ColdFrom)
+	require(r.ColdCapacity > 0 && r.ColdCapacity <= 1, "rules", 0, "cold_from", "%v is not above 0 and up to 1", r.ColdCapacity)
 	require(r.WarmAfter > 0, "rules", 0, "warm_after", "not above 0")
 	require(r.OverloadFactor >= 1 && r.OverloadFactor <= 1000, "rules", 0, "overload_factor", "%v is not between 1 and 1000", r.OverloadFactor)
-	require(r.OverloadPeriod > 0, "rules", 0, "fall", "not above 0")
+	require(r.OverloadWindow > 0, "rules", 0, "fall", "not above 0")
 	require(l.Rate >= 0 && l.Rate <= 1e6, "load", 0, "rate", "%v is not between 0 and 1e6", l.Rate)
 	require(isShare(l.Skew), "load", 0, "skew", "%v is not a share", l.Skew)
 	require(l.Retries >= 0 && l.Retries <= 10, "load", 0, "retries", "%d is not between 0 and 10", l.Retries)
@@ -291,7 +294,7 @@
 	require(c.CallTime >= 0 && c.MaxCallWait > 0 && c.ListingDelay >= 0, "catalog", 0, "call", "a time is below 0")
 	require(c.MaxInWork >= 1, "catalog", 0, "work", "%d is below 1", c.MaxInWork)
 	require(c.QueueLimit >= 1, "catalog", 0, "queue", "%d is below 1", c.QueueLimit)
-	require(c.AskWithin > 0, "catalog", 0, "ask_within", "not above 0")
+	require(c.MaxWatchGap > 0, "catalog", 0, "ask_within", "not above 0")
 	require(s.Net.SameZone >= 0 && s.Net.CrossZone >= 0, "net", 0, "same", "a time is below 0")
 	for i, f := range s.Faults {
 		require(f.Start >= 0 && f.Start < s.Length, "fault", i, "at", "not within the length")
@@ -319,6 +322,7 @@
 	return false
 }
 
+// keyPrefix returns what stands before a key of a table in an error.
 func keyPrefix(table string) string {
 	if table == "" {
 		return ""
@@ -326,7 +330,8 @@
 	return table + "."
 }
 
-// lineOf finds the line of a key in the n-th table of that name, or the table's, or 1.
+// lineOf returns the line number of a key in the table of that name and index. If the key is missing it
+// returns the line of the table's header, or 1 without such a table.
 func lineOf(text []byte, table string, index int, key string) int {
 	current, tableCount, line := "", map[string]int{}, 1
 	for i, l := range strings.Split(string(text), "\n") {
--- a/internal/fleetlab/settings.go
+++ b/internal/fleetlab/settings.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// SettingsJSON is the settings object that the gateway of a rank is given, in the form of
-// the protocol; both engines read it as a gateway does. configured is the count that it
-// says, which a settings change on the way may alter.
+// SettingsJSON returns the settings of the gateway of a rank, in the format of the protocol. The gateways
+// of both engines parse it. configured is the number of gateways that the settings state; a settings
+// change during the run may alter it.
 func (s *Scenario) SettingsJSON(rank, configured int) json.RawMessage {
 	type object map[string]any
 	microseconds := func(d Duration) int64 { return int64(d.std() / time.Microsecond) }
@@ -30,15 +30,16 @@
 		"azs": zones, "kinds": kinds, "classes": classes, "tenants": append(tenants, []object{}...), "over_share_worth": 0.05,
 		"caps": object{"cancel": true, "max_attempts": 4, "conn_idle": microseconds(rules.ConnIdle), "dial_timeout": microseconds(rules.DialTimeout),
 			"may_duplicate": false, "max_retry_after": 2000000, "retry_after": false},
-		"obligations": object{"ask_within": microseconds(s.Catalog.AskWithin), "cold_from": rules.ColdFrom, "warm_after": microseconds(rules.WarmAfter),
-			"overload_factor": rules.OverloadFactor, "fall": microseconds(rules.OverloadPeriod), "drain_grace": 1000000, "grace_to_answer": 58000},
+		"obligations": object{"ask_within": microseconds(s.Catalog.MaxWatchGap), "cold_from": rules.ColdCapacity, "warm_after": microseconds(rules.WarmAfter),
+			"overload_factor": rules.OverloadFactor, "fall": microseconds(rules.OverloadWindow), "drain_grace": 1000000, "grace_to_answer": 58000},
 	})
 	if err != nil {
-		panic(err) // only numbers and strings are in it
+		panic(err) // unreachable: the object holds only numbers and strings
 	}
 	return text
 }
 
+// appendUnique appends s to list unless list contains it.
 func appendUnique(list []string, s string) []string {
 	for _, o := range list {
 		if o == s {
@@ -48,6 +49,7 @@
 	return append(list, s)
 }
 
+// indexOf returns the index of s in list, or -1.
 func indexOf(list []string, s string) int {
 	for i, o := range list {
 		if o == s {
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -7,47 +7,47 @@
 	"lynxspool/internal/wire"
 )
 
-// gateway is one gateway in the virtual engine: a Balancer with the connections, requests
-// and list client that the real gateway keeps round it.
+// gateway is a gateway in the virtual engine: a Balancer with a model of the connections, requests and
+// list client of the real gateway.
 type gateway struct {
 	world        *world
 	rank, zone   int
-	configured   int
-	hasSavedList bool // it has a list from before
+	configured   int  // number of gateways that its settings state
+	hasSavedList bool // it starts with a saved host list
 
 	up, ready      bool
 	paused         bool
-	deferred       []func() // events that came while it was stopped
-	generation     int      // of its process
+	deferred       []func() // events that arrived while the process was paused
+	generation     int      // raised at each start and exit of the process
 	startedAt      Time
 	balancer       *lynxspool.Balancer
 	actions        []lynxspool.Action
-	pools          map[int]*pool
-	knownStart     map[int]Time // the start of each host, as told
+	pools          map[int]*pool // by host index
+	knownStart     map[int]Time  // by host index: start time on the received list
 	hostIndex      map[lynxspool.HostID]int
-	usable         map[int]bool
+	usable         map[int]bool // by host index: it is ready on the received list
 	requests       map[lynxspool.RequestID]*request
 	lastRequestID  lynxspool.RequestID
 	watch          *watch
-	catalogIndex   int // which list service it asks next
+	catalogIndex   int // modulo the number of instances: the list service instance to call next
 	listVersion    uint64
-	listDelay      time.Duration // lists reach it this much later
-	pushBackoff    time.Duration // in push mode
-	reportedRate   float64       // as last told to the others
-	rateReportedAt Time          // ... then
-	exitedAt       Time          // when its process ended
-	failedCatalogs int           // instances that failed one after another
-	nextCallAt     Time          // until when a busy list service asked not to be called
+	listDelay      time.Duration // added to the time until a list arrives
+	pushBackoff    time.Duration // backoff in push mode
+	reportedRate   float64       // requests per second, as last reported to the other gateways
+	rateReportedAt Time
+	exitedAt       Time // when the process last exited
+	failedCatalogs int  // number of instances that have failed one after another
+	nextCallAt     Time // earliest time of the next call, after a list service asked for a retry delay
 }
 
-// pool is a gateway's idle connections to one host.
+// pool holds the connections of a gateway to one host.
 type pool struct {
 	idle []conn
-	open int
+	open int // idle and in use
 }
 
 type conn struct {
-	incarnation int // of the host's process
+	incarnation int // of the host when the connection was opened
 	idleSince   Time
 }
 
@@ -57,25 +57,26 @@
 	id        lynxspool.RequestID
 	arrivedAt Time
 	deadline  Time
-	answered  bool
-	inFlight  int
+	answered  bool // the client has its final answer
+	inFlight  int  // attempts without an outcome
 	attempts  []*attempt
 }
 
-// attempt is one try of a request at a host.
+// attempt is one sending of a request to a host.
 type attempt struct {
 	gateway     *gateway
 	request     *request
-	index       int
+	index       int // number of the attempt of its request, from 0
 	host        *Host
 	sentAt      Time
-	incarnation int
-	connected   bool // it holds a connection
+	incarnation int  // of the host when the connection was opened
+	connected   bool // it holds a connection that the host counts
 	job         *Job
 	ended       bool
 }
 
-// handle lets something happen at the gateway, or once it is no longer stopped.
+// handle processes an event at the gateway and performs the resulting actions. It defers the event while
+// the process is paused.
 func (g *gateway) handle(do func()) {
 	if g.paused {
 		g.deferred = append(g.deferred, do)
@@ -85,7 +86,7 @@
 	g.performActions()
 }
 
-// start starts its process.
+// start starts the process.
 func (g *gateway) start() {
 	w := g.world
 	g.generation++
@@ -98,7 +99,7 @@
 		g.balancer, err = lynxspool.New(settings, w.seedRand.Uint64())
 	}
 	if err != nil {
-		panic(err) // the scenario was checked
+		panic(err) // unreachable: the scenario was validated
 	}
 	g.reportedRate, g.rateReportedAt = 0, 0
 	g.handle(func() {
@@ -120,8 +121,8 @@
 	})
 }
 
-// updatePeers tells the Balancer the view of the bank, once a second; each gateway tells the others
-// its rate every 5 s.
+// updatePeers passes the live gateways to the Balancer, once per second. Each gateway reports its request
+// rate to the others every 5 s.
 func (g *gateway) updatePeers(generation int) {
 	w := g.world
 	if !g.up || g.generation != generation {
@@ -142,9 +143,10 @@
 	w.after(time.Second, func() { g.updatePeers(generation) })
 }
 
+// clock returns the time of the gateway's clock.
 func (g *gateway) clock() lynxspool.Time { return clockBase + g.world.now }
 
-// kill ends its process: its connections are reset, its requests lost.
+// kill ends the process: its connections are reset and its requests are lost.
 func (g *gateway) kill() {
 	if !g.up {
 		return
@@ -173,6 +175,7 @@
 	})
 }
 
+// catalogIndex returns the index of the instance that has the watch open, or 0 if none has.
 func (watch *watch) catalogIndex(w *world) int {
 	for i, c := range w.catalogs {
 		if c.watches[watch.gateway.rank] == watch {
@@ -182,7 +185,7 @@
 	return 0
 }
 
-// endOpenRequests ends the open requests of a process that has gone.
+// endOpenRequests ends the open requests of a process that has exited, and their attempts.
 func (g *gateway) endOpenRequests(end End) {
 	if g.balancer == nil {
 		return
@@ -206,9 +209,10 @@
 	g.requests = map[lynxspool.RequestID]*request{}
 }
 
-// pause freezes the process, resume lets it go on.
+// pause suspends the process, as SIGSTOP does.
 func (g *gateway) pause() { g.paused = g.up }
 
+// resume continues a paused process, which then processes the deferred events.
 func (g *gateway) resume() {
 	if !g.paused {
 		return
@@ -221,7 +225,7 @@
 	}
 }
 
-// reconfigure is SIGHUP with settings that say another count.
+// reconfigure applies settings that state another number of gateways, as the gateway does on SIGHUP.
 func (g *gateway) reconfigure(configured int) {
 	g.configured = configured
 	settings, err := wire.ParseSettings(g.world.scenario.SettingsJSON(g.rank, configured))
@@ -230,7 +234,7 @@
 	}
 }
 
-// openWatch asks the list service for a watch.
+// openWatch calls the list service for a watch.
 func (g *gateway) openWatch() {
 	w := g.world
 	c := w.catalogs[g.catalogIndex%len(w.catalogs)]
@@ -243,22 +247,22 @@
 	})
 }
 
-// watchLost is the end of a watch, or of a call for one.
+// watchLost handles the end of a watch, or of a failed call for one.
 func (g *gateway) watchLost(watch *watch) {
 	if !g.up || watch.generation != g.generation || g.watch != watch {
 		return
 	}
 	g.watch = nil
 	g.catalogIndex++
-	if watch.retryAfter > 0 { // as the gateway's client does
-		maxBackoff := g.world.scenario.Catalog.AskWithin.std()
+	if watch.retryAfter > 0 { // the same backoff as that of the real gateway
+		maxBackoff := g.world.scenario.Catalog.MaxWatchGap.std()
 		if g.listVersion > 0 {
 			maxBackoff = min(maxBackoff, lynxspool.MaxWatchBackoff)
 		}
 		g.nextCallAt = g.world.now + min(time.Duration(float64(watch.retryAfter)*(1+g.world.retryRand.Float64()/4)), maxBackoff)
 	}
 	if g.failedCatalogs++; !watch.open && g.failedCatalogs < len(g.world.catalogs) && g.world.now >= g.nextCallAt {
-		g.openWatch() // another instance may be well
+		g.openWatch() // another instance may be available
 		return
 	}
 	g.failedCatalogs = 0
@@ -266,7 +270,7 @@
 		g.handle(func() { g.balancer.UpdateHosts(g.clock(), lynxspool.ListFailed, nil) })
 		return
 	}
-	// The gateway's own backoff where lists are pushed: full jitter over twice the step.
+	// The gateway's backoff in push mode: exponential, with full jitter over twice the interval.
 	g.pushBackoff = min(max(2*g.pushBackoff, 50*time.Millisecond), time.Second)
 	generation := g.generation
 	g.world.after(time.Duration(g.world.retryRand.Float64()*2*float64(g.pushBackoff)), func() {
@@ -276,7 +280,7 @@
 	})
 }
 
-// listReceived is what a watch has brought.
+// listReceived handles a list or changes from a watch.
 func (g *gateway) listReceived(watch *watch, kind lynxspool.ListKind, list []lynxspool.Host) {
 	if !g.up || watch.generation != g.generation || watch.ended {
 		return
@@ -285,7 +289,8 @@
 	g.handle(func() { g.applyList(kind, list) })
 }
 
-// applyList hands a list to the Balancer and keeps what the pool needs of it.
+// applyList passes a list to the Balancer and closes idle connections to hosts that are no longer ready
+// or have restarted.
 func (g *gateway) applyList(kind lynxspool.ListKind, list []lynxspool.Host) {
 	w := g.world
 	if len(g.hostIndex) == 0 || len(g.hostIndex) < len(w.hosts) {
@@ -308,7 +313,7 @@
 	}
 }
 
-// handleRequest is a handleRequest whose last byte has come from a client.
+// handleRequest handles a request of a client that has been read completely.
 func (g *gateway) handleRequest(a Arrival) {
 	c := &g.world.scenario.Classes[a.Class]
 	g.lastRequestID++
@@ -317,7 +322,8 @@
 	g.balancer.Request(g.clock(), lynxspool.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Retries > 0, Remaining: c.Deadline.std()})
 }
 
-// performActions carries out what the Balancer has decided, as the real gateway's loop does.
+// performActions performs the actions of the Balancer until there are none, as the loop of the real
+// gateway does.
 func (g *gateway) performActions() {
 	for g.up && !g.paused {
 		g.actions = g.balancer.TakeActions(g.actions[:0])
@@ -362,7 +368,7 @@
 	}
 }
 
-// answer is the final answer to a client; a refused one may come again.
+// answer sends the final answer of a request. The client may retry after a refusal.
 func (g *gateway) answer(id lynxspool.RequestID, end End) {
 	r := g.requests[id]
 	if r == nil || r.answered {
@@ -384,13 +390,14 @@
 	g.removeIfFinished(r)
 }
 
+// removeIfFinished deletes a request that has been answered and has no attempt in flight.
 func (g *gateway) removeIfFinished(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.id)
 	}
 }
 
-// reportOutcome reports the end of an attempt to the Balancer.
+// reportOutcome reports the end of an attempt to the Balancer, and answers the client on success.
 func (g *gateway) reportOutcome(attempt *attempt, result lynxspool.Result) {
 	r := attempt.request
 	r.inFlight--
@@ -401,6 +408,7 @@
 	g.removeIfFinished(r)
 }
 
+// closeIdle closes the idle connections to the host at an index.
 func (g *gateway) closeIdle(i int) {
 	p := g.pools[i]
 	if p == nil {
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -10,14 +10,15 @@
 	"lynxspool"
 )
 
-// event is something due at a time; events of one time run in the order they were set.
+// event is a function that runs at a time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at  Time
 	seq uint64
 	run func()
 }
 
-// eventQueue is a binary heap, the next one first.
+// eventQueue is a binary heap of events, ordered by time.
 type eventQueue []event
 
 func (q eventQueue) less(i, j int) bool {
@@ -56,46 +57,47 @@
 	}
 }
 
-// world is a play in the virtual engine: one process, one thread, one clock.
+// world is the state of a run of the virtual engine, which has one thread and one clock.
 type world struct {
 	scenario       *Scenario
 	now            Time
-	seq            uint64
+	seq            uint64 // of the last scheduled event
 	queue          eventQueue
 	recorder       *Recorder
 	netRand        *rand.Rand
 	seedRand       *rand.Rand
-	retryRand      *rand.Rand // of list clients, where they wait by themselves
+	retryRand      *rand.Rand // for the retry delays of list clients that the Balancer does not choose
 	hosts          []*Host
-	nextTick       []Time // when each host's next job ends, as scheduled
+	nextTick       []Time // by host: time of the scheduled event for its next completion; 0: none
 	gateways       []*gateway
 	edgeBalancer   edgeBalancer
 	catalogs       []*listService
-	hostList       []listEntry // the list, by host
+	hostList       []listEntry // by host
 	listVersion    uint64
 	linkFaults     []*linkFault
-	partition      map[int]bool // gateways that no other has word of
-	partitionedAt  Time         // since then
+	partition      map[int]bool // ranks on one side of a membership partition; nil: no partition
+	partitionedAt  Time
 	zones          []string
 	kinds          []string
 	oracle         bool
-	oracleRequests map[*Job]Time // when each request came that the oracle has out
+	oracleRequests map[*Job]Time // arrival times of the requests that the oracle has in flight
 	pendingBuffer  []int
 }
 
-// listEntry is a host on the list.
+// listEntry is a host on the host list.
 type listEntry struct {
 	host    lynxspool.Host
-	version uint64 // of its last change
+	version uint64 // list version of its last change
 	listed  bool
 }
 
-// Virtual plays a scenario on a virtual clock in this process. The same scenario gives the
-// same Result to the byte.
+// Virtual runs a scenario on a virtual clock in this process. Runs of the same scenario give Results that
+// are equal to the byte.
 func Virtual(s *Scenario) *Result { return runVirtual(s, false) }
 
-// Oracle plays a scenario with one dispatcher in place of the gateways, which knows each
-// host's true state and sends as much as the cold rules allow: a ceiling for any fleet.
+// Oracle runs a scenario with one dispatcher in place of the gateways. The dispatcher knows the state of
+// every host and sends as much as the slow start of cold hosts allows, so its Result is an upper bound
+// for any fleet.
 func Oracle(s *Scenario) *Result { return runVirtual(s, true) }
 
 func runVirtual(s *Scenario, oracle bool) *Result {
@@ -153,7 +155,7 @@
 		}
 		g.endOpenRequests(Failed)
 	}
-	for _, at := range w.oracleRequests { // their hosts went; only sums come of it, in whatever order
+	for _, at := range w.oracleRequests { // lost by failed hosts; the order does not matter, as only sums are recorded
 		w.recorder.RecordEnd(at, Failed, 0)
 	}
 	engine := "virtual"
@@ -163,6 +165,7 @@
 	return w.recorder.Result(engine, w.hosts)
 }
 
+// longestDeadline returns the longest deadline of all classes.
 func (s *Scenario) longestDeadline() (d time.Duration) {
 	for _, c := range s.Classes {
 		d = max(d, c.Deadline.std())
@@ -170,15 +173,16 @@
 	return d
 }
 
-// at sets an event; one in the past is due now.
+// at schedules an event. An event for a time in the past runs at the present time.
 func (w *world) at(t Time, run func()) {
 	w.seq++
 	w.queue.push(event{max(t, w.now), w.seq, run})
 }
 
+// after schedules an event that runs after d.
 func (w *world) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
-// addHost adds a host, on the list from now on.
+// addHost adds a host. It is on the list at once when the run starts, and after the listing delay later.
 func (w *world) addHost(group *HostGroup) *Host {
 	i := len(w.hosts)
 	h := NewHost(i, fmt.Sprintf("s-%04d", i), group, w.scenario)
@@ -200,16 +204,18 @@
 	return h
 }
 
-// clockBase is the gateways' clock at the start of a play: a start at 0 would read as long ago.
+// clockBase is the time of the gateways' clock at the start of a run. It is not 0 because a start time of
+// 0 means that a host started long ago.
 const clockBase = 1000 * time.Hour
 
+// hostID returns the numeric ID of a host for the Balancer.
 func hostID(id string) lynxspool.HostID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return lynxspool.HostID(h.Sum64())
 }
 
-// updateListing puts a host's state on the list and tells the open watches.
+// updateListing updates the state of a host on the list and notifies the open watches.
 func (w *world) updateListing(i int, state lynxspool.HostState) {
 	w.listVersion++
 	e := &w.hostList[i]
@@ -222,7 +228,7 @@
 	}
 }
 
-// oneWayDelay is the time of a message between two zones, give or take a fifth.
+// oneWayDelay returns the latency of a message between two zones, with a random deviation of up to 20 %.
 func (w *world) oneWayDelay(a, b int) time.Duration {
 	d := w.scenario.Net.SameZone
 	if a != b {
@@ -231,7 +237,7 @@
 	return time.Duration(float64(d) * (0.8 + 0.4*w.netRand.Float64()))
 }
 
-// advanceHost brings a host up to now and sets its next event.
+// advanceHost advances a host to the present time and schedules its next completion.
 func (w *world) advanceHost(h *Host) {
 	for _, j := range h.Advance(w.now) {
 		w.after(j.WaitTime, func() {
@@ -251,7 +257,7 @@
 	}
 }
 
-// samplePending notes what each host holds, once a bin.
+// samplePending records how many requests each serving host holds. It runs once per bin.
 func (w *world) samplePending() {
 	w.pendingBuffer = w.pendingBuffer[:0]
 	for _, h := range w.hosts {
@@ -265,7 +271,7 @@
 	}
 }
 
-// handleArrival is a client's request: the front gives it to a gateway.
+// handleArrival passes the request of a client to the gateway that the edge balancer picks.
 func (w *world) handleArrival(a Arrival) {
 	if w.oracle {
 		w.dispatchOracle(a)
@@ -280,24 +286,26 @@
 	g.handle(func() { g.handleRequest(a) })
 }
 
-// edgeBalancer spreads clients over the gateways it has admitted, by weight.
+// edgeBalancer models the load balancer between clients and gateways: it distributes requests over the
+// admitted gateways in proportion to their weights.
 type edgeBalancer struct {
 	weights    []float64
 	admitted   []bool
-	cumulative []float64 // of the admitted, cumulative; nil when stale
+	cumulative []float64 // cumulative weights of the admitted gateways; nil when outdated
 }
 
 func newEdgeBalancer(s *Scenario) edgeBalancer {
 	return edgeBalancer{weights: s.GatewayWeights(), admitted: make([]bool, s.Gateways.Count)}
 }
 
+// setAdmitted adds the gateway of a rank to the admitted ones or removes it.
 func (f *edgeBalancer) setAdmitted(i int, admitted bool) {
 	if f.admitted[i] != admitted {
 		f.admitted[i], f.cumulative = admitted, nil
 	}
 }
 
-// pick returns the gateway at a place from 0 to 1 among the weights, or -1 with none.
+// pick returns the gateway at a quantile, from 0 to 1, of the weights, or -1 if no gateway is admitted.
 func (f *edgeBalancer) pick(quantile float64) int {
 	if f.cumulative == nil {
 		f.cumulative = make([]float64, len(f.weights))
@@ -316,8 +324,8 @@
 	return min(sort.Search(len(f.cumulative), func(i int) bool { return f.cumulative[i] > quantile*total }), len(f.cumulative)-1)
 }
 
-// dispatchOracle is the oracle: of the hosts that stand one more request, the one that would
-// answer soonest; with none that answers within the aim the request is refused.
+// dispatchOracle sends a request of the oracle to the host that would answer first, among those that one
+// more request does not overload. If none would answer within the latency target, the request is refused.
 func (w *world) dispatchOracle(a Arrival) {
 	c := &w.scenario.Classes[a.Class]
 	work, waitTime := time.Duration(a.WorkFactor*float64(c.Work)), time.Duration(a.WaitFactor*float64(c.WaitTime))
