--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// Time is an instant as the time since the play began.
+// Time is the time since the run started.
 type Time = time.Duration
 
-// Condition is what a host does with what reaches it.
+// Condition is how a host responds to connections and requests.
 type Condition uint8
 
 // Conditions of a host.
 const (
 	Serving  Condition = iota
-	Dead               // connections are reset and new ones refused
-	Silent             // takes everything, says nothing
-	Refusing           // resets and refuses at once though its process runs
-	Failing            // answers each request with an error within fastError
+	Dead               // the process has exited: connections are reset and new ones refused
+	Silent             // accepts connections and requests but never answers
+	Refusing           // the process runs but resets connections and refuses new ones
+	Failing            // answers each request with an error after fastErrorDelay
 )
 
-// fastErrorDelay is how long a failing host takes for an error.
+// fastErrorDelay is the time that a failing host takes to answer with an error.
 const fastErrorDelay = time.Millisecond
 
 // Job is one attempt at a host.
 type Job struct {
-	Work     time.Duration // on a core at speed 1, a new connection's cost included
-	WaitTime time.Duration // on others, after the work
-	Notified bool          // its sender had been told of the host's present start
+	Work     time.Duration // at speed 1, with the cost of a new connection
+	WaitTime time.Duration // time waiting for other services after the work, which uses no core
+	Notified bool          // the gateway's list has the present start of the host
 	Done     func(ok bool) // called by the engine when the answer leaves; ok is false for an error
 
 	host      *Host
-	remaining time.Duration // work not yet done, at speed 1
-	startedAt Time          // when a core last took it up
+	remaining time.Duration // work left at speed 1
+	startedAt Time          // when a core started the work
 	running   bool
 	ended     bool
 }
 
-// Host is the model of one host, the same in both engines: it is told the time with each
-// call and does no I/O. It is not safe for concurrent use.
+// Host models one host. Both engines use it: they pass in the time with each call, and it does no I/O.
+// It is not safe for concurrent use.
 type Host struct {
 	Index         int
 	ID            string
 	Spec          *HostGroup
 	Started       Time // negative: long ago
-	Incarnation   int  // raised at each start: connections do not outlive it
+	Incarnation   int  // raised at each start; connections do not outlive an incarnation
 	Condition     Condition
-	SlowFactor    float64 // times slower; 1 is usual
-	Overloaded    bool    // it was pushed over
-	NotifiedShare float64 // ... of that, the share from gateways that had been told
+	SlowFactor    float64 // factor on the time of its work; 1: normal
+	Overloaded    bool    // it failed by overload
+	NotifiedShare float64 // share of that overload sent by gateways whose list had its present start
 
 	rules      *Rules
 	meanWork   time.Duration // mean work of a request at speed 1
-	queue      []*Job        // those that wait for a core, then those that run, are in work
-	running    []*Job
-	pending    int // in work, waiting, or waiting on others
+	queue      []*Job        // jobs that wait for a core
+	running    []*Job        // jobs on a core
+	pending    int           // requests that run or wait for a core or for other services
 	openConns  int
-	recentWork []recentWork // what reached it in the last Fall while cold
+	recentWork []recentWork // while cold: arrivals within the last OverloadWindow
 
-	// Counted for the figures.
+	// Counters for the figures.
 	NewConns, RejectedConns, ReceivedRequests int
 	MaxOpenConns                              int
 }
 
+// recentWork is the work of an attempt that reached a cold host.
 type recentWork struct {
 	at       Time
 	work     float64 // in requests of mean work
-	notified bool
+	notified bool    // the gateway's list had the present start of the host
 }
 
-// NewHost returns a host of a group; cold hosts start at 0.
+// NewHost returns a host of a group. A cold host starts at time 0.
 func NewHost(i int, id string, spec *HostGroup, s *Scenario) *Host {
 	h := &Host{Index: i, ID: id, Spec: spec, SlowFactor: 1, Started: -time.Hour, rules: &s.Rules, meanWork: s.meanWork()}
 	if spec.Cold {
@@ -78,6 +79,7 @@
 	return h
 }
 
+// meanWork returns the mean work of a request at speed 1 over all classes.
 func (s *Scenario) meanWork() time.Duration {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Classes {
@@ -87,29 +89,30 @@
 	return time.Duration(work / shares)
 }
 
-// Capacity is the share of its full speed that a host has now: it rises evenly from
-// ColdFrom to 1 over WarmAfter (BRIEF, drains and cold starts).
+// Capacity returns the share of its full speed that a host has now. It rises linearly from ColdCapacity
+// to 1 over WarmAfter.
 func (h *Host) Capacity(now Time) float64 {
 	age := float64(now-h.Started) / float64(h.rules.WarmAfter)
 	return min(1, h.rules.ColdCapacity+(1-h.rules.ColdCapacity)*max(age, 0))
 }
 
-// Cold says whether the host started less than WarmAfter ago.
+// Cold reports whether the host started less than WarmAfter ago.
 func (h *Host) Cold(now Time) bool { return now-h.Started < h.rules.WarmAfter.std() }
 
-// Rate is the requests of mean work a second that it can do now.
+// Rate returns how many requests of mean work per second the host can serve now.
 func (h *Host) Rate(now Time) float64 {
 	return h.Capacity(now) * float64(h.Spec.Cores) * h.Spec.Speed / h.SlowFactor / h.meanWork.Seconds()
 }
 
-// workBudget is how many requests of mean work a cold host stands within any Fall: what the
-// settings allow and a little slack for chance (STANDING: N + 2 x root of N + 2).
+// workBudget returns how many requests of mean work a cold host accepts within an OverloadWindow. That is
+// the number N that the rules allow, plus 2 * sqrt(N) + 2 for the random variation of arrivals. A slow
+// host has the same budget.
 func (h *Host) workBudget(now Time) float64 {
 	n := h.rules.OverloadFactor * h.Rate(now) * h.SlowFactor * h.rules.OverloadWindow.std().Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Headroom is how many more requests of mean work a cold host stands now.
+// Headroom returns how many more requests of mean work a cold host accepts now without failing.
 func (h *Host) Headroom(now Time) float64 {
 	h.dropOldWork(now)
 	used := 0.0
@@ -119,6 +122,7 @@
 	return h.workBudget(now) - used
 }
 
+// dropOldWork drops arrivals that are older than the OverloadWindow.
 func (h *Host) dropOldWork(now Time) {
 	n := 0
 	for n < len(h.recentWork) && now-h.recentWork[n].at >= h.rules.OverloadWindow.std() {
@@ -127,8 +131,8 @@
 	h.recentWork = h.recentWork[n:]
 }
 
-// Connect opens a connection: false means that the table is full and it is turned away.
-// The caller looks at Cond first.
+// Connect opens a connection. It returns false if MaxConns are open and the host rejects the connection.
+// The caller checks Condition first.
 func (h *Host) Connect() bool {
 	h.NewConns++
 	if h.openConns >= h.rules.MaxConns {
@@ -140,30 +144,31 @@
 	return true
 }
 
-// Disconnect ends a connection made in the present incarnation.
+// Disconnect closes a connection that was opened in an incarnation. It does nothing if the host has
+// restarted since.
 func (h *Host) Disconnect(incarnation int) {
 	if incarnation == h.Incarnation && h.openConns > 0 {
 		h.openConns--
 	}
 }
 
-// Pending is how many requests it holds.
+// Pending returns the number of requests that the host holds.
 func (h *Host) Pending() int { return h.pending }
 
-// Verdict is what a host does with an attempt that arrives.
+// Verdict is the response of a host to an attempt that arrives.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts on an attempt.
 const (
-	Accepted Verdict = iota
-	Rejected         // proves that it never ran
-	NoAnswer         // silent
-	FastError
-	ConnectionReset // the connection is reset
+	Accepted        Verdict = iota
+	Rejected                // answered with the proof that the request was not processed
+	NoAnswer                // the host is silent
+	FastError               // answered with an error after fastErrorDelay
+	ConnectionReset         // the connection is reset
 )
 
-// Arrive takes an attempt whose last byte has come; Advance(now) comes before it. All work
-// that reaches a cold host adds to the push, what it turns away too.
+// Arrive handles an attempt that has been read completely. The caller calls Advance(now) before. All work
+// that reaches a cold host counts for its overload, including what it rejects.
 func (h *Host) Arrive(now Time, j *Job) Verdict {
 	switch h.Condition {
 	case Dead, Refusing:
@@ -192,6 +197,7 @@
 	return Accepted
 }
 
+// overload makes a cold host fail because of the work that it received recently.
 func (h *Host) overload() {
 	notified, total := 0.0, 0.0
 	for _, p := range h.recentWork {
@@ -204,7 +210,7 @@
 	h.Kill()
 }
 
-// Kill ends the process: what it held is lost.
+// Kill ends the process. Its requests and connections are lost.
 func (h *Host) Kill() {
 	h.Condition = Dead
 	for _, j := range append(h.queue, h.running...) {
@@ -213,23 +219,23 @@
 	h.queue, h.running, h.pending, h.openConns, h.recentWork = nil, nil, 0, 0, nil
 }
 
-// Restart starts the process anew, cold.
+// Restart restarts the process. The host is cold then.
 func (h *Host) Restart(now Time) {
 	h.Kill()
 	h.Condition, h.Started, h.SlowFactor = Serving, now, 1
 	h.Incarnation++
 }
 
-// Silence makes it silent: what it held goes unanswered.
+// Silence makes the host silent. The requests that it holds are never answered.
 func (h *Host) Silence() {
 	h.Kill()
 	h.Condition = Silent
 }
 
-// speed is the work a core does in a second of time, at speed 1.
+// speed returns the work at speed 1 that a core does per unit of time.
 func (h *Host) speed(now Time) float64 { return h.Spec.Speed * h.Capacity(now) / h.SlowFactor }
 
-// startJobs lets free cores take up what waits.
+// startJobs starts waiting jobs on free cores.
 func (h *Host) startJobs(now Time) {
 	for len(h.running) < h.Spec.Cores && len(h.queue) > 0 {
 		j := h.queue[0]
@@ -239,7 +245,7 @@
 	}
 }
 
-// NextCompletion is when the next running job ends its work, or 0 with none.
+// NextCompletion returns when the next running job completes its work, or 0 if no job runs.
 func (h *Host) NextCompletion() (at Time) {
 	for _, j := range h.running {
 		if t := j.startedAt + time.Duration(float64(j.remaining)/h.speed(j.startedAt)) + 1; at == 0 || t < at {
@@ -249,8 +255,8 @@
 	return at
 }
 
-// Advance brings the host up to now and returns the jobs whose work has ended; their
-// answers leave after their Waits, and Release follows then.
+// Advance advances the host to now and returns the jobs whose work is complete. Their answers leave after
+// their WaitTime, when the caller calls Release.
 func (h *Host) Advance(now Time) (done []*Job) {
 	for {
 		var first *Job
@@ -269,6 +275,7 @@
 	}
 }
 
+// remove removes a job from the running or the waiting ones.
 func (h *Host) remove(j *Job) {
 	for _, list := range []*[]*Job{&h.running, &h.queue} {
 		for i, o := range *list {
@@ -280,8 +287,8 @@
 	}
 }
 
-// Cancel stops the work of an attempt whose connection was closed (BRIEF: work stops when
-// its request is cancelled or timed out).
+// Cancel stops the work of an attempt whose connection was closed. A host stops work when its request is
+// cancelled or timed out.
 func (h *Host) Cancel(now Time, j *Job) {
 	if j.ended || j.host != h {
 		return
@@ -292,7 +299,7 @@
 	h.startJobs(now)
 }
 
-// Release ends a job whose answer has left; false means that it was lost before.
+// Release ends a job whose answer leaves. It returns false if the job was lost or cancelled before.
 func (h *Host) Release(j *Job) bool {
 	if j.ended {
 		return false
--- a/internal/fleetlab/listservice.go
+++ b/internal/fleetlab/listservice.go
@@ -7,33 +7,33 @@
 	"lynxspool/internal/admit"
 )
 
-// What a list service does with calls.
+// Modes of a list service instance.
 const (
-	catalogUp = iota
-	catalogDown
-	catalogReset
-	catalogBusy
-	catalogBlackHole
+	catalogUp        = iota
+	catalogDown      // refuses connections
+	catalogReset     // resets connections
+	catalogBusy      // sheds all calls but keeps the open watches
+	catalogBlackHole // never answers
 )
 
-// watchSilenceTimeout is how long a gateway waits on a watch that says nothing (the gateway's
-// own figure), watchDialTimeout how long for a connection.
 const (
+	// watchSilenceTimeout is the time after which the gateway closes a watch that delivers nothing.
 	watchSilenceTimeout = lynxspool.SilentAfter
-	watchDialTimeout    = 500 * time.Millisecond
+	// watchDialTimeout is the gateway's timeout for a connection to the list service.
+	watchDialTimeout = 500 * time.Millisecond
 )
 
-// listService is one instance of the list service in the virtual engine: calls in turn,
-// and open watches.
+// listService is one instance of the list service in the virtual engine, with admission control of calls
+// and its open watches.
 type listService struct {
 	world        *world
 	index        int
 	mode         int
-	callTime     time.Duration // 0: as the scenario says
+	callTime     time.Duration // time of work on a call; 0: as the scenario says
 	gate         *admit.Gate
-	waitingCalls map[uint64]*watch // that have no verdict yet
+	waitingCalls map[uint64]*watch // calls without a decision, by call ID
 	lastCallID   uint64
-	watches      map[int]*watch
+	watches      map[int]*watch // open watches, by rank of the gateway
 }
 
 func newListService(w *world, i int) *listService {
@@ -45,14 +45,14 @@
 // watch is a gateway's open watch, or its call for one.
 type watch struct {
 	gateway     *gateway
-	generation  int // of the gateway's process
-	listVersion uint64
+	generation  int    // of the gateway's process
+	listVersion uint64 // version that the gateway has after the last delivery; 0: it has no list
 	open        bool
 	ended       bool
-	retryAfter  time.Duration // what the service asked for when it turned the call away
+	retryAfter  time.Duration // retry delay that the service asked for when it shed the call
 }
 
-// endWatch ends a watch at its gateway after d.
+// endWatch ends a watch or a call. The gateway notices after d.
 func (c *listService) endWatch(watch *watch, d time.Duration) {
 	if watch.ended {
 		return
@@ -64,11 +64,11 @@
 	c.world.after(d, func() { watch.gateway.watchLost(watch) })
 }
 
-// setMode changes what the service does; watches end when it goes down.
+// setMode changes the mode of the instance. Open watches end when it goes down.
 func (c *listService) setMode(mode int) {
 	old := c.mode
 	c.mode = mode
-	for i := range c.world.gateways { // in the order of ranks, so that nothing hangs on map order
+	for i := range c.world.gateways { // in the order of ranks, so that the run does not depend on the order of the map
 		x := c.watches[i]
 		if x == nil {
 			continue
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleCall is a call that reaches the service.
+// handleCall handles a call that reaches the instance.
 func (c *listService) handleCall(watch *watch) {
 	w := c.world
 	delay := w.scenario.Net.SameZone.std()
@@ -115,7 +115,8 @@
 	w.after(w.scenario.Catalog.MaxCallWait.std(), func() { c.applyDecisions(c.gate.Expire(w.now)) })
 }
 
-// applyDecisions carries out what the gate has decided: a call is worked on, or turned away.
+// applyDecisions carries out the decisions of the gate. An admitted call is worked on, a shed one is
+// rejected with a retry delay.
 func (c *listService) applyDecisions(decisions []admit.Decision) {
 	w := c.world
 	for _, decision := range decisions {
@@ -127,7 +128,7 @@
 			c.endWatch(watch, w.scenario.Net.SameZone.std())
 			continue
 		}
-		w.recorder.RecordCall(c.index, w.now, 110*len(w.hostList), false)
+		w.recorder.RecordCall(c.index, w.now, 110*len(w.hostList), false) // about 110 bytes per host
 		callTime := c.callTime
 		if callTime == 0 {
 			callTime = w.scenario.Catalog.CallTime.std()
@@ -147,7 +148,8 @@
 	}
 }
 
-// sendList writes the changes after a watch's version, or the whole list, to its gateway.
+// sendList sends the changes since the version of a watch to its gateway, or the full list if the gateway
+// has none.
 func (c *listService) sendList(watch *watch) {
 	w := c.world
 	kind, afterVersion := lynxspool.ListChanges, watch.listVersion
@@ -164,7 +166,7 @@
 	w.after(w.scenario.Net.SameZone.std()+watch.gateway.listDelay, func() { watch.gateway.listReceived(watch, kind, list) })
 }
 
-// sendUpdates sends the newest changes to every open watch.
+// sendUpdates sends the latest changes to every open watch.
 func (c *listService) sendUpdates() {
 	if c.mode != catalogUp && c.mode != catalogBusy {
 		return
--- a/internal/fleetlab/pick.go
+++ b/internal/fleetlab/pick.go
@@ -5,21 +5,23 @@
 	"math/rand/v2"
 )
 
-// Streams of random numbers, each of its own so that a change of one part of a play
-// leaves the others' draws as they were.
+// Streams of random numbers. Each use has a stream of its own, so that a change of one part of a run does
+// not alter the random numbers of the others. Offsets on these numbers give further streams.
 const (
-	streamLoad = iota + 1
-	streamNet
-	streamFaults
-	streamSeeds
-	streamWait
-	streamAbsent
+	streamLoad   = iota + 1 // arrivals
+	streamNet               // latencies
+	streamFaults            // targets of faults
+	streamSeeds             // seeds of the Balancers; with an offset: start times of the gateways
+	streamWait              // weights of the gateways; with an offset: retry delays
+	streamAbsent            // ranks that never start; with an offset: gateways with a saved list
 )
 
+// newRand returns a generator for a stream.
 func (s *Scenario) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
 
-// chooseShare picks a share of n things: consecutive ones from a random start (run), evenly
-// spaced (every), or any (random). The same generator state gives the same choice.
+// chooseShare selects a share of n items: consecutive ones from a random start (run), evenly spaced ones
+// (every) or random ones (random). A share of 0 selects all. The same generator state gives the same
+// selection.
 func chooseShare(rng *rand.Rand, n int, share float64, selection string) []int {
 	count := int(math.Round(share * float64(n)))
 	if share == 0 || count >= n {
@@ -42,7 +44,7 @@
 	return chosen
 }
 
-// PresentRanks are the ranks that start at all.
+// PresentRanks returns, by rank, whether the gateway ever starts.
 func (s *Scenario) PresentRanks() []bool {
 	n := s.Gateways.Count
 	present := make([]bool, n)
@@ -57,8 +59,8 @@
 	return present
 }
 
-// GatewayWeights are each gateway's part of the load: 1-skew + skew x an exponential; a rank that
-// never starts has none.
+// GatewayWeights returns the weight of each gateway in the distribution of the load: 1-Skew + Skew * X,
+// with X exponentially distributed of mean 1. A rank that never starts has the weight 0.
 func (s *Scenario) GatewayWeights() []float64 {
 	rng, present := s.newRand(streamWait), s.PresentRanks()
 	weights := make([]float64, s.Gateways.Count)
@@ -71,23 +73,23 @@
 	return weights
 }
 
-// Arrival is one request of a client, drawn ahead: it does not wait for answers.
+// Arrival is one request of a client. Arrivals are drawn ahead of time and do not depend on answers.
 type Arrival struct {
 	At              Time
 	Class           int
-	GatewayQuantile float64 // which gateway the front gives it to, as a place among their weights
-	WorkFactor      float64 // times the mean work of its class
-	WaitFactor      float64 // times the mean wait
-	Retries         int     // that the client made before this one
+	GatewayQuantile float64 // selects the gateway, as a quantile of their weights
+	WorkFactor      float64 // factor on the mean work of the class
+	WaitFactor      float64 // factor on the mean wait time of the class
+	Retries         int     // number of the client's earlier requests that were refused
 }
 
-// arrivals draws the load one request at a time, in the order of time: exponential gaps,
-// work of 0.5 + half an exponential of the mean.
+// arrivals draws the requests of the load in the order of time. The gaps are exponentially distributed;
+// the work and wait factors are 0.5 + 0.5 * X, with X exponentially distributed of mean 1.
 type arrivals struct {
 	rng        *rand.Rand
 	scenario   *Scenario
-	latest     Time
-	totalShare float64
+	latest     Time    // of the last arrival drawn
+	totalShare float64 // sum of the shares of all classes
 }
 
 func newArrivals(s *Scenario) *arrivals {
@@ -98,6 +100,7 @@
 	return a
 }
 
+// draw returns the next arrival. The result is false if it is after the end of the run.
 func (a *arrivals) draw() (Arrival, bool) {
 	if a.scenario.Load.Rate <= 0 {
 		return Arrival{}, false
--- a/internal/fleetlab/plot.go
+++ b/internal/fleetlab/plot.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Plot draws a play over time, one panel above the other: calls at each catalog and new
-// connections by bin, requests sent and served a second, and requests a second at the
-// least, middle and most loaded host. The file's ending says whether it is SVG or PNG.
+// Plot draws a run over time, in panels one above another: the calls at each catalog and the new
+// connections by bin, the requests sent and served per second, and the requests per second at each host.
+// The extension of the file selects SVG or PNG.
 func (r *Result) Plot(path string) error {
 	step := float64(r.Series.BinMS) / 1000
 	calls, err := newPanel("calls at the catalog in 100 ms", func(p *plot.Plot) error {
@@ -93,12 +93,14 @@
 	return f.Close()
 }
 
+// newPanel returns a panel with a title and the lines that fill adds.
 func newPanel(title string, fill func(*plot.Plot) error) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Min, p.Legend.Top = title, 0, true
 	return p, fill(p)
 }
 
+// addLine adds a line in the i-th color. It is in the legend unless its name is empty.
 func addLine(p *plot.Plot, i int, name string, list []int, step float64) error {
 	l, err := plotter.NewLine(points(list, step))
 	if err != nil {
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// points returns the values of a list as points that are step seconds apart.
 func points(list []int, step float64) plotter.XYs {
 	out := plotter.XYs{{X: 0, Y: 0}}
 	for i, n := range list {
--- a/internal/fleetlab/preflight.go
+++ b/internal/fleetlab/preflight.go
@@ -9,51 +9,52 @@
 	"syscall"
 )
 
-// What one process of each kind takes, as measured on fleets of 200 and 300: a gateway
-// holds 12 to 16 MB and a catalog 20 to 95 MB.
+// Memory of one process of each kind, with a margin: in fleets of 200 and 300 a gateway holds 12 to 16 MB
+// and a catalog 20 to 95 MB.
 const (
 	gatewayMemoryMB = 18
 	catalogMemoryMB = 100
 )
 
-// preflight says what a real play needs that this machine has not: descriptors of this
-// process, memory, processes, or a fault that only the virtual engine can make.
+// preflight returns an error if the real engine cannot run the scenario on this machine: it needs more file
+// descriptors, memory or threads than there are, or has a fault that only the virtual engine supports.
 func (s *Scenario) preflight() error {
 	n, hosts := s.Gateways.Count, s.hostCount()
-	// Clients' connections, one for the health calls, a log file; a host's listener and its
-	// table; two of each call at a catalog.
+	// Each gateway needs 8 client connections, one for health checks, a log file and two for calls at a
+	// catalog. Each host needs a listener and MaxConns connections.
 	descriptors := n*(8+1+1+2) + hosts*(1+s.Rules.MaxConns) + 200
 	var lim syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
 		return err
 	}
 	if uint64(descriptors) > lim.Cur {
-		return fmt.Errorf("too large for this machine: it may take %d descriptors, the limit is %d", descriptors, lim.Cur)
+		return fmt.Errorf("too large for this machine: it needs up to %d file descriptors, the limit is %d", descriptors, lim.Cur)
 	}
 	if needed, available := n*gatewayMemoryMB+s.Catalog.Instances*catalogMemoryMB, availableMB(); available > 0 && needed > available*9/10 {
-		return fmt.Errorf("too large for this machine: it takes about %d MB, %d MB are free", needed, available)
+		return fmt.Errorf("too large for this machine: it needs about %d MB of memory, %d MB are available", needed, available)
 	}
 	processes := n + s.Catalog.Instances
 	for _, f := range []string{"/proc/sys/kernel/pid_max", "/sys/fs/cgroup/pids.max"} {
-		// A gateway has about 12 threads, and each counts.
+		// A gateway has about 12 threads, each of which counts against the limit.
 		if limit := readInt(f); limit > 0 && processes*12 > limit {
-			return fmt.Errorf("too large for this machine: %d processes have about %d threads, %s says %d", processes, processes*12, f, limit)
+			return fmt.Errorf("too large for this machine: %d processes have about %d threads, the limit in %s is %d", processes, processes*12, f, limit)
 		}
 	}
 	for i, f := range s.Faults {
 		if f.Target == "links" {
-			return fmt.Errorf("fault %d: links between some gateways and some hosts are for the virtual engine", i+1)
+			return fmt.Errorf("fault %d: faults of links need the virtual engine", i+1)
 		}
 		if f.Target == "gateways" && f.Action == "late" {
-			return fmt.Errorf("fault %d: late lists at some gateways are for the virtual engine", i+1)
+			return fmt.Errorf("fault %d: late lists at gateways need the virtual engine", i+1)
 		}
 		if f.Target == "hosts" && (f.Action == "replace" || f.Action == "join") {
-			return fmt.Errorf("fault %d: hosts that join are for the virtual engine", i+1)
+			return fmt.Errorf("fault %d: hosts that join need the virtual engine", i+1)
 		}
 	}
 	return nil
 }
 
+// availableMB returns the available memory in MB, or 0 if it is unknown.
 func availableMB() int {
 	text, _ := os.ReadFile("/proc/meminfo")
 	for _, line := range strings.Split(string(text), "\n") {
@@ -65,13 +66,14 @@
 	return 0
 }
 
+// readInt reads a file that contains a number. It returns 0 if that fails.
 func readInt(path string) int {
 	text, _ := os.ReadFile(path)
 	n, _ := strconv.Atoi(strings.TrimSpace(string(text)))
 	return n
 }
 
-// processUsage reads a process's resident memory in kB and its open descriptors.
+// processUsage returns the resident memory of a process in kB and the number of its open file descriptors.
 func processUsage(pid int) (rssKB, descriptors int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
--- a/internal/fleetlab/record.go
+++ b/internal/fleetlab/record.go
@@ -8,44 +8,43 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// binWidth is the width of the windows in which peaks are counted.
+// binWidth is the width of the time bins in which peaks are counted.
 const binWidth = 100 * time.Millisecond
 
-// End is how a client's request ended.
+// End is how the request of a client ended.
 type End uint8
 
 // Ends of a request.
 const (
-	Served        End = iota // within its aim
-	Late                     // served after its aim
-	Refused                  // turned away
-	Failed                   // an error, or no answer within its time
-	Lost                     // its gateway died or closed on it
-	NoLiveGateway            // no gateway took it
+	Served        End = iota // answered within the latency target
+	Late                     // answered after the latency target
+	Refused                  // refused, and the client does not retry
+	Failed                   // answered with an error, or not answered before the deadline
+	Lost                     // the gateway died or closed the connection
+	NoLiveGateway            // no gateway accepted it
 	numEnds
 )
 
-// Recorder collects what happens in a play; Result gives the figures. It is not safe for
-// concurrent use.
+// Recorder collects the events of a run. Result returns the figures. It is not safe for concurrent use.
 type Recorder struct {
 	scenario   *Scenario
-	readyTimes *hdrhistogram.Histogram // microseconds from a gateway's start
+	readyTimes *hdrhistogram.Histogram // microseconds from the start of a gateway until it is ready
 	latencies  *hdrhistogram.Histogram // microseconds of served requests
-	neverReady int                     // gateways that had not become ready at the end
+	neverReady int                     // gateways that were not ready at the end
 
-	callsByCatalog [][]int // at each catalog, by bin
-	catalogBytes   []int64
-	catalogShed    []int
+	callsByCatalog [][]int // by catalog and bin
+	catalogBytes   []int64 // by catalog
+	catalogShed    []int   // by catalog
 	newConns       []int   // at all hosts, by bin
-	newConnsByHost [][]int // host, bin: for the busiest at one host
-	requestsByHost [][]int // requests taken, by host and second, within the measured part
+	newConnsByHost [][]int // by host and bin
+	requestsByHost [][]int // requests that reached a host, by host and second
 	ends           [numEnds]int
 	endsBySecond   [][numEnds]int // by second of arrival
 	herd           Herd
 	sortBuffer     []int
 }
 
-// NewRecorder returns a Recorder for hosts and catalogs of a scenario.
+// NewRecorder returns a Recorder for a run of a scenario.
 func NewRecorder(s *Scenario) *Recorder {
 	r := &Recorder{scenario: s, readyTimes: hdrhistogram.New(1, 3_600_000_000, 3), latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	r.callsByCatalog = make([][]int, s.Catalog.Instances)
@@ -53,7 +52,7 @@
 	return r
 }
 
-// addToBin counts one into the window of at; what falls outside of the play is left out.
+// addToBin adds n to the bin of a time. It ignores times outside of the run.
 func addToBin(bins []int, at Time, width time.Duration, n int) []int {
 	i := int(at / width)
 	if at < 0 || i > 1<<20 {
@@ -66,12 +65,12 @@
 	return bins
 }
 
-// RecordGatewayReady notes how long a gateway took from its start until it could serve.
+// RecordGatewayReady records the time from the start of a gateway until it was ready.
 func (r *Recorder) RecordGatewayReady(took time.Duration) {
 	r.readyTimes.RecordValue(max(1, took.Microseconds()))
 }
 
-// RecordCall notes one call at a catalog; shed says that it was turned away.
+// RecordCall records a call at a catalog. shed says that the catalog did not serve it.
 func (r *Recorder) RecordCall(catalog int, at Time, bytes int, shed bool) {
 	r.callsByCatalog[catalog] = addToBin(r.callsByCatalog[catalog], at, binWidth, 1)
 	r.catalogBytes[catalog] += int64(bytes)
@@ -80,7 +79,7 @@
 	}
 }
 
-// RecordNewConn notes a connection that a host accepted or turned away.
+// RecordNewConn records a connection that a host accepted or rejected.
 func (r *Recorder) RecordNewConn(host int, at Time) {
 	r.newConns = addToBin(r.newConns, at, binWidth, 1)
 	for len(r.newConnsByHost) <= host {
@@ -89,7 +88,7 @@
 	r.newConnsByHost[host] = addToBin(r.newConnsByHost[host], at, binWidth, 1)
 }
 
-// RecordHostRequest notes a request that reached a host.
+// RecordHostRequest records a request that reached a host.
 func (r *Recorder) RecordHostRequest(host int, at Time) {
 	for len(r.requestsByHost) <= host {
 		r.requestsByHost = append(r.requestsByHost, nil)
@@ -97,7 +96,7 @@
 	r.requestsByHost[host] = addToBin(r.requestsByHost[host], at, time.Second, 1)
 }
 
-// RecordEnd notes how a request that arrived at a time ended.
+// RecordEnd records how a request ended. arrived is the time of its arrival.
 func (r *Recorder) RecordEnd(arrived Time, end End, took time.Duration) {
 	i := int(arrived / time.Second)
 	for len(r.endsBySecond) <= i {
@@ -113,7 +112,7 @@
 	}
 }
 
-// RecordPending notes how many requests each serving host holds, once a bin.
+// RecordPending records how many requests each serving host holds. It is called once per bin.
 func (r *Recorder) RecordPending(at Time, pending []int) {
 	if at < r.scenario.MeasureFrom.std() || len(pending) == 0 {
 		return
@@ -130,8 +129,8 @@
 	}
 }
 
-// Result is what a play gave. Times are in seconds or, where the name says so, in
-// milliseconds; shares run from 0 to 1.
+// Result holds the figures of a run. Times are in seconds unless the name gives another unit. Shares are
+// between 0 and 1.
 type Result struct {
 	Scenario      string  `json:"scenario"`
 	Engine        string  `json:"engine"` // virtual, real or oracle
@@ -150,81 +149,81 @@
 	Series   Series           `json:"series"`
 }
 
-// Ready is how long gateways took from their start until they could serve.
+// Ready holds the times from the start of a gateway until it was ready.
 type Ready struct {
-	Starts int64   `json:"starts"` // that became ready
-	Never  int     `json:"never"`
+	Starts int64   `json:"starts"` // starts after which the gateway became ready
+	Never  int     `json:"never"`  // gateways that were not ready at the end
 	P50    float64 `json:"p50_s"`
 	P99    float64 `json:"p99_s"`
 	Max    float64 `json:"max_s"`
 }
 
-// CatalogFigures is what reached one catalog.
+// CatalogFigures holds the load of one catalog.
 type CatalogFigures struct {
 	Calls   int   `json:"calls"`
-	Busiest int   `json:"busiest_100ms"`
-	Second  int   `json:"busiest_second"`
-	Bytes   int64 `json:"bytes"`
+	Busiest int   `json:"busiest_100ms"`  // calls in the busiest 100 ms
+	Second  int   `json:"busiest_second"` // calls in the busiest second
+	Bytes   int64 `json:"bytes"`          // sent to the gateways
 	Shed    int   `json:"shed"`
-	RSSKB   int   `json:"rss_kb,omitempty"` // real only, at the end
-	FDs     int   `json:"descriptors,omitempty"`
+	RSSKB   int   `json:"rss_kb,omitempty"`      // resident memory in kB at the end; only of the real engine
+	FDs     int   `json:"descriptors,omitempty"` // open file descriptors at the end; only of the real engine
 }
 
-// Conns is the connections to hosts.
+// Conns holds the figures of the connections to hosts.
 type Conns struct {
 	New        int     `json:"new"`
-	Busiest    int     `json:"busiest_100ms"`          // at all hosts
-	OneHost    int     `json:"busiest_100ms_one_host"` // at one host
-	MostOpen   int     `json:"most_open_one_host"`
-	MeanOpen   float64 `json:"mean_open_at_end"`
-	TurnedAway int     `json:"turned_away"`
+	Busiest    int     `json:"busiest_100ms"`          // new connections at all hosts in the busiest 100 ms
+	OneHost    int     `json:"busiest_100ms_one_host"` // new connections at one host in the busiest 100 ms
+	MostOpen   int     `json:"most_open_one_host"`     // largest number of open connections of a host
+	MeanOpen   float64 `json:"mean_open_at_end"`       // mean number of open connections of a host
+	TurnedAway int     `json:"turned_away"`            // connections that hosts rejected
 }
 
-// Falls is the cold hosts that were pushed over.
+// Falls counts the cold hosts that failed by overload.
 type Falls struct {
 	Hosts int `json:"hosts"`
-	Told  int `json:"told"` // ... over two thirds of it by gateways that had been told: the rule is broken
+	Told  int `json:"told"` // hosts of which over two thirds of the overload came from gateways whose list had their start: a violation
 }
 
-// Requests counts clients' requests that arrived in the measured part by their end.
+// Requests counts the requests of clients that arrived in the measured period, by their end.
 type Requests struct {
 	Sent       int     `json:"sent"`
-	Served     int     `json:"served"` // within the aim
+	Served     int     `json:"served"` // answered within the latency target
 	Late       int     `json:"late"`
 	Refused    int     `json:"refused"`
 	Failed     int     `json:"failed"`
 	Lost       int     `json:"lost"`
 	NoGateway  int     `json:"no_gateway"`
-	ServedPart float64 `json:"served_share"` // of those that reached a live gateway
+	ServedPart float64 `json:"served_share"` // Served as a share of the requests that reached a live gateway
 	P50MS      float64 `json:"p50_ms"`
 	P99MS      float64 `json:"p99_ms"`
 }
 
-// Spread is how evenly requests reach hosts, in the measured part.
+// Spread holds how evenly requests were distributed over the hosts in the measured period.
 type Spread struct {
 	Min        int     `json:"min"`
 	Mean       float64 `json:"mean"`
 	MaxMean    float64 `json:"max_over_mean"`
-	CV         float64 `json:"cv"`
-	Poisson    float64 `json:"cv_poisson"` // of chance alone
-	UnderFifth int     `json:"hosts_under_fifth"`
-	UnderHalf  int     `json:"hosts_under_half"`
-	Utilised   float64 `json:"cv_utilisation"` // of requests over the host's speed x cores
+	CV         float64 `json:"cv"`                // coefficient of variation of the requests per host
+	Poisson    float64 `json:"cv_poisson"`        // coefficient of variation of a Poisson distribution with this mean
+	UnderFifth int     `json:"hosts_under_fifth"` // hosts with less than a fifth of the mean
+	UnderHalf  int     `json:"hosts_under_half"`  // hosts with less than half of the mean
+	Utilised   float64 `json:"cv_utilisation"`    // coefficient of variation of requests over Speed * Cores
 }
 
-// Herd is the worst 100 ms by what the fullest host holds beside the median.
+// Herd holds the 100 ms in which the requests on the fullest host exceeded the median host most.
 type Herd struct {
-	Windows int     `json:"windows"`
-	Over    int     `json:"windows_over"` // in which some host held over 2 x median + 2
+	Windows int     `json:"windows"`      // number of bins that were sampled
+	Over    int     `json:"windows_over"` // bins in which some host held over 2 * median + 2 requests
 	Most    int     `json:"most"`
 	Median  int     `json:"median"`
 	AtS     float64 `json:"at_s"`
-	worst   int
+	worst   int     // excess of Most over 2 * Median + 2
 }
 
-// Series are the figures over time, for plots.
+// Series holds the figures over time, for plots.
 type Series struct {
-	BinMS           int     `json:"bin_ms"`
+	BinMS           int     `json:"bin_ms"`    // width of a bin in milliseconds
 	Calls           [][]int `json:"calls"`     // by catalog and bin
 	NewConns        []int   `json:"new_conns"` // by bin
 	HostRequests    [][]int `json:"host_requests_a_second"`
@@ -232,7 +231,7 @@
 	SentPerSecond   []int   `json:"sent_a_second"`
 }
 
-// Result computes the figures at the end of a play.
+// Result computes the figures at the end of a run.
 func (r *Recorder) Result(engine string, hosts []*Host) *Result {
 	s := r.scenario
 	out := &Result{Scenario: s.Name, Engine: engine, Seed: s.Seed, Gateways: s.Gateways.Count, Hosts: len(hosts), LengthSeconds: s.Length.std().Seconds()}
@@ -309,7 +308,7 @@
 	return out
 }
 
-// measureSpread measures how even counts are.
+// measureSpread measures how even the counts are. It does not set Utilised.
 func measureSpread(counts []float64) Spread {
 	n, sum := float64(len(counts)), 0.0
 	for _, c := range counts {
--- a/internal/fleetlab/table.go
+++ b/internal/fleetlab/table.go
@@ -9,18 +9,19 @@
 	"text/tabwriter"
 )
 
-// ResultFile is a result file: one or more plays of a scenario, by seed or by repetition.
+// ResultFile is the content of a result file: one or more runs of a scenario, with different seeds or
+// repeated.
 type ResultFile struct {
 	Runs []*Result `json:"plays"`
 }
 
-// Figure is one number of a Result, named for tables.
+// Figure is a number of a Result with its name in tables.
 type Figure struct {
 	Name string
 	Get  func(*Result) float64
 }
 
-// Figures are those that tables and comparisons show, in their order.
+// Figures lists the rows of tables and comparisons in their order.
 var Figures = []Figure{
 	{"ready p50 s", func(r *Result) float64 { return r.Ready.P50 }},
 	{"ready p99 s", func(r *Result) float64 { return r.Ready.P99 }},
@@ -60,6 +61,7 @@
 	{"... 100 ms over 2 x median + 2", func(r *Result) float64 { return float64(r.Herd.Over) }},
 }
 
+// sumCatalogs returns the sum of a figure over all catalogs.
 func (r *Result) sumCatalogs(get func(CatalogFigures) int) float64 {
 	sum := 0
 	for _, c := range r.Catalogs {
@@ -68,7 +70,7 @@
 	return float64(sum)
 }
 
-// minMedianMax are the least, median and greatest of a figure over plays.
+// minMedianMax returns the minimum, median and maximum of a figure over the runs.
 func (p *ResultFile) minMedianMax(f Figure) (least, median, most float64) {
 	var v []float64
 	for _, r := range p.Runs {
@@ -78,7 +80,7 @@
 	return v[0], v[len(v)/2], v[len(v)-1]
 }
 
-// Table prints the figures of a result file: of one play, or median and range of several.
+// Table prints the figures of a single run, or the median and range of several.
 func (p *ResultFile) Table(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	r := p.Runs[0]
@@ -94,7 +96,7 @@
 	return w.Flush()
 }
 
-// Compare prints the figures of two result files side by side, as median and range.
+// Compare prints the median and range of the figures of two result files side by side.
 func Compare(to io.Writer, a, b *ResultFile) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "\tA: %s (%s)\t\tB: %s (%s)\t\tB/A\n", a.Runs[0].Scenario, a.Runs[0].Engine, b.Runs[0].Scenario, b.Runs[0].Engine)
@@ -110,6 +112,7 @@
 	return w.Flush()
 }
 
+// formatNumber formats whole numbers in full and others with three significant digits.
 func formatNumber(x float64) string {
 	if x == float64(int64(x)) {
 		return fmt.Sprintf("%d", int64(x))
@@ -137,7 +140,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(p.Runs) == 0 {
-		return nil, fmt.Errorf("%s: holds no play", path)
+		return nil, fmt.Errorf("%s: contains no runs", path)
 	}
 	return p, nil
 }
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -6,7 +6,7 @@
 	"lynxspool"
 )
 
-// linkFault is a fault between some gateways and some hosts.
+// linkFault is a fault of the network between some gateways and some hosts.
 type linkFault struct {
 	action   string // cut, delay or black-hole
 	gateways map[int]bool
@@ -14,8 +14,8 @@
 	delay    time.Duration
 }
 
-// linkState says what lies between a gateway and a host: whether it is reset, silent, and what
-// it adds one way.
+// linkState returns the faults between a gateway and a host: whether connections are reset, whether
+// packets are lost silently, and the delay added one way.
 func (w *world) linkState(gatewayRank, hostIndex int) (cut, silent bool, delay time.Duration) {
 	for _, l := range w.linkFaults {
 		if l.gateways[gatewayRank] && l.hosts[hostIndex] {
@@ -27,7 +27,7 @@
 	return
 }
 
-// sendAttempt starts an attempt: over an idle connection, or over a new one.
+// sendAttempt starts an attempt over an idle connection, or over a new one if none is idle.
 func (g *gateway) sendAttempt(action lynxspool.Action) {
 	w, r := g.world, g.requests[action.Request]
 	i, ok := g.hostIndex[action.Host]
@@ -49,7 +49,7 @@
 		g.pools[i] = p
 	}
 	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
-		h.Disconnect(p.idle[0].incarnation) // kept for half of the host's idle limit, as the gateway does
+		h.Disconnect(p.idle[0].incarnation) // the real gateway also keeps connections for half of the host's idle limit
 		p.idle = p.idle[1:]
 		p.open--
 	}
@@ -91,7 +91,8 @@
 	})
 }
 
-// arriveAtHost is the last byte of an attempt at its host.
+// arriveAtHost handles the arrival of the last byte of an attempt at its host. newConn says that the
+// connection was opened for it, which costs work.
 func (a *attempt) arriveAtHost(oneWay time.Duration, newConn bool) {
 	w, h := a.gateway.world, a.host
 	if a.ended {
@@ -123,7 +124,7 @@
 	}
 }
 
-// finishAfter brings the end of an attempt to its gateway after d.
+// finishAfter ends an attempt with a result that reaches the gateway after a delay.
 func (a *attempt) finishAfter(delay time.Duration, result lynxspool.Result) {
 	a.gateway.world.after(delay, func() {
 		if a.ended {
@@ -139,22 +140,22 @@
 	})
 }
 
-// abandon ends an attempt at the gateway's side: its connection is closed, and its work
-// stops when that reaches the host.
+// abandon ends an attempt on the gateway's side. Its connection is closed, and its work stops when the
+// close reaches the host.
 func (g *gateway) abandon(a *attempt, result lynxspool.Result) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.closeConnection()
-	g.world.after(0, func() { // as an event of its own, not within the one that called it off
+	g.world.after(0, func() { // reported in an event of its own, not within the event that cancelled the attempt
 		if g.up && g.requests[a.request.id] == a.request {
 			g.handle(func() { g.reportOutcome(a, result) })
 		}
 	})
 }
 
-// closeConnection closes an attempt's connection.
+// closeConnection closes the connection of an attempt. The host stops its work when the close arrives.
 func (a *attempt) closeConnection() {
 	w, h := a.gateway.world, a.host
 	if p := a.gateway.pools[h.Index]; p != nil {
@@ -173,7 +174,8 @@
 	})
 }
 
-// keepConnection leaves an attempt's connection idle for the next one.
+// keepConnection keeps the connection of a finished attempt in the pool, or closes it if the host is not
+// ready or has restarted.
 func (a *attempt) keepConnection() {
 	p := a.gateway.pools[a.host.Index]
 	if !a.gateway.usable[a.host.Index] || a.incarnation != a.host.Incarnation {
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/vfaults.go
@@ -7,7 +7,8 @@
 	"lynxspool"
 )
 
-// faultTargets are the gateways or hosts that a fault strikes, in the parts it is done in.
+// faultTargets selects the targets of a fault among count gateways or hosts and divides them into the
+// steps of the fault.
 func (s *Scenario) faultTargets(count int, zoneOf func(int) string, f *Fault, faultIndex int) [][]int {
 	var candidates []int
 	for i := range count {
@@ -28,8 +29,7 @@
 	return byStep
 }
 
-// zoneOfHost and zoneOfGateway name the zone of each; gateways are spread over the zones
-// in equal runs of ranks.
+// zoneOfHost returns the zone of a host.
 func (s *Scenario) zoneOfHost(i int) string {
 	for _, g := range s.Hosts {
 		if i < g.Count {
@@ -40,6 +40,7 @@
 	return ""
 }
 
+// zoneOfGateway returns the zone of a gateway. Each zone has an equal range of consecutive ranks.
 func (s *Scenario) zoneOfGateway(i int) string {
 	var zones []string
 	for _, g := range s.Hosts {
@@ -48,6 +49,7 @@
 	return zones[i*len(zones)/s.Gateways.Count]
 }
 
+// hostCount returns the number of hosts when the run starts.
 func (s *Scenario) hostCount() (n int) {
 	for _, g := range s.Hosts {
 		n += g.Count
@@ -55,7 +57,7 @@
 	return n
 }
 
-// scheduleFaults puts the time line into the queue.
+// scheduleFaults schedules the start and the end of every fault.
 func (w *world) scheduleFaults() {
 	s := w.scenario
 	for faultIndex := range s.Faults {
@@ -98,6 +100,7 @@
 	}
 }
 
+// applyCatalogFault starts a fault of the list service, or ends it if on is false.
 func (w *world) applyCatalogFault(f *Fault, on bool) {
 	for i, c := range w.catalogs {
 		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(w.catalogs)))) {
@@ -113,11 +116,12 @@
 		}
 		c.setMode(mode)
 		if f.Action == "kill-leader" {
-			return // the first instance leads
+			return // the first instance is the leader
 		}
 	}
 }
 
+// scheduleLinkFault schedules the start and the end of a fault of links.
 func (w *world) scheduleLinkFault(f *Fault, faultIndex int) {
 	s := w.scenario
 	fault := &linkFault{action: f.Action, gateways: map[int]bool{}, hosts: map[int]bool{}, delay: f.Delay.std()}
@@ -146,6 +150,7 @@
 	}
 }
 
+// applyGatewayFault starts a fault of a gateway and schedules its end.
 func (w *world) applyGatewayFault(f *Fault, g *gateway) {
 	atEnd := func(do func()) {
 		if f.Length > 0 {
@@ -176,6 +181,8 @@
 	}
 }
 
+// applyHostFault starts a fault of a host and schedules its end, which has no effect if the host has
+// restarted or failed by overload meanwhile.
 func (w *world) applyHostFault(f *Fault, h *Host) {
 	i, incarnation := h.Index, h.Incarnation
 	atEnd := func(do func()) {
