--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -19,19 +19,19 @@
 	"lynxspool/internal/faultnet"
 )
 
-// RealOptions say where the real engine finds things.
+// RealOptions configures the real engine.
 type RealOptions struct {
-	Bin      string    // folder with the binaries dunemoor and catalog
-	Dir      string    // for logs and data; "" takes a temporary one, removed at the end
-	Progress io.Writer // progress; nil for none
+	Bin      string    // directory of the binaries dunemoor and catalog
+	Dir      string    // directory for logs and data; empty: a temporary one that is removed at the end
+	Progress io.Writer // receives progress messages; nil: none
 }
 
-// realRun is a play with real processes.
+// realRun is a run with real processes.
 type realRun struct {
 	scenario  *Scenario
 	options   RealOptions
-	dir       string
-	netPrefix string // first three octets' base of the play's loopback addresses: "127.N."
+	dir       string // for logs and data
+	netPrefix string // prefix of the loopback addresses of the run: "127.N."
 	startedAt time.Time
 	ctx       context.Context
 
@@ -42,15 +42,15 @@
 	hosts        []*loopbackHost
 	gateways     []*realGateway
 	catalogs     []*realCatalog
-	busyListener net.Listener // answers 503 to all, for a list service that is busy
+	busyListener net.Listener // answers 503 to everything, in place of a busy list service; nil until needed
 	httpClient   *http.Client
 
 	edgeMu sync.Mutex
 	edge   edgeBalancer
 }
 
-// Real plays a scenario with real gateways and catalogs on loopback. Every process that it
-// starts has ended when it returns; should this process die, the kernel ends them.
+// Real runs a scenario with real gateways and catalogs on loopback. All processes that it started have
+// exited when it returns. If this process dies, the kernel kills them.
 func Real(ctx context.Context, s *Scenario, opt RealOptions) (*Result, error) {
 	if err := s.preflight(); err != nil {
 		return nil, err
@@ -91,21 +91,22 @@
 	fmt.Fprintf(opt.Progress, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(p.hosts), len(p.catalogs))
 	p.run()
 	if err := ctx.Err(); err != nil {
-		return nil, errors.New("ended before its time")
+		return nil, errors.New("interrupted before the end of the run")
 	}
 	return p.result(), nil
 }
 
-// now is the time since the play began.
+// now returns the time since the run started.
 func (p *realRun) now() Time { return time.Since(p.startedAt) }
 
+// record calls do with the recorder and the present time, under the lock of the recorder.
 func (p *realRun) record(do func(r *Recorder, now Time)) {
 	p.recorderMu.Lock()
 	defer p.recorderMu.Unlock()
 	do(p.recorder, p.now())
 }
 
-// at runs something at a time of the play, unless it has ended.
+// at calls do at a time of the run, unless the run has ended by then.
 func (p *realRun) at(t Time, do func()) {
 	go func() {
 		select {
@@ -116,6 +117,7 @@
 	}()
 }
 
+// setUp starts the hosts and the catalogs and writes the configuration of the gateways.
 func (p *realRun) setUp() error {
 	s := p.scenario
 	for i := range s.Hosts {
@@ -150,7 +152,8 @@
 	return nil
 }
 
-// restartColdHosts makes cold hosts start now, as setting up took time, and lists them so.
+// restartColdHosts sets the start of the cold hosts to the start of the run, as the setup takes time, and
+// updates them on the list.
 func (p *realRun) restartColdHosts() error {
 	for _, host := range p.hosts {
 		if host.model.Spec.Cold {
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// run starts the gateways, sends the load and works off the time line.
+// run starts the gateways, sends the load and carries out the faults.
 func (p *realRun) run() {
 	s := p.scenario
 	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
@@ -216,7 +219,8 @@
 	clients.Wait()
 }
 
-// samplePending counts what the catalogs sent and what the hosts hold, once a bin.
+// samplePending records how many requests the hosts hold and how many bytes the catalogs have sent. It is
+// called once per bin.
 func (p *realRun) samplePending() {
 	var pending []int
 	for _, host := range p.hosts {
@@ -236,8 +240,8 @@
 	})
 }
 
-// runClient is a client: one runClient through the gateway that the front names, and again
-// after a refusal as often as clients do.
+// runClient acts as a client: it sends a request to the gateway that the edge balancer picks and retries
+// after refusals.
 func (p *realRun) runClient(a Arrival) {
 	class := &p.scenario.Classes[a.Class]
 	arrived := p.now()
@@ -255,11 +259,12 @@
 	}
 }
 
+// sendRequest sends a request once and returns how it ended and after what time.
 func (p *realRun) sendRequest(a *Arrival, class *Class) (End, time.Duration) {
 	p.edgeMu.Lock()
-	gateway := p.edge.pick(a.GatewayQuantile)
+	rank := p.edge.pick(a.GatewayQuantile)
 	p.edgeMu.Unlock()
-	if gateway < 0 {
+	if rank < 0 {
 		return NoLiveGateway, 0
 	}
 	method, body := http.MethodGet, io.Reader(nil)
@@ -268,7 +273,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, class.Deadline.std()+500*time.Millisecond)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/api/%d/%d", p.gateways[gateway].addr,
+	url := fmt.Sprintf("http://%s/api/%d/%d", p.gateways[rank].addr,
 		int(a.WorkFactor*float64(class.Work)/1e3), int(a.WaitFactor*float64(class.WaitTime)/1e3))
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
@@ -276,7 +281,7 @@
 	}
 	req.Header.Set("X-Priority-Class", class.Name)
 	req.Header.Set("X-Timeout", fmt.Sprintf("%.3f", class.Deadline.std().Seconds()))
-	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Retries, gateway))
+	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Retries, rank))
 	if a.Retries > 0 {
 		req.Header.Set("X-Retried", "1")
 	}
@@ -304,6 +309,7 @@
 	return Failed, elapsed
 }
 
+// result returns the figures of the run.
 func (p *realRun) result() *Result {
 	p.recorderMu.Lock()
 	defer p.recorderMu.Unlock()
@@ -329,7 +335,7 @@
 	return r
 }
 
-// close ends every process and listener of the play.
+// close ends all processes and listeners of the run.
 func (p *realRun) close() {
 	var ends sync.WaitGroup
 	for _, g := range p.gateways {
@@ -352,8 +358,8 @@
 	}
 }
 
-// starter starts processes from one locked thread: they are tied to it, so that the kernel
-// ends them should this process die in any way.
+// starter starts processes from one locked thread. Their parent death signal is bound to that thread, so
+// that the kernel kills them if this process dies.
 type starter struct{ calls chan func() }
 
 func newStarter() *starter {
@@ -367,12 +373,13 @@
 	return s
 }
 
-// start also tells when the process was started, as starts wait for each other.
+// start starts a process and returns its start time, which may be later than the call as starts wait for
+// each other.
 func (s *starter) start(dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
 	return s.startWith(nil, dir, name, bin, args, env...)
 }
 
-// startWith is start for a process that inherits files.
+// startWith is like start, for a process that inherits open files.
 func (s *starter) startWith(files []*os.File, dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
 	done := make(chan struct{})
 	s.calls <- func() {
@@ -384,11 +391,13 @@
 	return p, at, err
 }
 
+// end ends the thread. No process may be running then.
 func (s *starter) end() { close(s.calls) }
 
+// jsonText encodes a value as JSON.
 func jsonText(v any) ([]byte, error) { return json.Marshal(v) }
 
-// writeJSON writes a configuration file.
+// writeJSON writes a value to a file as JSON.
 func writeJSON(path string, v any) error {
 	text, err := jsonText(v)
 	if err != nil {
@@ -397,4 +406,5 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
+// listenLoopback listens on a free loopback port.
 func listenLoopback() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -15,32 +15,33 @@
 	"lynxspool/internal/faultnet"
 )
 
-// realGateway is one dunemoor process, with the front's calls for its health.
+// realGateway is a gateway process, with the health checks of the edge balancer.
 type realGateway struct {
 	run          *realRun
 	rank         int
-	configured   int
+	configured   int // number of gateways that its settings state
 	addr         string
-	configPath   string // path of its configuration
-	hasSavedList bool
+	configPath   string
+	hasSavedList bool // its configuration holds a saved host list
 
 	mu         sync.Mutex
-	proc       *faultnet.Proc
-	generation int
+	proc       *faultnet.Proc // nil: it does not run
+	generation int            // raised at each start and exit of the process
 	ready      bool
 }
 
-// configure writes its configuration file; saved gives it the list as it is now.
+// configure writes the configuration file, with the present host list if hasSavedList is set.
 func (g *realGateway) configure(hasSavedList bool) error {
 	g.hasSavedList = hasSavedList
 	return g.writeConfig()
 }
 
+// writeConfig writes the configuration file.
 func (g *realGateway) writeConfig() error {
 	type object map[string]any
 	p := g.run
 	var addrs []string
-	for i := range p.catalogs { // each begins at another instance
+	for i := range p.catalogs { // the gateways start with different instances
 		addrs = append(addrs, p.catalogs[(g.rank+i)%len(p.catalogs)].link.Addr)
 	}
 	known := object{"version": 0, "full": true, "servers": []object{}}
@@ -68,9 +69,10 @@
 	return writeJSON(g.configPath, config)
 }
 
+// memberAddr returns the address for the membership protocol.
 func (g *realGateway) memberAddr() string { return strings.Replace(g.addr, ":9000", ":7946", 1) }
 
-// start starts the process and then asks for its health until it is ready.
+// start starts the process and its health checks.
 func (g *realGateway) start() {
 	name := fmt.Sprintf("g%04d", g.rank)
 	g.mu.Lock()
@@ -89,7 +91,8 @@
 	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
-// awaitReady asks for the health of a process until it is ready or ends.
+// awaitReady checks the health of a process until it is ready or has exited. The edge balancer admits it
+// when it is ready.
 func (g *realGateway) awaitReady(generation int, began Time) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -127,13 +130,14 @@
 	}
 }
 
+// setAdmitted adds the gateway to those that the edge balancer admits, or removes it.
 func (g *realGateway) setAdmitted(admitted bool) {
 	g.run.edgeMu.Lock()
 	defer g.run.edgeMu.Unlock()
 	g.run.edge.setAdmitted(g.rank, admitted)
 }
 
-// kill ends the process; the front notices after a while.
+// kill kills the process. The edge balancer notices after EdgeDetection.
 func (g *realGateway) kill() {
 	g.mu.Lock()
 	proc := g.proc
@@ -154,6 +158,7 @@
 	})
 }
 
+// withProcess calls do with the process if there is one.
 func (g *realGateway) withProcess(do func(*faultnet.Proc)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -162,18 +167,19 @@
 	}
 }
 
-// realCatalog is one catalog process and the link that gateways reach it by.
+// realCatalog is a catalog process and the link through which gateways reach it.
 type realCatalog struct {
 	run          *realRun
 	id           string
 	args         []string
 	httpAddr     string
 	link         *faultnet.Link
-	countedBytes int64
+	countedBytes int64 // bytes from the catalog that the recorder has counted
 	mu           sync.Mutex
-	proc         *faultnet.Proc
+	proc         *faultnet.Proc // nil: it does not run
 }
 
+// start starts the process unless it runs.
 func (c *realCatalog) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,6 +191,7 @@
 	return err
 }
 
+// kill kills the process if it runs.
 func (c *realCatalog) kill() {
 	c.mu.Lock()
 	proc := c.proc
@@ -195,7 +202,8 @@
 	}
 }
 
-// startCatalogs starts the list service and lists all hosts.
+// startCatalogs starts the list service and adds all hosts to the list. Connections of gateways count as
+// calls from then on.
 func (p *realRun) startCatalogs() error {
 	n := p.scenario.Catalog.Instances
 	var peers []string
@@ -231,7 +239,7 @@
 	return nil
 }
 
-// listEntry is a host as the list has it.
+// listEntry returns a host in the format of the list.
 func (p *realRun) listEntry(host *loopbackHost) map[string]any {
 	started := int64(0)
 	host.mu.Lock()
@@ -243,7 +251,7 @@
 		"state": "ready", "weight": 1, "started_ms": started}
 }
 
-// listHost writes a host to the listHost, at whichever instance takes it, for 15 s at most.
+// listHost writes a host to the list.
 func (p *realRun) listHost(host *loopbackHost) error {
 	entry := p.listEntry(host)
 	id := entry["id"].(string)
@@ -251,6 +259,8 @@
 	return p.writeMember(http.MethodPut, id, entry)
 }
 
+// writeMember sends a change of a host to the catalogs in turn until one accepts it. It gives up after 150
+// attempts, which are 100 ms apart.
 func (p *realRun) writeMember(method, id string, body any) error {
 	var lastErr error
 	for attempt := range 150 {
@@ -286,7 +296,7 @@
 	return fmt.Errorf("host %s could not be listed: %w", id, lastErr)
 }
 
-// scheduleFaults puts the time line into force.
+// scheduleFaults schedules the start and the end of every fault.
 func (p *realRun) scheduleFaults() {
 	s := p.scenario
 	for faultIndex := range s.Faults {
@@ -313,6 +323,7 @@
 	}
 }
 
+// applyCatalogFault starts a fault of the list service, or ends it if on is false.
 func (p *realRun) applyCatalogFault(f *Fault, on bool) {
 	for i, c := range p.catalogs {
 		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(p.catalogs)))) {
@@ -331,7 +342,7 @@
 			c.link.Delay(f.Delay.std())
 		case f.Action == "busy" && on:
 			c.link.Retarget(p.busyAddr())
-			c.link.Set(faultnet.Reset) // what is open ends, as at a service that starts anew
+			c.link.Set(faultnet.Reset) // closes the open connections, as a restart of the service does
 			c.link.Set(faultnet.Pass)
 		case !on:
 			c.link.Delay(0)
@@ -343,7 +354,7 @@
 	}
 }
 
-// busyAddr is a server that answers 503 to all.
+// busyAddr returns the address of an HTTP server that answers 503 to everything. The first call starts it.
 func (p *realRun) busyAddr() string {
 	if p.busyListener == nil {
 		ln, err := listenLoopback()
@@ -359,7 +370,7 @@
 	return p.busyListener.Addr().String()
 }
 
-// leader is the catalog that says it leads, or the first.
+// leader returns the catalog that reports to be the leader, or the first if none does.
 func (p *realRun) leader() *realCatalog {
 	for _, c := range p.catalogs {
 		if resp, err := p.httpClient.Get("http://" + c.httpAddr + "/catalog/status"); err == nil {
@@ -373,6 +384,7 @@
 	return p.catalogs[0]
 }
 
+// applyGatewayFault starts a fault of a gateway and schedules its end.
 func (p *realRun) applyGatewayFault(f *Fault, g *realGateway) {
 	atEnd := func(do func()) {
 		if f.Length > 0 || f.Action == "restart" {
@@ -394,11 +406,12 @@
 	case "reconfigure":
 		g.configured = max(1, int(f.Factor*float64(p.scenario.Gateways.Configured)))
 		if g.writeConfig() == nil {
-			g.withProcess(func(q *faultnet.Proc) { q.Signal(syscall.SIGHUP) })
+			g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGHUP) })
 		}
 	}
 }
 
+// applyHostFault starts a fault of a host and schedules its end.
 func (p *realRun) applyHostFault(f *Fault, host *loopbackHost) {
 	listingDelay := p.scenario.Catalog.ListingDelay.std()
 	atEnd := func(do func()) {
--- a/internal/fleetlab/standin.go
+++ b/internal/fleetlab/standin.go
@@ -14,26 +14,27 @@
 	"time"
 )
 
-// loopbackHost is a host on a loopback socket for the real engine: the Host model told by real
-// events. A request's work and wait stand in its path, /api/WORK/WAITS in microseconds.
+// loopbackHost is a host of the real engine: a server on a loopback address that answers as the Host model
+// does. The path of a request gives its work and its wait time in microseconds: /api/WORK/WAIT.
 type loopbackHost struct {
 	run  *realRun
 	addr string
 
 	mu       sync.Mutex
 	model    *Host
-	listener net.Listener // nil while its process is down
-	conns    map[net.Conn]int
-	timer    *time.Timer
+	listener net.Listener     // nil while the process of the host is down
+	conns    map[net.Conn]int // open connections and the incarnation of each
+	timer    *time.Timer      // fires at the next completion of the model
 }
 
+// newLoopbackHost returns a host that listens.
 func newLoopbackHost(p *realRun, h *Host, addr string) (*loopbackHost, error) {
 	s := &loopbackHost{run: p, model: h, addr: addr, conns: map[net.Conn]int{}}
 	s.timer = time.AfterFunc(time.Hour, s.advance)
 	return s, s.listen()
 }
 
-// listen begins to accept. A machine that is back may find its port held for a moment.
+// listen opens the listening socket.
 func (s *loopbackHost) listen() error {
 	ln, err := listenAndServe(s.addr, s.serve)
 	if err != nil {
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// listenAndServe serves the connections that come to an address, which may have been served just now.
+// listenAndServe accepts connections at an address and serves each in a goroutine. The address may have
+// been in use just before, so that its port is still held by closed connections.
 func listenAndServe(addr string, serve func(net.Conn)) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
@@ -66,8 +68,8 @@
 	return ln, nil
 }
 
-// update lets a change be made to the model; down resets all connections and refuses new ones,
-// until listen.
+// update applies a change to the model. If down is set it resets all connections and refuses new ones
+// until the next call of listen.
 func (s *loopbackHost) update(change func(h *Host), down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,13 +87,14 @@
 	}
 }
 
-// advance brings the model up to now. s.mu is not held.
+// advance advances the model to the present time.
 func (s *loopbackHost) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advanceLocked()
 }
 
+// advanceLocked is advance for callers that hold s.mu.
 func (s *loopbackHost) advanceLocked() {
 	now := s.run.now()
 	for _, j := range s.model.Advance(now) {
@@ -109,10 +112,10 @@
 	}
 }
 
-// serve speaks with one connection until it ends.
+// serve serves a connection until it is closed.
 func (s *loopbackHost) serve(conn net.Conn) {
 	defer conn.Close()
-	s.run.record(func(request *Recorder, now Time) { request.RecordNewConn(s.model.Index, now) })
+	s.run.record(func(recorder *Recorder, now Time) { recorder.RecordNewConn(s.model.Index, now) })
 	s.mu.Lock()
 	incarnation, accepted := s.model.Incarnation, s.model.Connect()
 	s.conns[conn] = incarnation
@@ -125,7 +128,7 @@
 		}
 		s.mu.Unlock()
 	}()
-	// A reader of its own, so that a caller that hangs up is seen while its request runs.
+	// Requests are read in a goroutine of their own, so that a close is noticed while a request runs.
 	requests := make(chan *http.Request)
 	ended := make(chan struct{})
 	served := make(chan struct{})
@@ -134,12 +137,12 @@
 		defer close(ended)
 		in := bufio.NewReader(conn)
 		for {
-			r, err := http.ReadRequest(in)
+			request, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
 			select {
-			case requests <- r:
+			case requests <- request:
 			case <-served:
 				return
 			}
@@ -157,20 +160,20 @@
 	}
 }
 
-// handleRequest takes one request and says whether the connection goes on.
-func (s *loopbackHost) handleRequest(conn net.Conn, r *http.Request, first, accepted bool, ended <-chan struct{}) bool {
+// handleRequest answers a request and reports whether the connection stays open.
+func (s *loopbackHost) handleRequest(conn net.Conn, request *http.Request, first, accepted bool, ended <-chan struct{}) bool {
 	if !accepted {
 		writeResponse(conn, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", "")
 		return false
 	}
-	work, waits, err := parseWork(r.URL.Path)
+	work, waitTime, err := parseWork(request.URL.Path)
 	if err != nil {
 		writeResponse(conn, "404 Not Found", "", "")
 		return true
 	}
-	s.run.record(func(rec *Recorder, now Time) { rec.RecordHostRequest(s.model.Index, now) })
+	s.run.record(func(recorder *Recorder, now Time) { recorder.RecordHostRequest(s.model.Index, now) })
 	done := make(chan bool, 1)
-	job := &Job{Work: work, WaitTime: waits, Notified: true, Done: func(ok bool) { done <- ok }}
+	job := &Job{Work: work, WaitTime: waitTime, Notified: true, Done: func(ok bool) { done <- ok }}
 	if first {
 		job.Work += s.model.rules.ConnCost.std()
 	}
@@ -208,22 +211,24 @@
 	}
 }
 
-func parseWork(path string) (work, waits time.Duration, err error) {
+// parseWork returns the work and the wait time that the path of a request gives.
+func parseWork(path string) (work, waitTime time.Duration, err error) {
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
 		return 0, 0, errors.New("no such path")
 	}
-	w, err1 := strconv.Atoi(parts[2])
-	x, err2 := strconv.Atoi(parts[3])
-	return time.Duration(w) * time.Microsecond, time.Duration(x) * time.Microsecond, errors.Join(err1, err2)
+	w, workErr := strconv.Atoi(parts[2])
+	x, waitErr := strconv.Atoi(parts[3])
+	return time.Duration(w) * time.Microsecond, time.Duration(x) * time.Microsecond, errors.Join(workErr, waitErr)
 }
 
+// writeResponse writes a response and reports whether that succeeded.
 func writeResponse(conn net.Conn, status, header, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	return err == nil
 }
 
-// close ends it.
+// close stops the host.
 func (s *loopbackHost) close() {
 	s.update(func(h *Host) { h.Kill() }, true)
 	s.timer.Stop()
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -277,12 +277,12 @@
 		w.dispatchOracle(a)
 		return
 	}
-	i := w.edgeBalancer.pick(a.GatewayQuantile)
-	if i < 0 || !w.gateways[i].up {
+	rank := w.edgeBalancer.pick(a.GatewayQuantile)
+	if rank < 0 || !w.gateways[rank].up {
 		w.recorder.RecordEnd(a.At, NoLiveGateway, 0)
 		return
 	}
-	g := w.gateways[i]
+	g := w.gateways[rank]
 	g.handle(func() { g.handleRequest(a) })
 }
 
