--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -23,7 +23,7 @@
 rate = 200
 `
 
-// allFaultsScenario has each kind of fault once.
+// allFaultsScenario has a fault on each kind of target but members.
 const allFaultsScenario = smallScenario + `
 retries = 1
 [[fault]]
@@ -81,15 +81,15 @@
 	a, _ := json.Marshal(Virtual(s))
 	b, _ := json.Marshal(Virtual(s))
 	if string(a) != string(b) {
-		t.Error("two plays of one seed differ")
+		t.Error("two runs of the same seed differ")
 	}
 	s.Seed++
 	if c, _ := json.Marshal(Virtual(s)); string(a) == string(c) {
-		t.Error("another seed gives the same play")
+		t.Error("another seed gives the same run")
 	}
 }
 
-// Every request that was drawn has one end, whatever fails, and the oracle is a ceiling.
+// Every request that was drawn ends exactly once under any fault, and the oracle serves no fewer than the fleet.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	s := parse(t, allFaultsScenario)
 	drawn := 0
@@ -100,7 +100,7 @@
 	}
 	r, o := Virtual(s), Oracle(s)
 	if r.Requests.Sent != drawn || o.Requests.Sent != drawn {
-		t.Errorf("%d requests drawn, %d ended, %d at the oracle", drawn, r.Requests.Sent, o.Requests.Sent)
+		t.Errorf("%d requests drawn, %d ended, %d ended with the oracle", drawn, r.Requests.Sent, o.Requests.Sent)
 	}
 	if r.Requests.Served == 0 || r.Requests.Lost == 0 || o.Requests.Served < r.Requests.Served {
 		t.Errorf("gateways %+v, oracle %+v", r.Requests, o.Requests)
@@ -137,33 +137,33 @@
 	}
 }
 
-// A cold host stands what the rules allow in any window and falls above it; a warm one
-// never falls; the share of those that had been told is kept.
+// A cold host accepts what the rules allow in any window and fails above that. A warm host never fails by
+// overload. The share of the overload that notified gateways sent is recorded.
 func TestHostFailsOnOverload(t *testing.T) {
-	s := parse(t, smallScenario) // 10 ms of mean work, cold from 0.13, factor 3, over 2 s
-	push := func(h *Host, n int, told bool) {
+	scenario := parse(t, smallScenario) // mean work 10 ms, cold capacity 0.13, overload factor 3, window 2 s
+	send := func(h *Host, n int, notified bool) {
 		for range n {
-			h.Arrive(1, &Job{Work: 10 * time.Millisecond, Notified: told})
+			h.Arrive(1, &Job{Work: 10 * time.Millisecond, Notified: notified})
 		}
 	}
-	cold, warm := NewHost(0, "c", &s.Hosts[1], s), NewHost(1, "w", &s.Hosts[0], s)
-	// 3 x 13 a second x 2 s = 78, and 2 x root(78) + 2 = 19.7 of slack.
-	push(cold, 97, true)
+	cold, warm := NewHost(0, "c", &scenario.Hosts[1], scenario), NewHost(1, "w", &scenario.Hosts[0], scenario)
+	// The budget is 3 * 13 requests per second * 2 s = 78, plus an allowance of 2 * sqrt(78) + 2 = 19.7.
+	send(cold, 97, true)
 	if cold.Overloaded {
-		t.Fatal("it fell within its budget")
+		t.Fatal("the cold host failed within its budget")
 	}
-	push(cold, 1, false)
+	send(cold, 1, false)
 	if !cold.Overloaded || cold.NotifiedShare < 0.98 || cold.Condition != Dead {
-		t.Errorf("over its budget: fell %v, by the told %v", cold.Overloaded, cold.NotifiedShare)
+		t.Errorf("over its budget: failed %v, share of notified gateways %v", cold.Overloaded, cold.NotifiedShare)
 	}
-	if push(warm, 5000, true); warm.Overloaded {
-		t.Error("a warm host fell")
+	if send(warm, 5000, true); warm.Overloaded {
+		t.Error("the warm host failed by overload")
 	}
 }
 
-// One core at half speed does 50 requests of 10 ms a second, in turn; what is called off
-// takes no more of it, and over the queue they are turned away.
-func TestHostWorksInTurn(t *testing.T) {
+// One core at half speed serves 50 requests of 10 ms per second, one after another. A cancelled request
+// takes no further time of the core, and requests over the queue limit are rejected.
+func TestHostServesOneAfterAnother(t *testing.T) {
 	s := parse(t, smallScenario)
 	s.Hosts[0].Speed = 0.5
 	h := NewHost(0, "h", &s.Hosts[0], s)
@@ -178,10 +178,10 @@
 	for _, j := range jobs[1:31] {
 		h.Cancel(0, j)
 	}
-	if done := len(h.Advance(time.Second / 2)); done != 24 { // 25 x 20 ms, and a nanosecond each
-		t.Errorf("%d done in half a second", done)
+	if done := len(h.Advance(time.Second / 2)); done != 24 { // 25 * 20 ms, but each takes a nanosecond more
+		t.Errorf("%d requests completed in half a second, want 24", done)
 	}
 	if !h.Release(jobs[0]) || h.Release(jobs[1]) {
-		t.Error("a job was released though called off, or not though done")
+		t.Error("Release succeeded for a cancelled job, or failed for a completed one")
 	}
 }
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -65,78 +65,78 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p := &realRun{scenario: s, options: opt, dir: opt.Dir, ctx: ctx, recorder: NewRecorder(s), edge: newEdgeBalancer(s),
+	run := &realRun{scenario: s, options: opt, dir: opt.Dir, ctx: ctx, recorder: NewRecorder(s), edge: newEdgeBalancer(s),
 		netPrefix: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: newStarter()}
-	defer p.starter.end()
-	if p.dir == "" {
+	defer run.starter.end()
+	if run.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetlab")
 		if err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		p.dir = dir
+		run.dir = dir
 	}
-	p.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
+	run.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
-	defer p.httpClient.CloseIdleConnections()
-	defer p.close()
-	p.startedAt = time.Now()
-	if err := p.setUp(); err != nil {
+	defer run.httpClient.CloseIdleConnections()
+	defer run.close()
+	run.startedAt = time.Now()
+	if err := run.setUp(); err != nil {
 		return nil, err
 	}
-	p.startedAt = time.Now()
-	if err := p.restartColdHosts(); err != nil {
+	run.startedAt = time.Now()
+	if err := run.restartColdHosts(); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(opt.Progress, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(p.hosts), len(p.catalogs))
-	p.run()
+	fmt.Fprintf(opt.Progress, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(run.hosts), len(run.catalogs))
+	run.execute()
 	if err := ctx.Err(); err != nil {
 		return nil, errors.New("interrupted before the end of the run")
 	}
-	return p.result(), nil
+	return run.result(), nil
 }
 
 // now returns the time since the run started.
-func (p *realRun) now() Time { return time.Since(p.startedAt) }
+func (run *realRun) now() Time { return time.Since(run.startedAt) }
 
 // record calls do with the recorder and the present time, under the lock of the recorder.
-func (p *realRun) record(do func(r *Recorder, now Time)) {
-	p.recorderMu.Lock()
-	defer p.recorderMu.Unlock()
-	do(p.recorder, p.now())
+func (run *realRun) record(do func(r *Recorder, now Time)) {
+	run.recorderMu.Lock()
+	defer run.recorderMu.Unlock()
+	do(run.recorder, run.now())
 }
 
 // at calls do at a time of the run, unless the run has ended by then.
-func (p *realRun) at(t Time, do func()) {
+func (run *realRun) at(t Time, do func()) {
 	go func() {
 		select {
-		case <-p.ctx.Done():
-		case <-time.After(t - p.now()):
+		case <-run.ctx.Done():
+		case <-time.After(t - run.now()):
 			do()
 		}
 	}()
 }
 
 // setUp starts the hosts and the catalogs and writes the configuration of the gateways.
-func (p *realRun) setUp() error {
-	s := p.scenario
+func (run *realRun) setUp() error {
+	s := run.scenario
 	for i := range s.Hosts {
 		for range s.Hosts[i].Count {
-			index := len(p.hosts)
+			index := len(run.hosts)
 			model := NewHost(index, fmt.Sprintf("s-%04d", index), &s.Hosts[i], s)
-			host, err := newLoopbackHost(p, model, fmt.Sprintf("%s%d.%d:9000", p.netPrefix, 200+index/250, 1+index%250))
+			host, err := newLoopbackHost(run, model, fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 200+index/250, 1+index%250))
 			if err != nil {
 				return err
 			}
-			p.hosts = append(p.hosts, host)
+			run.hosts = append(run.hosts, host)
 		}
 	}
-	if err := p.startCatalogs(); err != nil {
+	if err := run.startCatalogs(); err != nil {
 		return err
 	}
 	for i := range s.Gateways.Count {
-		p.gateways = append(p.gateways, &realGateway{run: p, rank: i, configured: s.Gateways.Configured,
-			addr: fmt.Sprintf("%s%d.%d:9000", p.netPrefix, 1+i/250, 1+i%250)})
+		run.gateways = append(run.gateways, &realGateway{run: run, rank: i, configured: s.Gateways.Configured,
+			addr: fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 1+i/250, 1+i%250)})
 	}
 	hasSavedList := map[int]bool{}
 	if s.Gateways.SavedListShare > 0 {
@@ -144,7 +144,7 @@
 			hasSavedList[i] = true
 		}
 	}
-	for i, g := range p.gateways {
+	for i, g := range run.gateways {
 		if err := g.configure(hasSavedList[i]); err != nil {
 			return err
 		}
@@ -154,13 +154,13 @@
 
 // restartColdHosts sets the start of the cold hosts to the start of the run, as the setup takes time, and
 // updates them on the list.
-func (p *realRun) restartColdHosts() error {
-	for _, host := range p.hosts {
+func (run *realRun) restartColdHosts() error {
+	for _, host := range run.hosts {
 		if host.model.Spec.Cold {
 			host.mu.Lock()
 			host.model.Started = 0
 			host.mu.Unlock()
-			if err := p.listHost(host); err != nil {
+			if err := run.listHost(host); err != nil {
 				return err
 			}
 		}
@@ -168,17 +168,17 @@
 	return nil
 }
 
-// run starts the gateways, sends the load and carries out the faults.
-func (p *realRun) run() {
-	s := p.scenario
+// execute starts the gateways, sends the load and carries out the faults.
+func (run *realRun) execute() {
+	s := run.scenario
 	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
-	for i, g := range p.gateways {
+	for i, g := range run.gateways {
 		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
 		if present[i] {
-			p.at(at, g.start)
+			run.at(at, g.start)
 		}
 	}
-	p.scheduleFaults()
+	run.scheduleFaults()
 	var clients sync.WaitGroup
 	arrivals := newArrivals(s)
 	sampleTicker := time.NewTicker(binWidth)
@@ -191,20 +191,20 @@
 			until = next.At
 		}
 		select {
-		case <-p.ctx.Done():
+		case <-run.ctx.Done():
 			return
 		case <-sampleTicker.C:
-			p.samplePending()
-			if now := p.now(); now-lastProgress >= 5*time.Second {
+			run.samplePending()
+			if now := run.now(); now-lastProgress >= 5*time.Second {
 				lastProgress = now
-				p.recorderMu.Lock()
-				e := p.recorder.ends
-				fmt.Fprintf(p.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
-					now.Seconds(), p.recorder.readyTimes.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGateway])
-				p.recorderMu.Unlock()
+				run.recorderMu.Lock()
+				e := run.recorder.ends
+				fmt.Fprintf(run.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
+					now.Seconds(), run.recorder.readyTimes.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGateway])
+				run.recorderMu.Unlock()
 			}
 			continue
-		case <-time.After(until - p.now()):
+		case <-time.After(until - run.now()):
 		}
 		if !more {
 			break
@@ -212,7 +212,7 @@
 		clients.Add(1)
 		go func(a Arrival) {
 			defer clients.Done()
-			p.runClient(a)
+			run.runClient(a)
 		}(next)
 		next, more = arrivals.draw()
 	}
@@ -221,18 +221,18 @@
 
 // samplePending records how many requests the hosts hold and how many bytes the catalogs have sent. It is
 // called once per bin.
-func (p *realRun) samplePending() {
+func (run *realRun) samplePending() {
 	var pending []int
-	for _, host := range p.hosts {
+	for _, host := range run.hosts {
 		host.mu.Lock()
 		if host.model.Condition == Serving {
 			pending = append(pending, host.model.Pending())
 		}
 		host.mu.Unlock()
 	}
-	p.record(func(r *Recorder, now Time) {
+	run.record(func(r *Recorder, now Time) {
 		r.RecordPending(now, pending)
-		for i, c := range p.catalogs {
+		for i, c := range run.catalogs {
 			bytes := c.link.BytesFromTarget()
 			r.catalogBytes[i] += bytes - c.countedBytes
 			c.countedBytes = bytes
@@ -242,28 +242,28 @@
 
 // runClient acts as a client: it sends a request to the gateway that the edge balancer picks and retries
 // after refusals.
-func (p *realRun) runClient(a Arrival) {
-	class := &p.scenario.Classes[a.Class]
-	arrived := p.now()
+func (run *realRun) runClient(a Arrival) {
+	class := &run.scenario.Classes[a.Class]
+	arrived := run.now()
 	for ; ; a.Retries++ {
-		end, took := p.sendRequest(&a, class)
-		if end == Refused && a.Retries < p.scenario.Load.Retries {
+		end, took := run.sendRequest(&a, class)
+		if end == Refused && a.Retries < run.scenario.Load.Retries {
 			select {
-			case <-p.ctx.Done():
-			case <-time.After(p.scenario.Load.RetryWait.std()):
+			case <-run.ctx.Done():
+			case <-time.After(run.scenario.Load.RetryWait.std()):
 				continue
 			}
 		}
-		p.record(func(r *Recorder, _ Time) { r.RecordEnd(arrived, end, took) })
+		run.record(func(r *Recorder, _ Time) { r.RecordEnd(arrived, end, took) })
 		return
 	}
 }
 
 // sendRequest sends a request once and returns how it ended and after what time.
-func (p *realRun) sendRequest(a *Arrival, class *Class) (End, time.Duration) {
-	p.edgeMu.Lock()
-	rank := p.edge.pick(a.GatewayQuantile)
-	p.edgeMu.Unlock()
+func (run *realRun) sendRequest(a *Arrival, class *Class) (End, time.Duration) {
+	run.edgeMu.Lock()
+	rank := run.edge.pick(a.GatewayQuantile)
+	run.edgeMu.Unlock()
 	if rank < 0 {
 		return NoLiveGateway, 0
 	}
@@ -271,9 +271,9 @@
 	if class.Effect == "at_most_once" {
 		method, body = http.MethodPost, strings.NewReader("x")
 	}
-	ctx, cancel := context.WithTimeout(p.ctx, class.Deadline.std()+500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(run.ctx, class.Deadline.std()+500*time.Millisecond)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/api/%d/%d", p.gateways[rank].addr,
+	url := fmt.Sprintf("http://%s/api/%d/%d", run.gateways[rank].addr,
 		int(a.WorkFactor*float64(class.Work)/1e3), int(a.WaitFactor*float64(class.WaitTime)/1e3))
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
@@ -286,7 +286,7 @@
 		req.Header.Set("X-Retried", "1")
 	}
 	sentAt := time.Now()
-	resp, err := p.httpClient.Do(req)
+	resp, err := run.httpClient.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
@@ -310,24 +310,24 @@
 }
 
 // result returns the figures of the run.
-func (p *realRun) result() *Result {
-	p.recorderMu.Lock()
-	defer p.recorderMu.Unlock()
-	for _, g := range p.gateways {
+func (run *realRun) result() *Result {
+	run.recorderMu.Lock()
+	defer run.recorderMu.Unlock()
+	for _, g := range run.gateways {
 		g.mu.Lock()
 		if g.proc != nil && !g.ready {
-			p.recorder.neverReady++
+			run.recorder.neverReady++
 		}
 		g.mu.Unlock()
 	}
 	var hosts []*Host
-	for _, host := range p.hosts {
+	for _, host := range run.hosts {
 		host.mu.Lock()
 		defer host.mu.Unlock()
 		hosts = append(hosts, host.model)
 	}
-	r := p.recorder.Result("real", hosts)
-	for i, c := range p.catalogs {
+	r := run.recorder.Result("real", hosts)
+	for i, c := range run.catalogs {
 		if c.proc != nil {
 			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = processUsage(c.proc.Pid())
 		}
@@ -336,24 +336,24 @@
 }
 
 // close ends all processes and listeners of the run.
-func (p *realRun) close() {
+func (run *realRun) close() {
 	var ends sync.WaitGroup
-	for _, g := range p.gateways {
+	for _, g := range run.gateways {
 		ends.Add(1)
 		go func() { defer ends.Done(); g.kill() }()
 	}
-	for _, c := range p.catalogs {
+	for _, c := range run.catalogs {
 		ends.Add(1)
 		go func() { defer ends.Done(); c.kill() }()
 	}
 	ends.Wait()
-	for _, c := range p.catalogs {
+	for _, c := range run.catalogs {
 		c.link.Close()
 	}
-	if p.busyListener != nil {
-		p.busyListener.Close()
+	if run.busyListener != nil {
+		run.busyListener.Close()
 	}
-	for _, host := range p.hosts {
+	for _, host := range run.hosts {
 		host.close()
 	}
 }
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -23,7 +23,7 @@
 	os.Exit(code)
 }
 
-// runReal plays a scenario with real processes, built once without the race detector.
+// runReal runs a scenario with real processes and logs its figures.
 func runReal(t *testing.T, s *Scenario) *Result {
 	t.Helper()
 	bin := buildBinaries(t)
@@ -35,11 +35,12 @@
 	return r
 }
 
-// buildBinaries builds gateway and catalog once, without the race detector, and names their folder.
+// buildBinaries builds the gateway and the catalog once, without the race detector, and returns their
+// directory.
 func buildBinaries(t *testing.T) string {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("starts a hundred processes")
+		t.Skip("starts about a hundred processes")
 	}
 	binaries.once.Do(func() {
 		if binaries.dir, binaries.err = os.MkdirTemp("", "fleetlab-bin"); binaries.err != nil {
@@ -53,24 +54,24 @@
 	return binaries.dir
 }
 
-// 100 real gateways and 20 hosts start cold in the same moment, under load from the first
-// second: each becomes ready by one call, none turned away, no host pushed over, and half
-// of what the oracle serves is served. The bounds count; they time nothing.
+// 100 real gateways and 20 hosts start cold at the same time, under load from the first second. Each gateway
+// becomes ready with about one call, no connection is rejected, no host fails by overload, and half as many
+// requests are served as by the oracle. The bounds are on counts and not on times.
 func TestRealColdStart(t *testing.T) {
 	s := loadScenario(t, "start-cold", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 100, 100, 20, 300
 	s.Length /= 2
 	r, o := runReal(t, s), Oracle(s)
 	if r.Ready.Starts != 100 || r.Ready.Never > 0 || r.Catalogs[0].Calls > 120 || r.Conns.TurnedAway > 0 || r.Falls.Hosts > 0 {
-		t.Error("want 100 ready, 120 calls at most, none turned away, no host fallen")
+		t.Error("want 100 ready gateways, at most 120 calls, no rejected connection and no failed host")
 	}
 	if r.Requests.Served < o.Requests.Served/2 {
-		t.Errorf("%d served, the oracle serves %d", r.Requests.Served, o.Requests.Served)
+		t.Errorf("%d requests served, the oracle serves %d", r.Requests.Served, o.Requests.Served)
 	}
 }
 
-// Seven in ten of 100 real gateways are killed under load and start again: all become
-// ready, no host falls, and nine in ten of what reaches a live gateway is served in time.
+// Of 100 real gateways, 70 % are killed under load and restart. All become ready, no host fails by overload,
+// and 90 % of the requests that reach a live gateway are served in time.
 func TestRealRestartStorm(t *testing.T) {
 	s := loadScenario(t, "restart-storm", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 100, 100, 60, 300
@@ -79,45 +80,45 @@
 	s.Faults[0].Start /= 2
 	r := runReal(t, s)
 	if r.Ready.Starts != 170 || r.Ready.Never > 0 || r.Falls.Hosts > 0 || r.Conns.TurnedAway > 0 {
-		t.Error("want 170 starts to end ready, no host fallen, none turned away")
+		t.Error("want 170 starts that became ready, no failed host and no rejected connection")
 	}
 	if r.Requests.ServedPart < 0.9 {
-		t.Errorf("%.2f of what reached a live gateway was served in time", r.Requests.ServedPart)
+		t.Errorf("%.2f of the requests that reached a live gateway were served in time, want at least 0.9", r.Requests.ServedPart)
 	}
 }
 
-// What no machine has is refused before anything starts, and so is a fault that only the
-// virtual engine can make.
+// A scenario that is too large for any machine, or has a fault that only the virtual engine supports, is
+// rejected before a process starts.
 func TestRealRejectsWhatItCannotRun(t *testing.T) {
 	s := loadScenario(t, "start-warm", 1)
 	s.Gateways.Count = 10_000
 	if err := s.preflight(); err == nil || !strings.Contains(err.Error(), "too large for this machine") {
-		t.Errorf("10,000 gateways: %v", err)
+		t.Errorf("10,000 gateways: got %v", err)
 	}
 	s = parse(t, allFaultsScenario)
 	if err := s.preflight(); err == nil || !strings.Contains(err.Error(), "virtual engine") {
-		t.Errorf("a fault of links: %v", err)
+		t.Errorf("a fault of links: got %v", err)
 	}
 }
 
-// No list service at all, and one in ten of 60 gateways has a list from before: through
-// their peers all become ready and serve, with not one call answered.
+// There is no list service, and one in ten of 60 gateways has a saved list. All become ready through their
+// peers and serve requests, without an answer to any call.
 func TestRealStartThroughPeers(t *testing.T) {
 	s := loadScenario(t, "start-peers", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 60, 60, 20, 120
 	s.Length = s.Length / 5 * 3
-	s.Faults[0].Length = 0 // it stays
+	s.Faults[0].Length = 0 // the fault stays
 	r := runReal(t, s)
 	if r.Ready.Starts != 60 || r.Ready.Never > 0 || r.Catalogs[0].Bytes > 0 {
-		t.Errorf("%d of 60 ready; the catalog answered %d bytes", r.Ready.Starts, r.Catalogs[0].Bytes)
+		t.Errorf("%d of 60 gateways ready; the catalog answered %d bytes", r.Ready.Starts, r.Catalogs[0].Bytes)
 	}
 	if r.Requests.Served < r.Requests.Sent/2 {
-		t.Errorf("%d of %d served", r.Requests.Served, r.Requests.Sent)
+		t.Errorf("%d of %d requests served", r.Requests.Served, r.Requests.Sent)
 	}
 }
 
-// Two fifths of 100 ranks are not there, in a run, and traffic is skewed: with membership no
-// host is left under a third of the mean, and each gateway's place says who is there.
+// Of 100 ranks a run of 40 % is absent, and the traffic is uneven. With membership, no host gets less than a
+// third of the mean, because every gateway selects its hosts by its position among the present ranks.
 func TestRealSpreadWithAbsentRanks(t *testing.T) {
 	s := loadScenario(t, "spread-view", 1)
 	s.Gateways.Count, s.Gateways.Configured, s.Gateways.AbsentShare, s.Gateways.AbsentSelection = 100, 100, 0.4, "run"
@@ -125,9 +126,9 @@
 	r := runReal(t, s)
 	t.Logf("spread %+v", r.Spread)
 	if r.Ready.Starts != 60 || r.Requests.ServedPart < 0.9 {
-		t.Errorf("%d of 60 ready, %.2f served in time", r.Ready.Starts, r.Requests.ServedPart)
+		t.Errorf("%d of 60 gateways ready, %.2f of the requests served in time", r.Ready.Starts, r.Requests.ServedPart)
 	}
 	if float64(r.Spread.Min) < r.Spread.Mean/3 || r.Spread.MaxMean > 2 {
-		t.Errorf("a host got %d, the most %.2f times the mean of %.0f", r.Spread.Min, r.Spread.MaxMean, r.Spread.Mean)
+		t.Errorf("the least loaded host got %d requests, the most loaded %.2f times the mean of %.0f", r.Spread.Min, r.Spread.MaxMean, r.Spread.Mean)
 	}
 }
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -39,33 +39,33 @@
 // writeConfig writes the configuration file.
 func (g *realGateway) writeConfig() error {
 	type object map[string]any
-	p := g.run
+	run := g.run
 	var addrs []string
-	for i := range p.catalogs { // the gateways start with different instances
-		addrs = append(addrs, p.catalogs[(g.rank+i)%len(p.catalogs)].link.Addr)
+	for i := range run.catalogs { // the gateways start with different instances
+		addrs = append(addrs, run.catalogs[(g.rank+i)%len(run.catalogs)].link.Addr)
 	}
 	known := object{"version": 0, "full": true, "servers": []object{}}
 	if g.hasSavedList {
 		var hosts []object
-		for _, host := range p.hosts {
-			hosts = append(hosts, p.listEntry(host))
+		for _, host := range run.hosts {
+			hosts = append(hosts, run.listEntry(host))
 		}
 		known = object{"version": 1, "full": true, "servers": hosts}
 	}
 	config := object{"name": fmt.Sprintf("g%04d", g.rank), "listen": g.addr, "discovery": strings.Join(addrs, ","),
-		"seed":   fmt.Sprintf("%x", p.scenario.Seed*1_000_003+uint64(g.rank)+1),
+		"seed":   fmt.Sprintf("%x", run.scenario.Seed*1_000_003+uint64(g.rank)+1),
 		"limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": p.scenario.SettingsJSON(g.rank, g.configured)}
-	if p.scenario.Gateways.Membership {
+		"settings": run.scenario.SettingsJSON(g.rank, g.configured)}
+	if run.scenario.Gateways.Membership {
 		var peers []string
-		for i, here := range p.scenario.PresentRanks() {
+		for i, here := range run.scenario.PresentRanks() {
 			if here && len(peers) < 3 {
-				peers = append(peers, p.gateways[i].memberAddr())
+				peers = append(peers, run.gateways[i].memberAddr())
 			}
 		}
 		config["membership"] = object{"bind": g.memberAddr(), "peers": peers, "local": true}
 	}
-	g.configPath = filepath.Join(p.dir, fmt.Sprintf("g%04d.json", g.rank))
+	g.configPath = filepath.Join(run.dir, fmt.Sprintf("g%04d.json", g.rank))
 	return writeJSON(g.configPath, config)
 }
 
@@ -204,21 +204,21 @@
 
 // startCatalogs starts the list service and adds all hosts to the list. Connections of gateways count as
 // calls from then on.
-func (p *realRun) startCatalogs() error {
-	n := p.scenario.Catalog.Instances
+func (run *realRun) startCatalogs() error {
+	n := run.scenario.Catalog.Instances
 	var peers []string
 	for i := range n {
-		c := &realCatalog{run: p, id: fmt.Sprintf("c%d", i+1), httpAddr: fmt.Sprintf("%s199.%d:8500", p.netPrefix, i+1)}
-		raft := fmt.Sprintf("%s199.%d:7500", p.netPrefix, i+1)
+		c := &realCatalog{run: run, id: fmt.Sprintf("c%d", i+1), httpAddr: fmt.Sprintf("%s199.%d:8500", run.netPrefix, i+1)}
+		raft := fmt.Sprintf("%s199.%d:7500", run.netPrefix, i+1)
 		var err error
 		if c.link, err = faultnet.NewLink(c.httpAddr); err != nil {
 			return err
 		}
-		c.args = []string{"-id", c.id, "-data", filepath.Join(p.dir, c.id), "-raft", raft, "-http", c.httpAddr, "-heartbeat", "200ms", "-stale-after", "1s"}
+		c.args = []string{"-id", c.id, "-data", filepath.Join(run.dir, c.id), "-raft", raft, "-http", c.httpAddr, "-heartbeat", "200ms", "-stale-after", "1s"}
 		peers = append(peers, c.id+"="+raft+"/"+c.httpAddr)
-		p.catalogs = append(p.catalogs, c)
+		run.catalogs = append(run.catalogs, c)
 	}
-	for _, c := range p.catalogs {
+	for _, c := range run.catalogs {
 		if n > 1 {
 			c.args = append(c.args, "-peers", strings.Join(peers, ","))
 		}
@@ -226,45 +226,45 @@
 			return err
 		}
 	}
-	for _, host := range p.hosts {
-		if err := p.listHost(host); err != nil {
+	for _, host := range run.hosts {
+		if err := run.listHost(host); err != nil {
 			return err
 		}
 	}
-	for i, c := range p.catalogs {
+	for i, c := range run.catalogs {
 		c.link.OnAccept(func() {
-			p.record(func(r *Recorder, now Time) { r.RecordCall(i, now, 0, false) })
+			run.record(func(r *Recorder, now Time) { r.RecordCall(i, now, 0, false) })
 		})
 	}
 	return nil
 }
 
 // listEntry returns a host in the format of the list.
-func (p *realRun) listEntry(host *loopbackHost) map[string]any {
+func (run *realRun) listEntry(host *loopbackHost) map[string]any {
 	started := int64(0)
 	host.mu.Lock()
 	defer host.mu.Unlock()
 	if host.model.Started >= 0 {
-		started = p.startedAt.Add(host.model.Started).UnixMilli()
+		started = run.startedAt.Add(host.model.Started).UnixMilli()
 	}
 	return map[string]any{"id": host.model.ID, "addr": host.addr, "zone": host.model.Spec.Zone, "kind": host.model.Spec.Kind,
 		"state": "ready", "weight": 1, "started_ms": started}
 }
 
 // listHost writes a host to the list.
-func (p *realRun) listHost(host *loopbackHost) error {
-	entry := p.listEntry(host)
+func (run *realRun) listHost(host *loopbackHost) error {
+	entry := run.listEntry(host)
 	id := entry["id"].(string)
 	delete(entry, "id")
-	return p.writeMember(http.MethodPut, id, entry)
+	return run.writeMember(http.MethodPut, id, entry)
 }
 
 // writeMember sends a change of a host to the catalogs in turn until one accepts it. It gives up after 150
 // attempts, which are 100 ms apart.
-func (p *realRun) writeMember(method, id string, body any) error {
+func (run *realRun) writeMember(method, id string, body any) error {
 	var lastErr error
 	for attempt := range 150 {
-		c := p.catalogs[attempt%len(p.catalogs)]
+		c := run.catalogs[attempt%len(run.catalogs)]
 		var requestBody io.Reader
 		if body != nil {
 			b, err := jsonText(body)
@@ -273,11 +273,11 @@
 			}
 			requestBody = bytes.NewReader(b)
 		}
-		req, err := http.NewRequestWithContext(p.ctx, method, "http://"+c.httpAddr+"/catalog/members/"+id, requestBody)
+		req, err := http.NewRequestWithContext(run.ctx, method, "http://"+c.httpAddr+"/catalog/members/"+id, requestBody)
 		if err != nil {
 			return err
 		}
-		resp, err := p.httpClient.Do(req)
+		resp, err := run.httpClient.Do(req)
 		if err == nil {
 			answer, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
 			resp.Body.Close()
@@ -288,8 +288,8 @@
 		}
 		lastErr = err
 		select {
-		case <-p.ctx.Done():
-			return p.ctx.Err()
+		case <-run.ctx.Done():
+			return run.ctx.Err()
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
@@ -297,26 +297,26 @@
 }
 
 // scheduleFaults schedules the start and the end of every fault.
-func (p *realRun) scheduleFaults() {
-	s := p.scenario
+func (run *realRun) scheduleFaults() {
+	s := run.scenario
 	for faultIndex := range s.Faults {
 		f := &s.Faults[faultIndex]
 		switch f.Target {
 		case "catalog":
-			p.at(f.Start.std(), func() { p.applyCatalogFault(f, true) })
+			run.at(f.Start.std(), func() { run.applyCatalogFault(f, true) })
 			if f.Length > 0 {
-				p.at(f.Start.std()+f.Length.std(), func() { p.applyCatalogFault(f, false) })
+				run.at(f.Start.std()+f.Length.std(), func() { run.applyCatalogFault(f, false) })
 			}
 		case "gateways":
 			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
 				for _, i := range targets {
-					p.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { p.applyGatewayFault(f, p.gateways[i]) })
+					run.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { run.applyGatewayFault(f, run.gateways[i]) })
 				}
 			}
 		case "hosts":
-			for step, targets := range s.faultTargets(len(p.hosts), s.zoneOfHost, f, faultIndex) {
+			for step, targets := range s.faultTargets(len(run.hosts), s.zoneOfHost, f, faultIndex) {
 				for _, i := range targets {
-					p.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { p.applyHostFault(f, p.hosts[i]) })
+					run.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { run.applyHostFault(f, run.hosts[i]) })
 				}
 			}
 		}
@@ -324,24 +324,24 @@
 }
 
 // applyCatalogFault starts a fault of the list service, or ends it if on is false.
-func (p *realRun) applyCatalogFault(f *Fault, on bool) {
-	for i, c := range p.catalogs {
-		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(p.catalogs)))) {
+func (run *realRun) applyCatalogFault(f *Fault, on bool) {
+	for i, c := range run.catalogs {
+		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(run.catalogs)))) {
 			continue
 		}
 		switch {
 		case f.Action == "kill-leader" && on:
-			p.leader().kill()
+			run.leader().kill()
 			return
 		case f.Action == "kill-leader":
-			for _, c := range p.catalogs {
+			for _, c := range run.catalogs {
 				c.start()
 			}
 			return
 		case f.Action == "slow" && on:
 			c.link.Delay(f.Delay.std())
 		case f.Action == "busy" && on:
-			c.link.Retarget(p.busyAddr())
+			c.link.Retarget(run.busyAddr())
 			c.link.Set(faultnet.Reset) // closes the open connections, as a restart of the service does
 			c.link.Set(faultnet.Pass)
 		case !on:
@@ -355,25 +355,25 @@
 }
 
 // busyAddr returns the address of an HTTP server that answers 503 to everything. The first call starts it.
-func (p *realRun) busyAddr() string {
-	if p.busyListener == nil {
+func (run *realRun) busyAddr() string {
+	if run.busyListener == nil {
 		ln, err := listenLoopback()
 		if err != nil {
 			return ""
 		}
-		p.busyListener = ln
+		run.busyListener = ln
 		go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		}))
 	}
-	return p.busyListener.Addr().String()
+	return run.busyListener.Addr().String()
 }
 
 // leader returns the catalog that reports to be the leader, or the first if none does.
-func (p *realRun) leader() *realCatalog {
-	for _, c := range p.catalogs {
-		if resp, err := p.httpClient.Get("http://" + c.httpAddr + "/catalog/status"); err == nil {
+func (run *realRun) leader() *realCatalog {
+	for _, c := range run.catalogs {
+		if resp, err := run.httpClient.Get("http://" + c.httpAddr + "/catalog/status"); err == nil {
 			b, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if bytes.Contains(b, []byte(`"Leader"`)) {
@@ -381,14 +381,14 @@
 			}
 		}
 	}
-	return p.catalogs[0]
+	return run.catalogs[0]
 }
 
 // applyGatewayFault starts a fault of a gateway and schedules its end.
-func (p *realRun) applyGatewayFault(f *Fault, g *realGateway) {
+func (run *realRun) applyGatewayFault(f *Fault, g *realGateway) {
 	atEnd := func(do func()) {
 		if f.Length > 0 || f.Action == "restart" {
-			p.at(p.now()+f.Length.std(), do)
+			run.at(run.now()+f.Length.std(), do)
 		}
 	}
 	switch f.Action {
@@ -398,13 +398,13 @@
 	case "term":
 		g.setAdmitted(false)
 		g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGTERM) })
-		p.at(p.now()+p.scenario.longestDeadline()+700*time.Millisecond, g.kill)
+		run.at(run.now()+run.scenario.longestDeadline()+700*time.Millisecond, g.kill)
 		atEnd(g.start)
 	case "stop":
 		g.withProcess((*faultnet.Proc).Stop)
 		atEnd(func() { g.withProcess((*faultnet.Proc).Cont) })
 	case "reconfigure":
-		g.configured = max(1, int(f.Factor*float64(p.scenario.Gateways.Configured)))
+		g.configured = max(1, int(f.Factor*float64(run.scenario.Gateways.Configured)))
 		if g.writeConfig() == nil {
 			g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGHUP) })
 		}
@@ -412,28 +412,28 @@
 }
 
 // applyHostFault starts a fault of a host and schedules its end.
-func (p *realRun) applyHostFault(f *Fault, host *loopbackHost) {
-	listingDelay := p.scenario.Catalog.ListingDelay.std()
+func (run *realRun) applyHostFault(f *Fault, host *loopbackHost) {
+	listingDelay := run.scenario.Catalog.ListingDelay.std()
 	atEnd := func(do func()) {
 		if f.Length > 0 {
-			p.at(p.now()+f.Length.std(), do)
+			run.at(run.now()+f.Length.std(), do)
 		}
 	}
 	restart := func() {
-		host.update(func(h *Host) { h.Restart(p.now()) }, true)
+		host.update(func(h *Host) { h.Restart(run.now()) }, true)
 		if host.listen() == nil {
-			p.at(p.now()+listingDelay, func() { p.listHost(host) })
+			run.at(run.now()+listingDelay, func() { run.listHost(host) })
 		}
 	}
 	switch f.Action {
 	case "kill":
 		host.update(func(h *Host) { h.Kill() }, true)
-		p.at(p.now()+listingDelay, func() {
+		run.at(run.now()+listingDelay, func() {
 			host.mu.Lock()
 			dead := host.model.Condition == Dead
 			host.mu.Unlock()
 			if dead {
-				p.writeMember(http.MethodDelete, host.model.ID, nil)
+				run.writeMember(http.MethodDelete, host.model.ID, nil)
 			}
 		})
 		atEnd(restart)
--- a/internal/fleetlab/standin.go
+++ b/internal/fleetlab/standin.go
@@ -28,21 +28,21 @@
 }
 
 // newLoopbackHost returns a host that listens.
-func newLoopbackHost(p *realRun, h *Host, addr string) (*loopbackHost, error) {
-	s := &loopbackHost{run: p, model: h, addr: addr, conns: map[net.Conn]int{}}
-	s.timer = time.AfterFunc(time.Hour, s.advance)
-	return s, s.listen()
+func newLoopbackHost(run *realRun, model *Host, addr string) (*loopbackHost, error) {
+	host := &loopbackHost{run: run, model: model, addr: addr, conns: map[net.Conn]int{}}
+	host.timer = time.AfterFunc(time.Hour, host.advance)
+	return host, host.listen()
 }
 
 // listen opens the listening socket.
-func (s *loopbackHost) listen() error {
-	ln, err := listenAndServe(s.addr, s.serve)
+func (h *loopbackHost) listen() error {
+	ln, err := listenAndServe(h.addr, h.serve)
 	if err != nil {
-		return fmt.Errorf("host %s: %w", s.model.ID, err)
+		return fmt.Errorf("host %s: %w", h.model.ID, err)
 	}
-	s.mu.Lock()
-	s.listener = ln
-	s.mu.Unlock()
+	h.mu.Lock()
+	h.listener = ln
+	h.mu.Unlock()
 	return nil
 }
 
@@ -70,17 +70,17 @@
 
 // update applies a change to the model. If down is set it resets all connections and refuses new ones
 // until the next call of listen.
-func (s *loopbackHost) update(change func(h *Host), down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.model.Advance(s.run.now())
-	change(s.model)
-	if down && s.listener != nil {
-		s.listener.Close()
-		s.listener = nil
+func (h *loopbackHost) update(change func(h *Host), down bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.model.Advance(h.run.now())
+	change(h.model)
+	if down && h.listener != nil {
+		h.listener.Close()
+		h.listener = nil
 	}
-	if down || s.model.Condition == Dead {
-		for c := range s.conns {
+	if down || h.model.Condition == Dead {
+		for c := range h.conns {
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
@@ -88,45 +88,45 @@
 }
 
 // advance advances the model to the present time.
-func (s *loopbackHost) advance() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceLocked()
+func (h *loopbackHost) advance() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.advanceLocked()
 }
 
 // advanceLocked is advance for callers that hold s.mu.
-func (s *loopbackHost) advanceLocked() {
-	now := s.run.now()
-	for _, j := range s.model.Advance(now) {
+func (h *loopbackHost) advanceLocked() {
+	now := h.run.now()
+	for _, j := range h.model.Advance(now) {
 		time.AfterFunc(j.WaitTime, func() {
-			s.mu.Lock()
-			ok := s.model.Release(j)
-			s.mu.Unlock()
+			h.mu.Lock()
+			ok := h.model.Release(j)
+			h.mu.Unlock()
 			if ok {
 				j.Done(true)
 			}
 		})
 	}
-	if next := s.model.NextCompletion(); next != 0 {
-		s.timer.Reset(max(0, next-now))
+	if next := h.model.NextCompletion(); next != 0 {
+		h.timer.Reset(max(0, next-now))
 	}
 }
 
 // serve serves a connection until it is closed.
-func (s *loopbackHost) serve(conn net.Conn) {
+func (h *loopbackHost) serve(conn net.Conn) {
 	defer conn.Close()
-	s.run.record(func(recorder *Recorder, now Time) { recorder.RecordNewConn(s.model.Index, now) })
-	s.mu.Lock()
-	incarnation, accepted := s.model.Incarnation, s.model.Connect()
-	s.conns[conn] = incarnation
-	s.mu.Unlock()
+	h.run.record(func(recorder *Recorder, now Time) { recorder.RecordNewConn(h.model.Index, now) })
+	h.mu.Lock()
+	incarnation, accepted := h.model.Incarnation, h.model.Connect()
+	h.conns[conn] = incarnation
+	h.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		delete(s.conns, conn)
+		h.mu.Lock()
+		delete(h.conns, conn)
 		if accepted {
-			s.model.Disconnect(incarnation)
+			h.model.Disconnect(incarnation)
 		}
-		s.mu.Unlock()
+		h.mu.Unlock()
 	}()
 	// Requests are read in a goroutine of their own, so that a close is noticed while a request runs.
 	requests := make(chan *http.Request)
@@ -151,7 +151,7 @@
 	for first := true; ; first = false {
 		select {
 		case r := <-requests:
-			if !s.handleRequest(conn, r, first, accepted, ended) {
+			if !h.handleRequest(conn, r, first, accepted, ended) {
 				return
 			}
 		case <-ended:
@@ -161,7 +161,7 @@
 }
 
 // handleRequest answers a request and reports whether the connection stays open.
-func (s *loopbackHost) handleRequest(conn net.Conn, request *http.Request, first, accepted bool, ended <-chan struct{}) bool {
+func (h *loopbackHost) handleRequest(conn net.Conn, request *http.Request, first, accepted bool, ended <-chan struct{}) bool {
 	if !accepted {
 		writeResponse(conn, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", "")
 		return false
@@ -171,18 +171,18 @@
 		writeResponse(conn, "404 Not Found", "", "")
 		return true
 	}
-	s.run.record(func(recorder *Recorder, now Time) { recorder.RecordHostRequest(s.model.Index, now) })
+	h.run.record(func(recorder *Recorder, now Time) { recorder.RecordHostRequest(h.model.Index, now) })
 	done := make(chan bool, 1)
 	job := &Job{Work: work, WaitTime: waitTime, Notified: true, Done: func(ok bool) { done <- ok }}
 	if first {
-		job.Work += s.model.rules.ConnCost.std()
+		job.Work += h.model.rules.ConnCost.std()
 	}
-	s.mu.Lock()
-	s.advanceLocked()
-	verdict := s.model.Arrive(s.run.now(), job)
-	s.advanceLocked()
-	overloaded := s.model.Overloaded
-	s.mu.Unlock()
+	h.mu.Lock()
+	h.advanceLocked()
+	verdict := h.model.Arrive(h.run.now(), job)
+	h.advanceLocked()
+	overloaded := h.model.Overloaded
+	h.mu.Unlock()
 	switch verdict {
 	case Rejected:
 		return writeResponse(conn, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
@@ -191,7 +191,7 @@
 		return writeResponse(conn, "500 Internal Server Error", "", "")
 	case ConnectionReset:
 		if overloaded {
-			s.update(func(*Host) {}, true)
+			h.update(func(*Host) {}, true)
 		}
 		conn.(*net.TCPConn).SetLinger(0)
 		return false
@@ -203,10 +203,10 @@
 	case <-done:
 		return writeResponse(conn, "200 OK", "", "done")
 	case <-ended:
-		s.mu.Lock()
-		s.model.Cancel(s.run.now(), job)
-		s.advanceLocked()
-		s.mu.Unlock()
+		h.mu.Lock()
+		h.model.Cancel(h.run.now(), job)
+		h.advanceLocked()
+		h.mu.Unlock()
 		return false
 	}
 }
@@ -229,7 +229,7 @@
 }
 
 // close stops the host.
-func (s *loopbackHost) close() {
-	s.update(func(h *Host) { h.Kill() }, true)
-	s.timer.Stop()
+func (h *loopbackHost) close() {
+	h.update(func(h *Host) { h.Kill() }, true)
+	h.timer.Stop()
 }
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -299,29 +299,29 @@
 }
 
 // setAdmitted adds the gateway of a rank to the admitted ones or removes it.
-func (f *edgeBalancer) setAdmitted(i int, admitted bool) {
-	if f.admitted[i] != admitted {
-		f.admitted[i], f.cumulative = admitted, nil
+func (balancer *edgeBalancer) setAdmitted(rank int, admitted bool) {
+	if balancer.admitted[rank] != admitted {
+		balancer.admitted[rank], balancer.cumulative = admitted, nil
 	}
 }
 
 // pick returns the gateway at a quantile, from 0 to 1, of the weights, or -1 if no gateway is admitted.
-func (f *edgeBalancer) pick(quantile float64) int {
-	if f.cumulative == nil {
-		f.cumulative = make([]float64, len(f.weights))
+func (balancer *edgeBalancer) pick(quantile float64) int {
+	if balancer.cumulative == nil {
+		balancer.cumulative = make([]float64, len(balancer.weights))
 		sum := 0.0
-		for i, weight := range f.weights {
-			if f.admitted[i] {
+		for i, weight := range balancer.weights {
+			if balancer.admitted[i] {
 				sum += weight
 			}
-			f.cumulative[i] = sum
+			balancer.cumulative[i] = sum
 		}
 	}
-	total := f.cumulative[len(f.cumulative)-1]
+	total := balancer.cumulative[len(balancer.cumulative)-1]
 	if total == 0 {
 		return -1
 	}
-	return min(sort.Search(len(f.cumulative), func(i int) bool { return f.cumulative[i] > quantile*total }), len(f.cumulative)-1)
+	return min(sort.Search(len(balancer.cumulative), func(i int) bool { return balancer.cumulative[i] > quantile*total }), len(balancer.cumulative)-1)
 }
 
 // dispatchOracle sends a request of the oracle to the host that would answer first, among those that one
