--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -73,7 +73,7 @@
 				}
 				plays.Runs = append(plays.Runs, r)
 				fmt.Fprintf(os.Stderr, "seed %d: %.1f s of real time, %d of %d served in time, %d hosts fell\n",
-					one.Seed, time.Since(began).Seconds(), r.Requests.Served, r.Requests.Sent, r.Falls.Hosts)
+					one.Seed, time.Since(began).Seconds(), r.Requests.Served, r.Requests.Sent, r.OverloadFailures.Hosts)
 			}
 			if out != "" {
 				if err := plays.Save(out); err != nil {
--- a/internal/fleetlab/coldstart_test.go
+++ b/internal/fleetlab/coldstart_test.go
@@ -22,9 +22,9 @@
 		if share := float64(r.Requests.Served) / float64(o.Requests.Served); share < 0.6 {
 			t.Errorf("seed %d: served %.2f of the requests that the oracle served, want at least 0.6", seed, share)
 		}
-		if r.Falls.Hosts > 0 || r.Conns.TurnedAway > 0 || r.Spread.UnderFifth > 0 {
+		if r.OverloadFailures.Hosts > 0 || r.Conns.TurnedAway > 0 || r.Spread.UnderFifth > 0 {
 			t.Errorf("seed %d: %d hosts failed by overload, %d connections rejected, %d hosts under a fifth of the mean",
-				seed, r.Falls.Hosts, r.Conns.TurnedAway, r.Spread.UnderFifth)
+				seed, r.OverloadFailures.Hosts, r.Conns.TurnedAway, r.Spread.UnderFifth)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 func TestRampHoldsForTheFleet(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		r := Virtual(loadScenario(t, "ramp-30", seed))
-		if r.Falls.Hosts > 0 || r.Requests.ServedPart < 0.8 {
-			t.Errorf("seed %d: %d hosts failed by overload, %.3f of the requests served", seed, r.Falls.Hosts, r.Requests.ServedPart)
+		if r.OverloadFailures.Hosts > 0 || r.Requests.ServedPart < 0.8 {
+			t.Errorf("seed %d: %d hosts failed by overload, %.3f of the requests served", seed, r.OverloadFailures.Hosts, r.Requests.ServedPart)
 		}
 	}
 }
--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -71,8 +71,8 @@
 }
 
 // NewHost returns a host of a group. A cold host starts at time 0.
-func NewHost(i int, id string, spec *HostGroup, s *Scenario) *Host {
-	h := &Host{Index: i, ID: id, Spec: spec, SlowFactor: 1, Started: -time.Hour, rules: &s.Rules, meanWork: s.meanWork()}
+func NewHost(index int, id string, spec *HostGroup, s *Scenario) *Host {
+	h := &Host{Index: index, ID: id, Spec: spec, SlowFactor: 1, Started: -time.Hour, rules: &s.Rules, meanWork: s.meanWork()}
 	if spec.Cold {
 		h.Started = 0
 	}
@@ -124,11 +124,11 @@
 
 // dropOldWork drops arrivals that are older than the OverloadWindow.
 func (h *Host) dropOldWork(now Time) {
-	n := 0
-	for n < len(h.recentWork) && now-h.recentWork[n].at >= h.rules.OverloadWindow.std() {
-		n++
+	expired := 0
+	for expired < len(h.recentWork) && now-h.recentWork[expired].at >= h.rules.OverloadWindow.std() {
+		expired++
 	}
-	h.recentWork = h.recentWork[n:]
+	h.recentWork = h.recentWork[expired:]
 }
 
 // Connect opens a connection. It returns false if MaxConns are open and the host rejects the connection.
--- a/internal/fleetlab/listservice.go
+++ b/internal/fleetlab/listservice.go
@@ -12,7 +12,7 @@
 	catalogUp        = iota
 	catalogDown      // refuses connections
 	catalogReset     // resets connections
-	catalogBusy      // sheds all calls but keeps the open watches
+	catalogBusy      // rejects all calls but keeps the open watches
 	catalogBlackHole // never answers
 )
 
@@ -36,6 +36,7 @@
 	watches      map[int]*watch // open watches, by rank of the gateway
 }
 
+// newListService returns the instance of an index.
 func newListService(w *world, i int) *listService {
 	c := &w.scenario.Catalog
 	return &listService{world: w, index: i, watches: map[int]*watch{}, waitingCalls: map[uint64]*watch{}, gate: admit.New(admit.Options{
--- a/internal/fleetlab/pick.go
+++ b/internal/fleetlab/pick.go
@@ -8,12 +8,12 @@
 // Streams of random numbers. Each use has a stream of its own, so that a change of one part of a run does
 // not alter the random numbers of the others. Offsets on these numbers give further streams.
 const (
-	streamLoad   = iota + 1 // arrivals
-	streamNet               // latencies
-	streamFaults            // targets of faults
-	streamSeeds             // seeds of the Balancers; with an offset: start times of the gateways
-	streamWait              // weights of the gateways; with an offset: retry delays
-	streamAbsent            // ranks that never start; with an offset: gateways with a saved list
+	streamLoad    = iota + 1 // arrivals
+	streamNet                // latencies
+	streamFaults             // targets of faults
+	streamSeeds              // seeds of the Balancers; with an offset: start times of the gateways
+	streamWeights            // weights of the gateways; with an offset: retry delays
+	streamAbsent             // ranks that never start; with an offset: gateways with a saved list
 )
 
 // newRand returns a generator for a stream.
@@ -62,7 +62,7 @@
 // GatewayWeights returns the weight of each gateway in the distribution of the load: 1-Skew + Skew * X,
 // with X exponentially distributed of mean 1. A rank that never starts has the weight 0.
 func (s *Scenario) GatewayWeights() []float64 {
-	rng, present := s.newRand(streamWait), s.PresentRanks()
+	rng, present := s.newRand(streamWeights), s.PresentRanks()
 	weights := make([]float64, s.Gateways.Count)
 	for i := range weights {
 		weights[i] = 1 - s.Load.Skew + s.Load.Skew*rng.ExpFloat64()
@@ -92,6 +92,7 @@
 	totalShare float64 // sum of the shares of all classes
 }
 
+// newArrivals returns the arrivals of a scenario, from the start of its load.
 func newArrivals(s *Scenario) *arrivals {
 	a := &arrivals{rng: s.newRand(streamLoad), scenario: s, latest: s.Load.Start.std()}
 	for _, c := range s.Classes {
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -120,10 +120,10 @@
 // setUp starts the hosts and the catalogs and writes the configuration of the gateways.
 func (run *realRun) setUp() error {
 	s := run.scenario
-	for i := range s.Hosts {
-		for range s.Hosts[i].Count {
+	for groupIndex := range s.Hosts {
+		for range s.Hosts[groupIndex].Count {
 			index := len(run.hosts)
-			model := NewHost(index, fmt.Sprintf("s-%04d", index), &s.Hosts[i], s)
+			model := NewHost(index, fmt.Sprintf("s-%04d", index), &s.Hosts[groupIndex], s)
 			host, err := newLoopbackHost(run, model, fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 200+index/250, 1+index%250))
 			if err != nil {
 				return err
@@ -362,6 +362,7 @@
 // that the kernel kills them if this process dies.
 type starter struct{ calls chan func() }
 
+// newStarter returns a starter with a thread of its own.
 func newStarter() *starter {
 	s := &starter{calls: make(chan func())}
 	go func() {
@@ -394,12 +395,12 @@
 // end ends the thread. No process may be running then.
 func (s *starter) end() { close(s.calls) }
 
-// jsonText encodes a value as JSON.
-func jsonText(v any) ([]byte, error) { return json.Marshal(v) }
+// encodeJSON encodes a value as JSON.
+func encodeJSON(v any) ([]byte, error) { return json.Marshal(v) }
 
 // writeJSON writes a value to a file as JSON.
 func writeJSON(path string, v any) error {
-	text, err := jsonText(v)
+	text, err := encodeJSON(v)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("ready %+v, catalogs %+v, connections %+v, falls %+v, requests %+v", r.Ready, r.Catalogs, r.Conns, r.Falls, r.Requests)
+	t.Logf("ready %+v, catalogs %+v, connections %+v, falls %+v, requests %+v", r.Ready, r.Catalogs, r.Conns, r.OverloadFailures, r.Requests)
 	return r
 }
 
@@ -62,7 +62,7 @@
 	s.Gateways.Count, s.Gateways.Configured, s.Hosts[0].Count, s.Load.Rate = 100, 100, 20, 300
 	s.Length /= 2
 	r, o := runReal(t, s), Oracle(s)
-	if r.Ready.Starts != 100 || r.Ready.Never > 0 || r.Catalogs[0].Calls > 120 || r.Conns.TurnedAway > 0 || r.Falls.Hosts > 0 {
+	if r.Ready.Starts != 100 || r.Ready.Never > 0 || r.Catalogs[0].Calls > 120 || r.Conns.TurnedAway > 0 || r.OverloadFailures.Hosts > 0 {
 		t.Error("want 100 ready gateways, at most 120 calls, no rejected connection and no failed host")
 	}
 	if r.Requests.Served < o.Requests.Served/2 {
@@ -79,7 +79,7 @@
 	s.Faults = s.Faults[:1]
 	s.Faults[0].Start /= 2
 	r := runReal(t, s)
-	if r.Ready.Starts != 170 || r.Ready.Never > 0 || r.Falls.Hosts > 0 || r.Conns.TurnedAway > 0 {
+	if r.Ready.Starts != 170 || r.Ready.Never > 0 || r.OverloadFailures.Hosts > 0 || r.Conns.TurnedAway > 0 {
 		t.Error("want 170 starts that became ready, no failed host and no rejected connection")
 	}
 	if r.Requests.ServedPart < 0.9 {
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -58,8 +58,8 @@
 		"settings": run.scenario.SettingsJSON(g.rank, g.configured)}
 	if run.scenario.Gateways.Membership {
 		var peers []string
-		for i, here := range run.scenario.PresentRanks() {
-			if here && len(peers) < 3 {
+		for i, present := range run.scenario.PresentRanks() {
+			if present && len(peers) < 3 {
 				peers = append(peers, run.gateways[i].memberAddr())
 			}
 		}
@@ -93,7 +93,7 @@
 
 // awaitReady checks the health of a process until it is ready or has exited. The edge balancer admits it
 // when it is ready.
-func (g *realGateway) awaitReady(generation int, began Time) {
+func (g *realGateway) awaitReady(generation int, startedAt Time) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for {
@@ -123,7 +123,7 @@
 		}
 		g.mu.Unlock()
 		if current {
-			g.run.record(func(r *Recorder, now Time) { r.RecordGatewayReady(now - began) })
+			g.run.record(func(r *Recorder, now Time) { r.RecordGatewayReady(now - startedAt) })
 			g.setAdmitted(true)
 		}
 		return
@@ -267,7 +267,7 @@
 		c := run.catalogs[attempt%len(run.catalogs)]
 		var requestBody io.Reader
 		if body != nil {
-			b, err := jsonText(body)
+			b, err := encodeJSON(body)
 			if err != nil {
 				return err
 			}
--- a/internal/fleetlab/record.go
+++ b/internal/fleetlab/record.go
@@ -66,8 +66,8 @@
 }
 
 // RecordGatewayReady records the time from the start of a gateway until it was ready.
-func (r *Recorder) RecordGatewayReady(took time.Duration) {
-	r.readyTimes.RecordValue(max(1, took.Microseconds()))
+func (r *Recorder) RecordGatewayReady(elapsed time.Duration) {
+	r.readyTimes.RecordValue(max(1, elapsed.Microseconds()))
 }
 
 // RecordCall records a call at a catalog. shed says that the catalog did not serve it.
@@ -97,7 +97,7 @@
 }
 
 // RecordEnd records how a request ended. arrived is the time of its arrival.
-func (r *Recorder) RecordEnd(arrived Time, end End, took time.Duration) {
+func (r *Recorder) RecordEnd(arrived Time, end End, elapsed time.Duration) {
 	i := int(arrived / time.Second)
 	for len(r.endsBySecond) <= i {
 		r.endsBySecond = append(r.endsBySecond, [numEnds]int{})
@@ -108,7 +108,7 @@
 	}
 	r.ends[end]++
 	if end == Served || end == Late {
-		r.latencies.RecordValue(max(1, took.Microseconds()))
+		r.latencies.RecordValue(max(1, elapsed.Microseconds()))
 	}
 }
 
@@ -139,14 +139,14 @@
 	Hosts         int     `json:"hosts"`
 	LengthSeconds float64 `json:"length_s"`
 
-	Ready    Ready            `json:"ready"`
-	Catalogs []CatalogFigures `json:"catalogs"`
-	Conns    Conns            `json:"connections"`
-	Falls    Falls            `json:"falls"`
-	Requests Requests         `json:"requests"`
-	Spread   Spread           `json:"spread"`
-	Herd     Herd             `json:"herd"`
-	Series   Series           `json:"series"`
+	Ready            Ready            `json:"ready"`
+	Catalogs         []CatalogFigures `json:"catalogs"`
+	Conns            Conns            `json:"connections"`
+	OverloadFailures OverloadFailures `json:"falls"`
+	Requests         Requests         `json:"requests"`
+	Spread           Spread           `json:"spread"`
+	Herd             Herd             `json:"herd"`
+	Series           Series           `json:"series"`
 }
 
 // Ready holds the times from the start of a gateway until it was ready.
@@ -179,10 +179,10 @@
 	TurnedAway int     `json:"turned_away"`            // connections that hosts rejected
 }
 
-// Falls counts the cold hosts that failed by overload.
-type Falls struct {
+// OverloadFailures counts the cold hosts that failed by overload.
+type OverloadFailures struct {
 	Hosts int `json:"hosts"`
-	Told  int `json:"told"` // hosts of which over two thirds of the overload came from gateways whose list had their start: a violation
+	Told  int `json:"told"` // over two thirds of the overload came from gateways whose list had the start of the host: a violation
 }
 
 // Requests counts the requests of clients that arrived in the measured period, by their end.
@@ -265,21 +265,21 @@
 		out.Conns.MostOpen = max(out.Conns.MostOpen, h.MaxOpenConns)
 		openConns += h.openConns
 		if h.Overloaded {
-			out.Falls.Hosts++
+			out.OverloadFailures.Hosts++
 			if h.NotifiedShare > 2.0/3 {
-				out.Falls.Told++
+				out.OverloadFailures.Told++
 			}
 		}
 	}
 	out.Conns.MeanOpen = float64(openConns) / float64(len(hosts))
-	e := r.ends
-	out.Requests = Requests{Served: e[Served], Late: e[Late], Refused: e[Refused], Failed: e[Failed], Lost: e[Lost], NoGateway: e[NoLiveGateway],
+	ends := r.ends
+	out.Requests = Requests{Served: ends[Served], Late: ends[Late], Refused: ends[Refused], Failed: ends[Failed], Lost: ends[Lost], NoGateway: ends[NoLiveGateway],
 		P50MS: quantile(r.latencies, 50) * 1e3, P99MS: quantile(r.latencies, 99) * 1e3}
-	for _, n := range e {
+	for _, n := range ends {
 		out.Requests.Sent += n
 	}
-	if reached := out.Requests.Sent - e[NoLiveGateway] - e[Lost]; reached > 0 {
-		out.Requests.ServedPart = float64(e[Served]) / float64(reached)
+	if reached := out.Requests.Sent - ends[NoLiveGateway] - ends[Lost]; reached > 0 {
+		out.Requests.ServedPart = float64(ends[Served]) / float64(reached)
 	}
 	counts, countsBySpeed := make([]float64, len(hosts)), make([]float64, len(hosts))
 	firstSecond := int(s.MeasureFrom.std() / time.Second)
--- a/internal/fleetlab/scenario.go
+++ b/internal/fleetlab/scenario.go
@@ -134,7 +134,7 @@
 	Action       string   `toml:"do"`     // see faultActions
 	Share        float64  `toml:"share"`  // share of the gateways or hosts; 0: all
 	Selection    string   `toml:"how"`    // how they are selected: random (default), run or every (see chooseShare)
-	Zone         string   `toml:"zone"`   // selects only hosts or gateways of this zone
+	Zone         string   `toml:"zone"`   // restricts the targets to this zone; for links, the hosts
 	HostShare    float64  `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
 	Factor       float64  `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
 	Delay        Duration `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
@@ -165,6 +165,7 @@
 	}
 }
 
+// defaultClasses returns the classes of a scenario that defines none.
 func defaultClasses() []Class {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return []Class{
@@ -313,6 +314,7 @@
 	return err
 }
 
+// hasZone reports whether any host is in a zone.
 func (s *Scenario) hasZone(name string) bool {
 	for _, h := range s.Hosts {
 		if h.Zone == name {
--- a/internal/fleetlab/soak_list.go
+++ b/internal/fleetlab/soak_list.go
@@ -103,7 +103,7 @@
 
 // writeEntry sends an entry to one instance after another until one accepts it.
 func (l *soakCatalogs) writeEntry(id string, entry map[string]any) error {
-	text, err := jsonText(entry)
+	text, err := encodeJSON(entry)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetlab/table.go
+++ b/internal/fleetlab/table.go
@@ -36,8 +36,8 @@
 	{"... at one host", func(r *Result) float64 { return float64(r.Conns.OneHost) }},
 	{"most open at a host", func(r *Result) float64 { return float64(r.Conns.MostOpen) }},
 	{"turned away", func(r *Result) float64 { return float64(r.Conns.TurnedAway) }},
-	{"hosts that fell", func(r *Result) float64 { return float64(r.Falls.Hosts) }},
-	{"... by the told", func(r *Result) float64 { return float64(r.Falls.Told) }},
+	{"hosts that fell", func(r *Result) float64 { return float64(r.OverloadFailures.Hosts) }},
+	{"... by the told", func(r *Result) float64 { return float64(r.OverloadFailures.Told) }},
 	{"requests sent", func(r *Result) float64 { return float64(r.Requests.Sent) }},
 	{"served in time", func(r *Result) float64 { return float64(r.Requests.Served) }},
 	{"late", func(r *Result) float64 { return float64(r.Requests.Late) }},
@@ -72,12 +72,12 @@
 
 // minMedianMax returns the minimum, median and maximum of a figure over the runs.
 func (p *ResultFile) minMedianMax(f Figure) (least, median, most float64) {
-	var v []float64
+	var values []float64
 	for _, r := range p.Runs {
-		v = append(v, f.Get(r))
+		values = append(values, f.Get(r))
 	}
-	slices.Sort(v)
-	return v[0], v[len(v)/2], v[len(v)-1]
+	slices.Sort(values)
+	return values[0], values[len(values)/2], values[len(values)-1]
 }
 
 // Table prints the figures of a single run, or the median and range of several.
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -30,11 +30,11 @@
 // sendAttempt starts an attempt over an idle connection, or over a new one if none is idle.
 func (g *gateway) sendAttempt(action lynxspool.Action) {
 	w, r := g.world, g.requests[action.Request]
-	i, ok := g.hostIndex[action.Host]
+	hostIndex, ok := g.hostIndex[action.Host]
 	if r == nil || !ok {
 		panic("fleetlab: attempt of an unknown request or host")
 	}
-	h := w.hosts[i]
+	h := w.hosts[hostIndex]
 	a := &attempt{gateway: g, request: r, index: len(r.attempts), host: h, sentAt: w.now}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
@@ -43,18 +43,18 @@
 		deadline = at
 	}
 	w.at(deadline, func() { g.abandon(a, lynxspool.TimedOut) })
-	p := g.pools[i]
+	p := g.pools[hostIndex]
 	if p == nil {
 		p = &pool{}
-		g.pools[i] = p
+		g.pools[hostIndex] = p
 	}
 	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
 		h.Disconnect(p.idle[0].incarnation) // the real gateway also keeps connections for half of the host's idle limit
 		p.idle = p.idle[1:]
 		p.open--
 	}
-	cut, silent, delay := w.linkState(g.rank, i)
-	oneWay := w.oneWayDelay(g.zone, w.hostList[i].host.Zone) + delay
+	cut, silent, delay := w.linkState(g.rank, hostIndex)
+	oneWay := w.oneWayDelay(g.zone, w.hostList[hostIndex].host.Zone) + delay
 	if n := len(p.idle); n > 0 {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
@@ -77,10 +77,10 @@
 		case silent || h.Condition == Silent:
 			a.finishAfter(w.scenario.Rules.DialTimeout.std(), lynxspool.ConnectFailed)
 		case cut || h.Condition == Dead || h.Condition == Refusing:
-			w.recorder.RecordNewConn(i, w.now)
+			w.recorder.RecordNewConn(hostIndex, w.now)
 			a.finishAfter(oneWay, lynxspool.ConnectFailed)
 		default:
-			w.recorder.RecordNewConn(i, w.now)
+			w.recorder.RecordNewConn(hostIndex, w.now)
 			if !h.Connect() {
 				a.finishAfter(oneWay, lynxspool.Full) // accepted, answered 503 and closed
 				return
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/vfaults.go
@@ -184,7 +184,7 @@
 // applyHostFault starts a fault of a host and schedules its end, which has no effect if the host has
 // restarted or failed by overload meanwhile.
 func (w *world) applyHostFault(f *Fault, h *Host) {
-	i, incarnation := h.Index, h.Incarnation
+	index, incarnation := h.Index, h.Incarnation
 	atEnd := func(do func()) {
 		if f.Length > 0 {
 			w.after(f.Length.std(), func() {
@@ -196,14 +196,14 @@
 	}
 	restart := func() {
 		h.Restart(w.now)
-		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(i, lynxspool.Ready) })
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, lynxspool.Ready) })
 	}
 	switch f.Action {
 	case "kill":
 		h.Kill()
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() {
 			if h.Condition == Dead {
-				w.updateListing(i, lynxspool.Removed)
+				w.updateListing(index, lynxspool.Removed)
 			}
 		})
 		atEnd(restart)
@@ -223,10 +223,10 @@
 	case "cold":
 		restart()
 	case "replace":
-		w.updateListing(i, lynxspool.Draining)
+		w.updateListing(index, lynxspool.Draining)
 		w.after(2*time.Second, func() {
 			h.Kill()
-			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(i, lynxspool.Removed) })
+			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, lynxspool.Removed) })
 		})
 		w.addHost(h.Spec)
 	case "join":
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -336,6 +336,7 @@
 	}
 }
 
+// performAction performs one action of the Balancer.
 func (g *gateway) performAction(action lynxspool.Action) {
 	w, generation := g.world, g.generation
 	switch action.Kind {
@@ -376,8 +377,8 @@
 	}
 	r.answered = true
 	w := g.world
-	took := w.now - r.arrivedAt
-	if end == Served && took > w.scenario.Classes[r.arrival.Class].LatencyTarget.std() {
+	elapsed := w.now - r.arrivedAt
+	if end == Served && elapsed > w.scenario.Classes[r.arrival.Class].LatencyTarget.std() {
 		end = Late
 	}
 	if end == Refused && r.arrival.Retries < w.scenario.Load.Retries {
@@ -385,7 +386,7 @@
 		a.Retries++
 		w.after(w.scenario.Load.RetryWait.std(), func() { w.handleArrival(a) })
 	} else {
-		w.recorder.RecordEnd(r.arrival.At, end, took)
+		w.recorder.RecordEnd(r.arrival.At, end, elapsed)
 	}
 	g.removeIfFinished(r)
 }
@@ -409,13 +410,13 @@
 }
 
 // closeIdle closes the idle connections to the host at an index.
-func (g *gateway) closeIdle(i int) {
-	p := g.pools[i]
+func (g *gateway) closeIdle(hostIndex int) {
+	p := g.pools[hostIndex]
 	if p == nil {
 		return
 	}
 	for _, c := range p.idle {
-		g.world.hosts[i].Disconnect(c.incarnation)
+		g.world.hosts[hostIndex].Disconnect(c.incarnation)
 		p.open--
 	}
 	p.idle = nil
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -68,7 +68,7 @@
 	seedRand       *rand.Rand
 	retryRand      *rand.Rand // for the retry delays of list clients that the Balancer does not choose
 	hosts          []*Host
-	nextTick       []Time // by host: time of the scheduled event for its next completion; 0: none
+	nextCompletion []Time // by host: time of the scheduled event for its next completion; 0: none
 	gateways       []*gateway
 	edgeBalancer   edgeBalancer
 	catalogs       []*listService
@@ -100,8 +100,9 @@
 // for any fleet.
 func Oracle(s *Scenario) *Result { return runVirtual(s, true) }
 
+// runVirtual runs a scenario in the virtual engine, with the oracle in place of the gateways if oracle is set.
 func runVirtual(s *Scenario, oracle bool) *Result {
-	w := &world{scenario: s, recorder: NewRecorder(s), netRand: s.newRand(streamNet), seedRand: s.newRand(streamSeeds), retryRand: s.newRand(streamWait + 100), oracle: oracle, oracleRequests: map[*Job]Time{}}
+	w := &world{scenario: s, recorder: NewRecorder(s), netRand: s.newRand(streamNet), seedRand: s.newRand(streamSeeds), retryRand: s.newRand(streamWeights + 100), oracle: oracle, oracleRequests: map[*Job]Time{}}
 	for i := range s.Hosts {
 		group := &s.Hosts[i]
 		w.zones, w.kinds = appendUnique(w.zones, group.Zone), appendUnique(w.kinds, group.Kind)
@@ -184,12 +185,12 @@
 
 // addHost adds a host. It is on the list at once when the run starts, and after the listing delay later.
 func (w *world) addHost(group *HostGroup) *Host {
-	i := len(w.hosts)
-	h := NewHost(i, fmt.Sprintf("s-%04d", i), group, w.scenario)
+	index := len(w.hosts)
+	h := NewHost(index, fmt.Sprintf("s-%04d", index), group, w.scenario)
 	if w.now > 0 {
 		h.Started = w.now
 	}
-	w.hosts, w.nextTick = append(w.hosts, h), append(w.nextTick, 0)
+	w.hosts, w.nextCompletion = append(w.hosts, h), append(w.nextCompletion, 0)
 	started := lynxspool.Time(0)
 	if h.Started >= 0 {
 		started = clockBase + h.Started
@@ -197,9 +198,9 @@
 	w.hostList = append(w.hostList, listEntry{host: lynxspool.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, group.Zone), Kind: indexOf(w.kinds, group.Kind), Started: started}})
 	if w.now == 0 {
 		w.listVersion++
-		w.hostList[i].version, w.hostList[i].listed = w.listVersion, true
+		w.hostList[index].version, w.hostList[index].listed = w.listVersion, true
 	} else {
-		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(i, lynxspool.Ready) })
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, lynxspool.Ready) })
 	}
 	return h
 }
@@ -216,11 +217,11 @@
 }
 
 // updateListing updates the state of a host on the list and notifies the open watches.
-func (w *world) updateListing(i int, state lynxspool.HostState) {
+func (w *world) updateListing(index int, state lynxspool.HostState) {
 	w.listVersion++
-	e := &w.hostList[i]
+	e := &w.hostList[index]
 	e.host.State, e.version, e.listed = state, w.listVersion, state != lynxspool.Removed
-	if h := w.hosts[i]; h.Started >= 0 {
+	if h := w.hosts[index]; h.Started >= 0 {
 		e.host.Started = clockBase + h.Started
 	}
 	for _, c := range w.catalogs {
@@ -246,11 +247,11 @@
 			}
 		})
 	}
-	if next := h.NextCompletion(); next != 0 && next != w.nextTick[h.Index] {
-		w.nextTick[h.Index] = next
+	if next := h.NextCompletion(); next != 0 && next != w.nextCompletion[h.Index] {
+		w.nextCompletion[h.Index] = next
 		w.at(next, func() {
-			if w.nextTick[h.Index] == next {
-				w.nextTick[h.Index] = 0
+			if w.nextCompletion[h.Index] == next {
+				w.nextCompletion[h.Index] = 0
 				w.advanceHost(h)
 			}
 		})
@@ -294,6 +295,7 @@
 	cumulative []float64 // cumulative weights of the admitted gateways; nil when outdated
 }
 
+// newEdgeBalancer returns an edge balancer that has admitted no gateway yet.
 func newEdgeBalancer(s *Scenario) edgeBalancer {
 	return edgeBalancer{weights: s.GatewayWeights(), admitted: make([]bool, s.Gateways.Count)}
 }
