--- a/internal/fleetlab/plot.go
+++ b/internal/fleetlab/plot.go
@@ -16,14 +16,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Plot draws a play over time, one panel above the other: calls at each catalog and new
-// connections by bin, requests sent and served a second, and requests a second at the
-// least, middle and most loaded host. The file's ending says whether it is SVG or PNG.
+// Plot draws a run over time, in panels one above another: the calls at each catalog and the new
+// connections by bin, the requests sent and served per second, and the requests per second at each host.
+// The extension of the file selects SVG or PNG.
 func (r *Result) Plot(path string) error {
 	step := float64(r.Series.BinMS) / 1000
-	calls, err := panel("calls at the catalog in 100 ms", func(p *plot.Plot) error {
+	calls, err := newPanel("calls at the catalog in 100 ms", func(p *plot.Plot) error {
 		for i, c := range r.Series.Calls {
-			if err := line(p, i, fmt.Sprintf("catalog %d", i+1), c, step); err != nil {
+			if err := addLine(p, i, fmt.Sprintf("catalog %d", i+1), c, step); err != nil {
 				return err
 			}
 		}
@@ -32,23 +32,23 @@
 	if err != nil {
 		return err
 	}
-	conns, err := panel("new connections to hosts in 100 ms", func(p *plot.Plot) error {
-		return line(p, 0, "", r.Series.NewConns, step)
+	conns, err := newPanel("new connections to hosts in 100 ms", func(p *plot.Plot) error {
+		return addLine(p, 0, "", r.Series.NewConns, step)
 	})
 	if err != nil {
 		return err
 	}
-	served, err := panel("requests a second", func(p *plot.Plot) error {
-		if err := line(p, 0, "sent", r.Series.SentSec, 1); err != nil {
+	served, err := newPanel("requests a second", func(p *plot.Plot) error {
+		if err := addLine(p, 0, "sent", r.Series.SentPerSecond, 1); err != nil {
 			return err
 		}
-		return line(p, 1, "served in time", r.Series.ServedSec, 1)
+		return addLine(p, 1, "served in time", r.Series.ServedPerSecond, 1)
 	})
 	if err != nil {
 		return err
 	}
-	hosts, err := panel("requests a second, each host", func(p *plot.Plot) error {
-		for _, h := range r.Series.HostReqs {
+	hosts, err := newPanel("requests a second, each host", func(p *plot.Plot) error {
+		for _, h := range r.Series.HostRequests {
 			l, err := plotter.NewLine(points(h, 1))
 			if err != nil {
 				return err
@@ -63,7 +63,7 @@
 	}
 	panels := []*plot.Plot{calls, conns, served, hosts}
 	for _, p := range panels {
-		p.X.Max = r.LengthS
+		p.X.Max = r.LengthSeconds
 	}
 	panels[len(panels)-1].X.Label.Text = "s"
 	width, height := 20*vg.Centimeter, 5*vg.Centimeter*vg.Length(len(panels))
@@ -93,13 +93,15 @@
 	return f.Close()
 }
 
-func panel(title string, fill func(*plot.Plot) error) (*plot.Plot, error) {
+// newPanel returns a panel with a title and the lines that fill adds.
+func newPanel(title string, fill func(*plot.Plot) error) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Min, p.Legend.Top = title, 0, true
 	return p, fill(p)
 }
 
-func line(p *plot.Plot, i int, name string, list []int, step float64) error {
+// addLine adds a line in the i-th color. It is in the legend unless its name is empty.
+func addLine(p *plot.Plot, i int, name string, list []int, step float64) error {
 	l, err := plotter.NewLine(points(list, step))
 	if err != nil {
 		return err
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// points returns the values of a list as points that are step seconds apart.
 func points(list []int, step float64) plotter.XYs {
 	out := plotter.XYs{{X: 0, Y: 0}}
 	for i, n := range list {
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -19,38 +19,38 @@
 	"lynxspool/internal/faultnet"
 )
 
-// RealOptions say where the real engine finds things.
+// RealOptions configures the real engine.
 type RealOptions struct {
-	Bin  string    // folder with the binaries dunemoor and catalog
-	Dir  string    // for logs and data; "" takes a temporary one, removed at the end
-	Says io.Writer // progress; nil for none
+	Bin      string    // directory of the binaries dunemoor and catalog
+	Dir      string    // directory for logs and data; empty: a temporary one that is removed at the end
+	Progress io.Writer // receives progress messages; nil: none
 }
 
-// realPlay is a play with real processes.
-type realPlay struct {
-	s    *Scenario
-	opt  RealOptions
-	dir  string
-	net  string // first three octets' base of the play's loopback addresses: "127.N."
-	zero time.Time
-	ctx  context.Context
+// realRun is a run with real processes.
+type realRun struct {
+	scenario  *Scenario
+	options   RealOptions
+	dir       string // for logs and data
+	netPrefix string // prefix of the loopback addresses of the run: "127.N."
+	startedAt time.Time
+	ctx       context.Context
 
-	recMu sync.Mutex
-	rec   *Recorder
+	recorderMu sync.Mutex
+	recorder   *Recorder
 
-	starter  *starter
-	hosts    []*standIn
-	gateways []*realGateway
-	catalogs []*realCatalog
-	busy     net.Listener // answers 503 to all, for a list service that is busy
-	client   *http.Client
+	starter      *starter
+	hosts        []*loopbackHost
+	gateways     []*realGateway
+	catalogs     []*realCatalog
+	busyListener net.Listener // answers 503 to everything, in place of a busy list service; nil until needed
+	httpClient   *http.Client
 
-	frontMu sync.Mutex
-	front   front
+	edgeMu sync.Mutex
+	edge   edgeBalancer
 }
 
-// Real plays a scenario with real gateways and catalogs on loopback. Every process that it
-// starts has ended when it returns; should this process die, the kernel ends them.
+// Real runs a scenario with real gateways and catalogs on loopback. All processes that it started have
+// exited when it returns. If this process dies, the kernel kills them.
 func Real(ctx context.Context, s *Scenario, opt RealOptions) (*Result, error) {
 	if err := s.preflight(); err != nil {
 		return nil, err
@@ -60,104 +60,107 @@
 			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", b, opt.Bin)
 		}
 	}
-	if opt.Says == nil {
-		opt.Says = io.Discard
+	if opt.Progress == nil {
+		opt.Progress = io.Discard
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p := &realPlay{s: s, opt: opt, dir: opt.Dir, ctx: ctx, rec: NewRecorder(s), front: newFront(s),
-		net: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: newStarter()}
-	defer p.starter.end()
-	if p.dir == "" {
+	run := &realRun{scenario: s, options: opt, dir: opt.Dir, ctx: ctx, recorder: NewRecorder(s), edge: newEdgeBalancer(s),
+		netPrefix: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: newStarter()}
+	defer run.starter.end()
+	if run.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetlab")
 		if err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		p.dir = dir
+		run.dir = dir
 	}
-	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
+	run.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
-	defer p.client.CloseIdleConnections()
-	defer p.close()
-	p.zero = time.Now()
-	if err := p.setUp(); err != nil {
+	defer run.httpClient.CloseIdleConnections()
+	defer run.close()
+	run.startedAt = time.Now()
+	if err := run.setUp(); err != nil {
 		return nil, err
 	}
-	p.zero = time.Now()
-	if err := p.restartColdClock(); err != nil {
+	run.startedAt = time.Now()
+	if err := run.restartColdHosts(); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(opt.Says, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(p.hosts), len(p.catalogs))
-	p.play()
+	fmt.Fprintf(opt.Progress, "%s: %d gateways, %d hosts, %d catalogs\n", s.Name, s.Gateways.Count, len(run.hosts), len(run.catalogs))
+	run.execute()
 	if err := ctx.Err(); err != nil {
-		return nil, errors.New("ended before its time")
+		return nil, errors.New("interrupted before the end of the run")
 	}
-	return p.result(), nil
+	return run.result(), nil
 }
 
-// now is the time since the play began.
-func (p *realPlay) now() Time { return time.Since(p.zero) }
+// now returns the time since the run started.
+func (run *realRun) now() Time { return time.Since(run.startedAt) }
 
-func (p *realPlay) record(do func(r *Recorder, now Time)) {
-	p.recMu.Lock()
-	defer p.recMu.Unlock()
-	do(p.rec, p.now())
+// record calls do with the recorder and the present time, under the lock of the recorder.
+func (run *realRun) record(do func(r *Recorder, now Time)) {
+	run.recorderMu.Lock()
+	defer run.recorderMu.Unlock()
+	do(run.recorder, run.now())
 }
 
-// at runs something at a time of the play, unless it has ended.
-func (p *realPlay) at(t Time, do func()) {
+// at calls do at a time of the run, unless the run has ended by then.
+func (run *realRun) at(t Time, do func()) {
 	go func() {
 		select {
-		case <-p.ctx.Done():
-		case <-time.After(t - p.now()):
+		case <-run.ctx.Done():
+		case <-time.After(t - run.now()):
 			do()
 		}
 	}()
 }
 
-func (p *realPlay) setUp() error {
-	s := p.s
-	for i := range s.Hosts {
-		for range s.Hosts[i].Count {
-			n := len(p.hosts)
-			h := NewHost(n, fmt.Sprintf("s-%04d", n), &s.Hosts[i], s)
-			st, err := newStandIn(p, h, fmt.Sprintf("%s%d.%d:9000", p.net, 200+n/250, 1+n%250))
+// setUp starts the hosts and the catalogs and writes the configuration of the gateways.
+func (run *realRun) setUp() error {
+	s := run.scenario
+	for groupIndex := range s.Hosts {
+		for range s.Hosts[groupIndex].Count {
+			index := len(run.hosts)
+			model := NewHost(index, fmt.Sprintf("s-%04d", index), &s.Hosts[groupIndex], s)
+			host, err := newLoopbackHost(run, model, fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 200+index/250, 1+index%250))
 			if err != nil {
 				return err
 			}
-			p.hosts = append(p.hosts, st)
+			run.hosts = append(run.hosts, host)
 		}
 	}
-	if err := p.startCatalogs(); err != nil {
+	if err := run.startCatalogs(); err != nil {
 		return err
 	}
 	for i := range s.Gateways.Count {
-		p.gateways = append(p.gateways, &realGateway{p: p, rank: i, configured: s.Gateways.Configured,
-			addr: fmt.Sprintf("%s%d.%d:9000", p.net, 1+i/250, 1+i%250)})
+		run.gateways = append(run.gateways, &realGateway{run: run, rank: i, configured: s.Gateways.Configured,
+			addr: fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 1+i/250, 1+i%250)})
 	}
-	known := map[int]bool{}
-	if s.Gateways.Known > 0 {
-		for _, i := range choose(s.rng(streamAbsent+100), s.Gateways.Count, s.Gateways.Known, "random") {
-			known[i] = true
+	hasSavedList := map[int]bool{}
+	if s.Gateways.SavedListShare > 0 {
+		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
+			hasSavedList[i] = true
 		}
 	}
-	for i, g := range p.gateways {
-		if err := g.configure(known[i]); err != nil {
+	for i, g := range run.gateways {
+		if err := g.configure(hasSavedList[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restartColdClock makes cold hosts start now, as setting up took time, and lists them so.
-func (p *realPlay) restartColdClock() error {
-	for _, st := range p.hosts {
-		if st.h.Spec.Cold {
-			st.mu.Lock()
-			st.h.Started = 0
-			st.mu.Unlock()
-			if err := p.list(st); err != nil {
+// restartColdHosts sets the start of the cold hosts to the start of the run, as the setup takes time, and
+// updates them on the list.
+func (run *realRun) restartColdHosts() error {
+	for _, host := range run.hosts {
+		if host.model.Spec.Cold {
+			host.mu.Lock()
+			host.model.Started = 0
+			host.mu.Unlock()
+			if err := run.listHost(host); err != nil {
 				return err
 			}
 		}
@@ -165,43 +168,43 @@
 	return nil
 }
 
-// play starts the gateways, sends the load and works off the time line.
-func (p *realPlay) play() {
-	s := p.s
-	here, spread := s.Present(), s.rng(streamSeeds+100)
-	for i, g := range p.gateways {
-		at := Time(spread.Float64() * float64(s.Gateways.StartSpread))
-		if here[i] {
-			p.at(at, g.start)
+// execute starts the gateways, sends the load and carries out the faults.
+func (run *realRun) execute() {
+	s := run.scenario
+	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
+	for i, g := range run.gateways {
+		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
+		if present[i] {
+			run.at(at, g.start)
 		}
 	}
-	p.setFaults()
+	run.scheduleFaults()
 	var clients sync.WaitGroup
-	load := newArrivals(s)
-	samples := time.NewTicker(bin)
-	defer samples.Stop()
-	said := time.Duration(0)
-	next, more := load.draw()
+	arrivals := newArrivals(s)
+	sampleTicker := time.NewTicker(binWidth)
+	defer sampleTicker.Stop()
+	lastProgress := time.Duration(0)
+	next, more := arrivals.draw()
 	for {
 		until := s.Length.std()
 		if more {
 			until = next.At
 		}
 		select {
-		case <-p.ctx.Done():
+		case <-run.ctx.Done():
 			return
-		case <-samples.C:
-			p.sample()
-			if now := p.now(); now-said >= 5*time.Second {
-				said = now
-				p.recMu.Lock()
-				e := p.rec.ends
-				fmt.Fprintf(p.opt.Says, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
-					now.Seconds(), p.rec.ready.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGW])
-				p.recMu.Unlock()
+		case <-sampleTicker.C:
+			run.samplePending()
+			if now := run.now(); now-lastProgress >= 5*time.Second {
+				lastProgress = now
+				run.recorderMu.Lock()
+				e := run.recorder.ends
+				fmt.Fprintf(run.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
+					now.Seconds(), run.recorder.readyTimes.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGateway])
+				run.recorderMu.Unlock()
 			}
 			continue
-		case <-time.After(until - p.now()):
+		case <-time.After(until - run.now()):
 		}
 		if !more {
 			break
@@ -209,153 +212,157 @@
 		clients.Add(1)
 		go func(a Arrival) {
 			defer clients.Done()
-			p.request(a)
+			run.runClient(a)
 		}(next)
-		next, more = load.draw()
+		next, more = arrivals.draw()
 	}
 	clients.Wait()
 }
 
-// sample counts what the catalogs sent and what the hosts hold, once a bin.
-func (p *realPlay) sample() {
+// samplePending records how many requests the hosts hold and how many bytes the catalogs have sent. It is
+// called once per bin.
+func (run *realRun) samplePending() {
 	var pending []int
-	for _, st := range p.hosts {
-		st.mu.Lock()
-		if st.h.Cond == Serving {
-			pending = append(pending, st.h.Pending())
+	for _, host := range run.hosts {
+		host.mu.Lock()
+		if host.model.Condition == Serving {
+			pending = append(pending, host.model.Pending())
 		}
-		st.mu.Unlock()
+		host.mu.Unlock()
 	}
-	p.record(func(r *Recorder, now Time) {
-		r.Pending(now, pending)
-		for i, c := range p.catalogs {
+	run.record(func(r *Recorder, now Time) {
+		r.RecordPending(now, pending)
+		for i, c := range run.catalogs {
 			bytes := c.link.BytesFromTarget()
-			r.bytes[i] += bytes - c.bytes
-			c.bytes = bytes
+			r.catalogBytes[i] += bytes - c.countedBytes
+			c.countedBytes = bytes
 		}
 	})
 }
 
-// request is a client: one request through the gateway that the front names, and again
-// after a refusal as often as clients do.
-func (p *realPlay) request(a Arrival) {
-	c := &p.s.Classes[a.Class]
-	arrived := p.now()
-	for ; ; a.Tries++ {
-		end, took := p.try(&a, c)
-		if end == Refused && a.Tries < p.s.Load.Retries {
+// runClient acts as a client: it sends a request to the gateway that the edge balancer picks and retries
+// after refusals.
+func (run *realRun) runClient(a Arrival) {
+	class := &run.scenario.Classes[a.Class]
+	arrived := run.now()
+	for ; ; a.Retries++ {
+		end, took := run.sendRequest(&a, class)
+		if end == Refused && a.Retries < run.scenario.Load.Retries {
 			select {
-			case <-p.ctx.Done():
-			case <-time.After(p.s.Load.RetryWait.std()):
+			case <-run.ctx.Done():
+			case <-time.After(run.scenario.Load.RetryWait.std()):
 				continue
 			}
 		}
-		p.record(func(r *Recorder, _ Time) { r.Ended(arrived, end, took) })
+		run.record(func(r *Recorder, _ Time) { r.RecordEnd(arrived, end, took) })
 		return
 	}
 }
 
-func (p *realPlay) try(a *Arrival, c *Class) (End, time.Duration) {
-	p.frontMu.Lock()
-	i := p.front.pick(a.Front)
-	p.frontMu.Unlock()
-	if i < 0 {
-		return NoLiveGW, 0
+// sendRequest sends a request once and returns how it ended and after what time.
+func (run *realRun) sendRequest(a *Arrival, class *Class) (End, time.Duration) {
+	run.edgeMu.Lock()
+	rank := run.edge.pick(a.GatewayQuantile)
+	run.edgeMu.Unlock()
+	if rank < 0 {
+		return NoLiveGateway, 0
 	}
 	method, body := http.MethodGet, io.Reader(nil)
-	if c.Effect == "at_most_once" {
+	if class.Effect == "at_most_once" {
 		method, body = http.MethodPost, strings.NewReader("x")
 	}
-	ctx, cancel := context.WithTimeout(p.ctx, c.Deadline.std()+500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(run.ctx, class.Deadline.std()+500*time.Millisecond)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/api/%d/%d", p.gateways[i].addr,
-		int(a.Work*float64(c.Work)/1e3), int(a.Waits*float64(c.Waits)/1e3))
+	url := fmt.Sprintf("http://%s/api/%d/%d", run.gateways[rank].addr,
+		int(a.WorkFactor*float64(class.Work)/1e3), int(a.WaitFactor*float64(class.WaitTime)/1e3))
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return Failed, 0
 	}
-	req.Header.Set("X-Priority-Class", c.Name)
-	req.Header.Set("X-Timeout", fmt.Sprintf("%.3f", c.Deadline.std().Seconds()))
-	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Tries, i))
-	if a.Tries > 0 {
+	req.Header.Set("X-Priority-Class", class.Name)
+	req.Header.Set("X-Timeout", fmt.Sprintf("%.3f", class.Deadline.std().Seconds()))
+	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Retries, rank))
+	if a.Retries > 0 {
 		req.Header.Set("X-Retried", "1")
 	}
-	began := time.Now()
-	resp, err := p.client.Do(req)
+	sentAt := time.Now()
+	resp, err := run.httpClient.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	took := time.Since(began)
+	elapsed := time.Since(sentAt)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return NoLiveGW, took
+		return NoLiveGateway, elapsed
 	case err != nil && ctx.Err() != nil:
-		return Failed, took
+		return Failed, elapsed
 	case err != nil:
-		return Lost, took
-	case resp.StatusCode == http.StatusOK && took <= c.Aim.std():
-		return Served, took
+		return Lost, elapsed
+	case resp.StatusCode == http.StatusOK && elapsed <= class.LatencyTarget.std():
+		return Served, elapsed
 	case resp.StatusCode == http.StatusOK:
-		return Late, took
+		return Late, elapsed
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		return Refused, took
+		return Refused, elapsed
 	}
-	return Failed, took
+	return Failed, elapsed
 }
 
-func (p *realPlay) result() *Result {
-	p.recMu.Lock()
-	defer p.recMu.Unlock()
-	for _, g := range p.gateways {
+// result returns the figures of the run.
+func (run *realRun) result() *Result {
+	run.recorderMu.Lock()
+	defer run.recorderMu.Unlock()
+	for _, g := range run.gateways {
 		g.mu.Lock()
 		if g.proc != nil && !g.ready {
-			p.rec.never++
+			run.recorder.neverReady++
 		}
 		g.mu.Unlock()
 	}
 	var hosts []*Host
-	for _, st := range p.hosts {
-		st.mu.Lock()
-		defer st.mu.Unlock()
-		hosts = append(hosts, st.h)
+	for _, host := range run.hosts {
+		host.mu.Lock()
+		defer host.mu.Unlock()
+		hosts = append(hosts, host.model)
 	}
-	r := p.rec.Result("real", hosts)
-	for i, c := range p.catalogs {
+	r := run.recorder.Result("real", hosts)
+	for i, c := range run.catalogs {
 		if c.proc != nil {
-			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = procFigures(c.proc.Pid())
+			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = processUsage(c.proc.Pid())
 		}
 	}
 	return r
 }
 
-// close ends every process and listener of the play.
-func (p *realPlay) close() {
+// close ends all processes and listeners of the run.
+func (run *realRun) close() {
 	var ends sync.WaitGroup
-	for _, g := range p.gateways {
+	for _, g := range run.gateways {
 		ends.Add(1)
 		go func() { defer ends.Done(); g.kill() }()
 	}
-	for _, c := range p.catalogs {
+	for _, c := range run.catalogs {
 		ends.Add(1)
 		go func() { defer ends.Done(); c.kill() }()
 	}
 	ends.Wait()
-	for _, c := range p.catalogs {
+	for _, c := range run.catalogs {
 		c.link.Close()
 	}
-	if p.busy != nil {
-		p.busy.Close()
+	if run.busyListener != nil {
+		run.busyListener.Close()
 	}
-	for _, st := range p.hosts {
-		st.close()
+	for _, host := range run.hosts {
+		host.close()
 	}
 }
 
-// starter starts processes from one locked thread: they are tied to it, so that the kernel
-// ends them should this process die in any way.
+// starter starts processes from one locked thread. Their parent death signal is bound to that thread, so
+// that the kernel kills them if this process dies.
 type starter struct{ calls chan func() }
 
+// newStarter returns a starter with a thread of its own.
 func newStarter() *starter {
 	s := &starter{calls: make(chan func())}
 	go func() {
@@ -367,12 +374,13 @@
 	return s
 }
 
-// start also tells when the process was started, as starts wait for each other.
+// start starts a process and returns its start time, which may be later than the call as starts wait for
+// each other.
 func (s *starter) start(dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
 	return s.startWith(nil, dir, name, bin, args, env...)
 }
 
-// startWith is start for a process that inherits files.
+// startWith is like start, for a process that inherits open files.
 func (s *starter) startWith(files []*os.File, dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
 	done := make(chan struct{})
 	s.calls <- func() {
@@ -384,17 +392,20 @@
 	return p, at, err
 }
 
+// end ends the thread. No process may be running then.
 func (s *starter) end() { close(s.calls) }
 
-func jsonText(v any) ([]byte, error) { return json.Marshal(v) }
+// encodeJSON encodes a value as JSON.
+func encodeJSON(v any) ([]byte, error) { return json.Marshal(v) }
 
-// writeJSON writes a configuration file.
+// writeJSON writes a value to a file as JSON.
 func writeJSON(path string, v any) error {
-	text, err := jsonText(v)
+	text, err := encodeJSON(v)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
 }
 
+// listenLoopback listens on a free loopback port.
 func listenLoopback() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
--- a/internal/fleetlab/standin.go
+++ b/internal/fleetlab/standin.go
@@ -14,39 +14,41 @@
 	"time"
 )
 
-// standIn is a host on a loopback socket for the real engine: the Host model told by real
-// events. A request's work and wait stand in its path, /api/WORK/WAITS in microseconds.
-type standIn struct {
-	p    *realPlay
+// loopbackHost is a host of the real engine: a server on a loopback address that answers as the Host model
+// does. The path of a request gives its work and its wait time in microseconds: /api/WORK/WAIT.
+type loopbackHost struct {
+	run  *realRun
 	addr string
 
-	mu    sync.Mutex
-	h     *Host
-	ln    net.Listener // nil while its process is down
-	conns map[net.Conn]int
-	timer *time.Timer
+	mu       sync.Mutex
+	model    *Host
+	listener net.Listener     // nil while the process of the host is down
+	conns    map[net.Conn]int // open connections and the incarnation of each
+	timer    *time.Timer      // fires at the next completion of the model
 }
 
-func newStandIn(p *realPlay, h *Host, addr string) (*standIn, error) {
-	s := &standIn{p: p, h: h, addr: addr, conns: map[net.Conn]int{}}
-	s.timer = time.AfterFunc(time.Hour, s.tick)
-	return s, s.listen()
+// newLoopbackHost returns a host that listens.
+func newLoopbackHost(run *realRun, model *Host, addr string) (*loopbackHost, error) {
+	host := &loopbackHost{run: run, model: model, addr: addr, conns: map[net.Conn]int{}}
+	host.timer = time.AfterFunc(time.Hour, host.advance)
+	return host, host.listen()
 }
 
-// listen begins to accept. A machine that is back may find its port held for a moment.
-func (s *standIn) listen() error {
-	ln, err := serveAgain(s.addr, s.serve)
+// listen opens the listening socket.
+func (h *loopbackHost) listen() error {
+	ln, err := listenAndServe(h.addr, h.serve)
 	if err != nil {
-		return fmt.Errorf("host %s: %w", s.h.ID, err)
+		return fmt.Errorf("host %s: %w", h.model.ID, err)
 	}
-	s.mu.Lock()
-	s.ln = ln
-	s.mu.Unlock()
+	h.mu.Lock()
+	h.listener = ln
+	h.mu.Unlock()
 	return nil
 }
 
-// serveAgain serves the connections that come to an address, which may have been served just now.
-func serveAgain(addr string, serve func(net.Conn)) (net.Listener, error) {
+// listenAndServe accepts connections at an address and serves each in a goroutine. The address may have
+// been in use just before, so that its port is still held by closed connections.
+func listenAndServe(addr string, serve func(net.Conn)) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
 	}}
@@ -66,89 +68,90 @@
 	return ln, nil
 }
 
-// do lets a change be made to the model; down resets all connections and refuses new ones,
-// until listen.
-func (s *standIn) do(change func(h *Host), down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.h.Advance(s.p.now())
-	change(s.h)
-	if down && s.ln != nil {
-		s.ln.Close()
-		s.ln = nil
+// update applies a change to the model. If down is set it resets all connections and refuses new ones
+// until the next call of listen.
+func (h *loopbackHost) update(change func(h *Host), down bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.model.Advance(h.run.now())
+	change(h.model)
+	if down && h.listener != nil {
+		h.listener.Close()
+		h.listener = nil
 	}
-	if down || s.h.Cond == Dead {
-		for c := range s.conns {
+	if down || h.model.Condition == Dead {
+		for c := range h.conns {
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
 	}
 }
 
-// tick brings the model up to now. s.mu is not held.
-func (s *standIn) tick() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tickLocked()
+// advance advances the model to the present time.
+func (h *loopbackHost) advance() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.advanceLocked()
 }
 
-func (s *standIn) tickLocked() {
-	now := s.p.now()
-	for _, j := range s.h.Advance(now) {
-		time.AfterFunc(j.Waits, func() {
-			s.mu.Lock()
-			ok := s.h.Release(j)
-			s.mu.Unlock()
+// advanceLocked is advance for callers that hold s.mu.
+func (h *loopbackHost) advanceLocked() {
+	now := h.run.now()
+	for _, j := range h.model.Advance(now) {
+		time.AfterFunc(j.WaitTime, func() {
+			h.mu.Lock()
+			ok := h.model.Release(j)
+			h.mu.Unlock()
 			if ok {
 				j.Done(true)
 			}
 		})
 	}
-	if next := s.h.Next(); next != 0 {
-		s.timer.Reset(max(0, next-now))
+	if next := h.model.NextCompletion(); next != 0 {
+		h.timer.Reset(max(0, next-now))
 	}
 }
 
-// serve speaks with one connection until it ends.
-func (s *standIn) serve(c net.Conn) {
-	defer c.Close()
-	s.p.record(func(r *Recorder, now Time) { r.NewConn(s.h.Index, now) })
-	s.mu.Lock()
-	inc, room := s.h.Inc, s.h.Connect()
-	s.conns[c] = inc
-	s.mu.Unlock()
+// serve serves a connection until it is closed.
+func (h *loopbackHost) serve(conn net.Conn) {
+	defer conn.Close()
+	h.run.record(func(recorder *Recorder, now Time) { recorder.RecordNewConn(h.model.Index, now) })
+	h.mu.Lock()
+	incarnation, accepted := h.model.Incarnation, h.model.Connect()
+	h.conns[conn] = incarnation
+	h.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		delete(s.conns, c)
-		if room {
-			s.h.Disconnect(inc)
+		h.mu.Lock()
+		delete(h.conns, conn)
+		if accepted {
+			h.model.Disconnect(incarnation)
 		}
-		s.mu.Unlock()
+		h.mu.Unlock()
 	}()
-	// A reader of its own, so that a caller that hangs up is seen while its request runs.
-	reqs := make(chan *http.Request)
+	// Requests are read in a goroutine of their own, so that a close is noticed while a request runs.
+	requests := make(chan *http.Request)
 	ended := make(chan struct{})
-	over := make(chan struct{})
-	defer close(over)
+	served := make(chan struct{})
+	defer close(served)
 	go func() {
 		defer close(ended)
-		in := bufio.NewReader(c)
+		in := bufio.NewReader(conn)
 		for {
-			r, err := http.ReadRequest(in)
+			request, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
 			select {
-			case reqs <- r:
-			case <-over:
+			case requests <- request:
+			case <-served:
 				return
 			}
 		}
 	}()
 	for first := true; ; first = false {
 		select {
-		case r := <-reqs:
-			if !s.answer(c, r, first, room, ended) {
+		case r := <-requests:
+			if !h.handleRequest(conn, r, first, accepted, ended) {
 				return
 			}
 		case <-ended:
@@ -157,40 +160,40 @@
 	}
 }
 
-// answer takes one request and says whether the connection goes on.
-func (s *standIn) answer(c net.Conn, r *http.Request, first, room bool, ended <-chan struct{}) bool {
-	if !room {
-		writeAnswer(c, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", "")
+// handleRequest answers a request and reports whether the connection stays open.
+func (h *loopbackHost) handleRequest(conn net.Conn, request *http.Request, first, accepted bool, ended <-chan struct{}) bool {
+	if !accepted {
+		writeResponse(conn, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", "")
 		return false
 	}
-	work, waits, err := workOf(r.URL.Path)
+	work, waitTime, err := parseWork(request.URL.Path)
 	if err != nil {
-		writeAnswer(c, "404 Not Found", "", "")
+		writeResponse(conn, "404 Not Found", "", "")
 		return true
 	}
-	s.p.record(func(rec *Recorder, now Time) { rec.Took(s.h.Index, now) })
+	h.run.record(func(recorder *Recorder, now Time) { recorder.RecordHostRequest(h.model.Index, now) })
 	done := make(chan bool, 1)
-	j := &Job{Work: work, Waits: waits, Told: true, Done: func(ok bool) { done <- ok }}
+	job := &Job{Work: work, WaitTime: waitTime, Notified: true, Done: func(ok bool) { done <- ok }}
 	if first {
-		j.Work += s.h.rules.ConnCost.std()
+		job.Work += h.model.rules.ConnCost.std()
 	}
-	s.mu.Lock()
-	s.tickLocked()
-	v := s.h.Arrive(s.p.now(), j)
-	s.tickLocked()
-	fell := s.h.Fell
-	s.mu.Unlock()
-	switch v {
-	case TurnAway:
-		return writeAnswer(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+	h.mu.Lock()
+	h.advanceLocked()
+	verdict := h.model.Arrive(h.run.now(), job)
+	h.advanceLocked()
+	overloaded := h.model.Overloaded
+	h.mu.Unlock()
+	switch verdict {
+	case Rejected:
+		return writeResponse(conn, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
 	case FastError:
-		time.Sleep(fastError)
-		return writeAnswer(c, "500 Internal Server Error", "", "")
-	case Broken:
-		if fell {
-			s.do(func(*Host) {}, true)
+		time.Sleep(fastErrorDelay)
+		return writeResponse(conn, "500 Internal Server Error", "", "")
+	case ConnectionReset:
+		if overloaded {
+			h.update(func(*Host) {}, true)
 		}
-		c.(*net.TCPConn).SetLinger(0)
+		conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case NoAnswer:
 		<-ended
@@ -198,33 +201,35 @@
 	}
 	select {
 	case <-done:
-		return writeAnswer(c, "200 OK", "", "done")
+		return writeResponse(conn, "200 OK", "", "done")
 	case <-ended:
-		s.mu.Lock()
-		s.h.Cancel(s.p.now(), j)
-		s.tickLocked()
-		s.mu.Unlock()
+		h.mu.Lock()
+		h.model.Cancel(h.run.now(), job)
+		h.advanceLocked()
+		h.mu.Unlock()
 		return false
 	}
 }
 
-func workOf(path string) (work, waits time.Duration, err error) {
-	f := strings.Split(path, "/")
-	if len(f) != 4 {
+// parseWork returns the work and the wait time that the path of a request gives.
+func parseWork(path string) (work, waitTime time.Duration, err error) {
+	parts := strings.Split(path, "/")
+	if len(parts) != 4 {
 		return 0, 0, errors.New("no such path")
 	}
-	w, err1 := strconv.Atoi(f[2])
-	x, err2 := strconv.Atoi(f[3])
-	return time.Duration(w) * time.Microsecond, time.Duration(x) * time.Microsecond, errors.Join(err1, err2)
+	w, workErr := strconv.Atoi(parts[2])
+	x, waitErr := strconv.Atoi(parts[3])
+	return time.Duration(w) * time.Microsecond, time.Duration(x) * time.Microsecond, errors.Join(workErr, waitErr)
 }
 
-func writeAnswer(c net.Conn, status, head, body string) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
+// writeResponse writes a response and reports whether that succeeded.
+func writeResponse(conn net.Conn, status, header, body string) bool {
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	return err == nil
 }
 
-// close ends it.
-func (s *standIn) close() {
-	s.do(func(h *Host) { h.Kill() }, true)
-	s.timer.Stop()
+// close stops the host.
+func (h *loopbackHost) close() {
+	h.update(func(h *Host) { h.Kill() }, true)
+	h.timer.Stop()
 }
