--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -19,7 +19,7 @@
 	version uint64
 }
 
-func (s *sink) Members(kind lynxspool.ListKind, l gateway.MemberList) {
+func (s *sink) HandleList(kind lynxspool.ListKind, l gateway.MemberList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !kind.IsLoss() {
--- a/cmd/dunemoor/bank.go
+++ b/cmd/dunemoor/bank.go
@@ -24,7 +24,7 @@
 // standing is what GET /members says first: what decides, and why it last changed.
 type standing struct {
 	Rank int `json:"rank"`
-	gateway.Place
+	gateway.FleetStatus
 	Changed time.Time `json:"changed"`
 	Why     string    `json:"why"`
 }
@@ -56,10 +56,10 @@
 			peers = append(peers, lynxspool.Peer{Rank: p.Rank, Rate: p.Rate})
 		}
 	}
-	place := b.loop.Peers(peers)
+	place := b.loop.UpdatePeers(peers)
 	b.members.AnnounceLoad(rank, place.Rate)
 	old := b.state.Load()
-	now := &standing{Rank: rank, Place: place, Changed: time.Now(), Why: b.members.LastChange()}
+	now := &standing{Rank: rank, FleetStatus: place, Changed: time.Now(), Why: b.members.LastChange()}
 	if old != nil && old.Live == place.Live && old.Draws == place.Draws && old.Rank == rank {
 		now.Changed, now.Why = old.Changed, old.Why
 	} else {
--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -85,8 +85,8 @@
 	if err != nil {
 		return err
 	}
-	pool.Await(discovery)
-	discovery.SetInForce(loop.Sync)
+	pool.SetUpdateSource(discovery)
+	discovery.SetSync(loop.Sync)
 	ln, err := listen(cfg)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -100,12 +100,12 @@
 	broken := make(chan error, 2)
 	serveOperators := func(*bank) {}
 	if cfg.Operator != "" {
-		bans, err := gateway.NewBans(os.Getenv("TMPDIR"))
+		bans, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
 		if err != nil {
 			return err
 		}
 		// Ahead of the hosts: nothing is sent to one that is out.
-		if err := bans.Look(loop); err != nil {
+		if err := bans.Refresh(loop); err != nil {
 			return err
 		}
 		operators, err := net.Listen("tcp", cfg.Operator)
@@ -125,14 +125,14 @@
 		}
 	}
 	if cfg.AcceptFD != 0 {
-		pool.Overlap(true)
+		pool.SetOverlap(true)
 		time.AfterFunc(overlapTime, func() {
 			if server.Healthy() == nil { // else it stops, and another is beside it again
-				pool.Overlap(false)
+				pool.SetOverlap(false)
 			}
 		})
 	}
-	loop.Members(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(lynxspool.ListSaved, cfg.Known)
 	roster := gateway.NewRoster(cfg.Known, loop)
 	var others *bank
 	if m := cfg.Membership; m.Bind != "" {
@@ -203,8 +203,8 @@
 		slog.Error("configuration not read anew, the old one stands", "err", err)
 		return inForce
 	}
-	loop.Retune(&cfg.Rules)
-	discovery.Move(cfg.Discovery)
+	loop.UpdateRules(&cfg.Rules)
+	discovery.SetAddrs(cfg.Discovery)
 	slog.Info("configuration read anew", "discovery", cfg.Discovery, "classes", len(cfg.Classes))
 	return cfg
 }
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -24,7 +24,7 @@
 	}
 	go loop.Run(ctx)
 	server := NewServer(cfg, loop)
-	bans, err := NewBans("")
+	bans, err := NewMaintenanceStore("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- server.Serve(clients) }()
 	go func() { ended <- operator.Serve(operators) }()
-	loop.Members(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(lynxspool.ListSaved, cfg.Known)
 	defer func() {
 		server.http.Close()
 		operator.http.Close()
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,75 +13,77 @@
 	"time"
 )
 
-// maxHead is how long the head of an answer may be.
-const maxHead = 64 << 10
+// maxHeadBytes limits the head of an answer.
+const maxHeadBytes = 64 << 10
 
 var errBadAnswer = errors.New("gateway: answer cannot be passed on")
 
-// broken says whether reading failed with the connection, which ended or broke, and not
-// because of what was read from it.
-func broken(err error) bool {
+// isConnError returns whether a read failed because the connection ended or broke, and not because
+// of the data that was read.
+func isConnError(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network)
 }
 
-// read reads an answer and says whether the connection can carry another request. One
-// that is long, or is not whole soon after its head, comes as a stream. Any other that is
-// not sure to be whole is an error: it is not served.
-func (c *conn) read(method string, kept *budget) (status int, a answer, keep bool, err error) {
-	c.limit.N = maxHead
+// readAnswer reads an answer and returns whether the connection can carry another request. An
+// answer that is long, or is incomplete a short time after its head, is returned as a stream. Any
+// other answer that cannot be verified to be complete is an error and is not served.
+func (c *conn) readAnswer(method string, memory *memoryBudget) (status int, a answer, keep bool, err error) {
+	c.limited.N = maxHeadBytes
 	var resp *http.Response
 	for {
-		odd := c.chunksOfOld()
-		resp, err = http.ReadResponse(c.in, &http.Request{Method: method})
-		if err != nil && c.limit.N <= 0 {
-			return 0, a, false, errBadAnswer // a head without end
+		badFraming := c.http10TransferEncoding()
+		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
+		if err != nil && c.limited.N <= 0 {
+			return 0, a, false, errBadAnswer // the head is too long
 		} else if err != nil {
 			return 0, a, false, err
-		} else if resp.ProtoMajor != 1 || odd {
-			return 0, a, false, errBadAnswer // its framing is not that of its head
+		} else if resp.ProtoMajor != 1 || badFraming {
+			return 0, a, false, errBadAnswer // its body is not framed as its head says
 		}
 		if resp.StatusCode >= 200 {
-			break // those below come ahead of the answer
+			break // informational responses precede the answer
 		}
 	}
-	c.limit.N = math.MaxInt64
+	c.limited.N = math.MaxInt64
 	a = answer{kind: answerServed, header: resp.Header}
 	if resp.StatusCode != http.StatusOK {
-		// Only its head tells anything; the rest is read for the next answer's sake.
-		switch n, err := io.CopyN(io.Discard, resp.Body, maxSmall+1); {
-		case n > maxSmall || err == io.EOF && c.in.Buffered() > 0:
-			return 0, answer{}, false, errBadAnswer // too long, or more than it announced
+		// Only the head is used. The body is read so that the connection can carry the next
+		// request.
+		switch n, err := io.CopyN(io.Discard, resp.Body, maxBufferedBytes+1); {
+		case n > maxBufferedBytes || err == io.EOF && c.reader.Buffered() > 0:
+			return 0, answer{}, false, errBadAnswer // too long, or longer than announced
 		case err != io.EOF:
 			return 0, answer{}, false, err
 		}
 		return resp.StatusCode, a, !resp.Close, nil
 	}
 	st := &stream{conn: c, body: resp.Body, length: resp.ContentLength, done: make(chan error, 1)}
-	size := maxSmall
-	if st.length >= 0 && st.length < maxSmall {
+	size := maxBufferedBytes
+	if st.length >= 0 && st.length < maxBufferedBytes {
 		size = int(st.length)
 	}
-	if st.length > maxSmall || !kept.take(size) {
-		// One byte at least has come when it begins: until then it can be repeated.
-		if _, err := c.in.Peek(1); err != nil {
+	if st.length > maxBufferedBytes || !memory.acquire(size) {
+		// The first byte of the body must have arrived before the stream begins: until then the
+		// request can be retried.
+		if _, err := c.reader.Peek(1); err != nil {
 			return 0, a, false, err
 		}
 		a.stream = st
 		return resp.StatusCode, a, !resp.Close, nil
 	}
-	a.release = func() { kept.give(size) }
+	a.release = func() { memory.release(size) }
 	defer func() {
 		if err != nil {
 			a.discard()
 			a = answer{}
 		}
 	}()
-	soon := time.Now().Add(streamAfter)
+	streamAt := time.Now().Add(streamDelay)
 	buf := make([]byte, 0, min(size+1, 4<<10))
 	for {
 		if st.length < 0 && len(buf) > 0 {
-			more, err := c.more(soon)
+			more, err := c.waitForMore(streamAt)
 			if err != nil {
 				return 0, a, false, err
 			}
@@ -92,18 +94,18 @@
 		if len(buf) == cap(buf) {
 			buf = slices.Grow(buf, len(buf))
 		}
-		n, err := resp.Body.Read(buf[len(buf):min(cap(buf), maxSmall+1)])
+		n, err := resp.Body.Read(buf[len(buf):min(cap(buf), maxBufferedBytes+1)])
 		buf = buf[:len(buf)+n]
 		switch {
-		case err == io.EOF && c.in.Buffered() > 0:
-			return 0, a, false, errBadAnswer // more than it announced
+		case err == io.EOF && c.reader.Buffered() > 0:
+			return 0, a, false, errBadAnswer // longer than announced
 		case err == io.EOF:
 			a.body = buf
 			return resp.StatusCode, a, !resp.Close, nil
 		case err != nil:
 			return 0, a, false, err
 		}
-		if len(buf) > maxSmall {
+		if len(buf) > maxBufferedBytes {
 			break
 		}
 	}
@@ -111,25 +113,26 @@
 	return resp.StatusCode, a, !resp.Close, nil
 }
 
-// chunksOfOld says whether the answer that comes next is one of HTTP/1.0 that names an
-// encoding: its framing is faulty, and ReadResponse drops the name, so that the chunk lines
-// would pass for its body. The head is looked at whole, as far as a head may go.
-func (c *conn) chunksOfOld() bool {
-	const old = "HTTP/1.0"
-	for n := range len(old) { // byte by byte: what is no HTTP may be shorter
-		if b, err := c.in.Peek(n + 1); err != nil || b[n] != old[n] {
+// http10TransferEncoding returns whether the next answer is an HTTP/1.0 one with a
+// Transfer-Encoding header. Its framing is faulty, and ReadResponse drops the header, so that the
+// chunk headers would be taken for part of the body. The whole head is examined, up to
+// maxHeadBytes.
+func (c *conn) http10TransferEncoding() bool {
+	const http10 = "HTTP/1.0"
+	for n := range len(http10) { // byte by byte, as what is not HTTP may be shorter
+		if b, err := c.reader.Peek(n + 1); err != nil || b[n] != http10[n] {
 			return false
 		}
 	}
 	for n := 0; ; {
-		head, err := c.in.Peek(min(max(n+1, c.in.Buffered()), c.in.Size()))
+		head, err := c.reader.Peek(min(max(n+1, c.reader.Buffered()), c.reader.Size()))
 		i := bytes.Index(head, []byte("\r\n\r\n"))
-		if i < 0 && err == nil && len(head) == c.in.Size() && len(head) < maxHead {
-			// Few heads are so long, so the buffer of each connection is not.
-			c.in = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(head)), c.limit), maxHead)
+		if i < 0 && err == nil && len(head) == c.reader.Size() && len(head) < maxHeadBytes {
+			// Few heads are that long, so the buffer of a connection is smaller by default.
+			c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(head)), c.limited), maxHeadBytes)
 			continue
 		}
-		if i >= 0 || err != nil || len(head) == c.in.Size() {
+		if i >= 0 || err != nil || len(head) == c.reader.Size() {
 			if i >= 0 {
 				head = head[:i]
 			}
@@ -139,20 +142,20 @@
 	}
 }
 
-// more waits until there is more to read of an answer, or it has ended, and says whether
-// that is so by then. A connection tells that it was reset just once, and a read after that
-// finds an end in order; so the error is the caller's to heed.
-func (c *conn) more(until time.Time) (bool, error) {
-	if c.in.Buffered() > 0 {
+// waitForMore waits until there is more of an answer to read, or the answer has ended, and returns
+// false if neither has happened by the given time. A connection reports that it was reset only
+// once, and a read after that returns io.EOF, so the caller must handle the error.
+func (c *conn) waitForMore(until time.Time) (bool, error) {
+	if c.reader.Buffered() > 0 {
 		return true, nil
 	}
 	c.SetReadDeadline(until)
 	defer c.SetReadDeadline(time.Time{})
-	switch _, err := c.in.Peek(1); {
+	switch _, err := c.reader.Peek(1); {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return false, nil
 	case err == nil || err == io.EOF:
-		return true, nil // the end comes again to who reads the body
+		return true, nil // reading the body returns the end again
 	default:
 		return false, err
 	}
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -109,7 +109,7 @@
 // from when the client can have written the last byte, and the answer is due by that while the body
 // is still being read. Counted from the gateway's read of the last byte, an answer came 5 s after that
 // byte where the client waited for 2.5 s. Here, with 1.5 s, it came after 2.48 s if the host read after
-// 1 s (the sum of both), and after 5.01 s if it never did: that is hostStall, as no deadline applied
+// 1 s (the sum of both), and after 5.01 s if it never did: that is hostStallTimeout, as no deadline applied
 // before.
 func TestLongBodyTimeRunsFromLastByte(t *testing.T) {
 	const timeout = 1500 * time.Millisecond
@@ -157,7 +157,7 @@
 	const timeout = 700 * time.Millisecond
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
-	body := text(maxSmall + 30<<10)
+	body := text(maxBufferedBytes + 30<<10)
 	c := g.openConn(timedRequest("POST", "slow", timeout, len(body)))
 	for i := range 5 {
 		time.Sleep(300 * time.Millisecond)
@@ -213,7 +213,7 @@
 // the way: its client cannot have written the last byte before most of it was read.
 func TestLongBodyToSlowHostKeepsItsTime(t *testing.T) {
 	const timeout = 4 * time.Second
-	body := text(maxBody)
+	body := text(maxBodyBytes)
 	for name, write := range map[string]func(net.Conn){
 		"length": func(c net.Conn) { c.Write(body) },
 		"chunks": func(c net.Conn) { writeChunks(t, c, body) },
@@ -444,9 +444,9 @@
 			}
 		})
 		attempt := newTry()
-		p.attempt(t.Context(), pooled(p, host.addr()), newExchange("b"), attempt)
-		if attempt.took == 0 || attempt.took > delay/2 {
-			t.Errorf("%s: the host is charged with %v (0: the whole attempt), its answer arrived at once and waited for %v", name, attempt.took, delay)
+		p.runAttempt(t.Context(), pooled(p, host.addr()), newExchange("b"), attempt)
+		if attempt.chargedTime == 0 || attempt.chargedTime > delay/2 {
+			t.Errorf("%s: the host is charged with %v (0: the whole attempt), its answer arrived at once and waited for %v", name, attempt.chargedTime, delay)
 		}
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,69 +16,69 @@
 	"lynxspool"
 )
 
-// headNotProcessed at "1" proves that the attempt never ran.
-const headNotProcessed = "X-Not-Processed"
+// notProcessedHeader with the value "1" proves that the attempt did not run.
+const notProcessedHeader = "X-Not-Processed"
 
-// try is one attempt as the loop sees it.
-type try struct {
-	cancel context.CancelCauseFunc
-	whole  func() // tells the loop that a body sent as it comes is with the host
-	begun  func() // ... that the answer is being passed on
+// attempt is one sending of a request to a host, as the loop sees it.
+type attempt struct {
+	cancel            context.CancelCauseFunc
+	onUploadComplete  func() // reports to the loop that the host has the whole of a streamed body
+	onResponseStarted func() // reports to the loop that the answer is being streamed to the client
 
-	by time.Time // the request must be written whole by then or not at all; zero: at any time
+	writeBy time.Time // the request must be written whole by then, or not at all; zero if there is no limit
 
-	from time.Time     // what the host is charged with runs from here
-	took time.Duration // ... for this long, if it does not run to the end
+	chargedFrom time.Time     // start of the time that is charged to the host
+	chargedTime time.Duration // time charged to the host; zero if it runs until the attempt ends
 
-	sent   atomic.Bool // it was written whole, and the two below are set
-	sentOn *conn
-	sentAt time.Time
+	written   atomic.Bool // the request was written whole, and conn and writtenAt are set
+	conn      *conn
+	writtenAt time.Time
 
-	mu     sync.Mutex
-	ended  bool             // belongs to the loop
-	result lynxspool.Result // ... as does this
-	over   bool
-	passes bool // the answer is being passed on: it cannot be called off any more
+	mu        sync.Mutex
+	ended     bool             // owned by the loop
+	result    lynxspool.Result // set with ended; owned by the loop
+	aborted   bool
+	streaming bool // the answer is being streamed to the client, so the attempt cannot be canceled any more
 }
 
-// answerCame says whether some of its answer has come, read or not.
-func (t *try) answerCame() bool {
-	return t.sent.Load() && t.sentOn.answerArrived(t.sentAt)
+// answerArrived returns whether part of the answer has arrived, read or not.
+func (att *attempt) answerArrived() bool {
+	return att.written.Load() && att.conn.answerArrived(att.writtenAt)
 }
 
-// end calls the attempt off.
-func (t *try) end(cause error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.passes {
-		t.over = true
-		t.cancel(cause)
+// abort cancels the attempt unless its answer is being streamed to the client.
+func (att *attempt) abort(cause error) {
+	att.mu.Lock()
+	defer att.mu.Unlock()
+	if !att.streaming {
+		att.aborted = true
+		att.cancel(cause)
 	}
 }
 
-// pass says that the client's answer begins, unless the attempt was called off or the
+// startStreaming starts the client's answer and returns true, unless the attempt was aborted or the
 // client has another answer.
-func (t *try) pass(x *exchange, a answer) bool {
-	t.mu.Lock()
-	won := !t.over && x.claimAnswer()
-	t.passes = won
-	t.mu.Unlock()
+func (att *attempt) startStreaming(x *exchange, a answer) bool {
+	att.mu.Lock()
+	won := !att.aborted && x.claimAnswer()
+	att.streaming = won
+	att.mu.Unlock()
 	if won {
-		t.took = time.Since(t.from)
+		att.chargedTime = time.Since(att.chargedFrom)
 		x.answer <- a
-		t.begun()
+		att.onResponseStarted()
 	}
 	return won
 }
 
-// attempt sends a request to a host once and says how that ended. ctx ends when the
-// attempt is to be given up, by its deadline or by being called off.
-func (p *Pool) attempt(ctx context.Context, h *host, x *exchange, t *try) (lynxspool.Result, answer) {
+// runAttempt sends a request to a host once and returns the result. ctx ends when the attempt is to
+// be given up, because of its deadline or a cancellation.
+func (p *Pool) runAttempt(ctx context.Context, h *host, x *exchange, att *attempt) (lynxspool.Result, answer) {
 	for {
 		dialled := time.Now()
-		c, err := p.getBy(ctx, h, t.by)
+		c, err := p.getWithDeadline(ctx, h, att.writeBy)
 		switch {
-		case t.late():
+		case att.writeDeadlinePassed():
 			if err == nil {
 				p.put(c) // nothing was written to it
 			}
@@ -87,37 +87,37 @@
 			if err == nil {
 				p.put(c) // nothing was written to it
 			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialled) > x.timeout/2 {
-				// The dial had most of the time that there was: the host could not be
-				// connected to, though the dial's own time-out is longer.
+				// The dial used most of the time available: the host could not be connected to,
+				// although the dial's own time-out is longer.
 				return lynxspool.ConnectFailed, answer{}
 			}
-			return unsent(ctx), answer{}
-		case err == errNoSockets || localFailure(err):
-			return lynxspool.NotSent, answer{} // the want is ours, not the host's
+			return unsentResult(ctx), answer{}
+		case err == errTooManyConns || localFailure(err):
+			return lynxspool.NotSent, answer{} // this machine lacks resources; it says nothing of the host
 		case err != nil:
 			return lynxspool.ConnectFailed, answer{}
 		}
-		// The dial may have taken long: look again whether the request may go out. It
-		// guards against sending to a host that drains by now, or what has its answer, or for
-		// a client that has left while bytes that it had sent hid that.
-		p.heedNews(ctx)
-		if !p.permit(h, x) || t.late() {
+		// The dial may have taken long, so check again whether the request may be sent. The host
+		// may have begun to drain, the request may have been answered, or its client may have left,
+		// which unread bytes from it had hidden.
+		p.awaitOverdueUpdate(ctx)
+		if !p.permit(h, x) || att.writeDeadlinePassed() {
 			p.put(c)
 			return lynxspool.NotSent, answer{}
 		}
 		reused := c.reused
-		result, a := p.exchange(ctx, c, x, t)
+		result, a := p.roundTrip(ctx, c, x, att)
 		if result == lynxspool.ConnectFailed && reused && ctx.Err() == nil && !x.bodyConsumed() {
-			// It closed after the look and before the last byte: nothing ran, and
-			// that tells nothing of the host. Each round uses up one idle connection.
+			// The host closed the connection after the check and before the last byte: nothing ran,
+			// and it says nothing of the host. Each iteration uses up one idle connection.
 			continue
 		}
 		return result, a
 	}
 }
 
-// permit is the last look before the first byte of an attempt: whether the server still takes
-// requests, and whether the request still wants an answer and has a client to give it to.
+// permit is the last check before the first byte of an attempt. It returns whether the host still
+// takes requests, the request still needs an answer and its client is still there.
 func (p *Pool) permit(h *host, x *exchange) bool {
 	if x.clientGone != nil && x.clientGone() {
 		x.markClientGone()
@@ -126,10 +126,10 @@
 	return !x.finished.Load() && h.usable.Load()
 }
 
-// localFailure says that a call to the system failed for want of something on this machine:
-// descriptors, ports, buffers, memory, or its network as a whole. It tells nothing of the host.
-// A network that has no way to a host (ENETUNREACH, EHOSTUNREACH) is the host's failure: others
-// can be reached.
+// localFailure returns whether a system call failed because this machine lacked something:
+// descriptors, ports, buffers, memory, or its network as a whole. Such a failure says nothing of
+// the host. A network without a route to a host (ENETUNREACH, EHOSTUNREACH) counts as the host's
+// failure, as other hosts can be reached.
 func localFailure(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -143,11 +143,14 @@
 	return false
 }
 
-// late says whether it is too late to write the request.
-func (t *try) late() bool { return !t.by.IsZero() && !time.Now().Before(t.by) }
+// writeDeadlinePassed returns whether it is too late to write the request.
+func (att *attempt) writeDeadlinePassed() bool {
+	return !att.writeBy.IsZero() && !time.Now().Before(att.writeBy)
+}
 
-// getBy gets a connection that is up in time for the request to be written to it.
-func (p *Pool) getBy(ctx context.Context, h *host, by time.Time) (*conn, error) {
+// getWithDeadline returns a connection, as get does, but gives up a dial at writeBy unless that is
+// zero.
+func (p *Pool) getWithDeadline(ctx context.Context, h *host, by time.Time) (*conn, error) {
 	if by.IsZero() {
 		return p.get(ctx, h)
 	}
@@ -156,19 +159,19 @@
 	return p.get(ctx, h)
 }
 
-// unsent is the result of an attempt that was given up before its last byte.
-func unsent(ctx context.Context) lynxspool.Result {
+// unsentResult returns the result of an attempt that was given up before its last byte was written.
+func unsentResult(ctx context.Context) lynxspool.Result {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return lynxspool.Canceled
 	}
 	return lynxspool.NotSent
 }
 
-// exchange writes the request to the connection and reads its answer. What fails before
-// the last byte is written never ran, after it it may have.
-func (p *Pool) exchange(ctx context.Context, c *conn, x *exchange, t *try) (lynxspool.Result, answer) {
-	// Giving up an attempt is closing its connection. An answer that waits there at its deadline came
-	// in time, and is read first.
+// roundTrip writes the request to a connection and reads the answer. If it fails before the last
+// byte is written, the request did not run; after that it may have.
+func (p *Pool) roundTrip(ctx context.Context, c *conn, x *exchange, att *attempt) (lynxspool.Result, answer) {
+	// An attempt is given up by closing its connection. An answer that is unread at the deadline
+	// has arrived in time, and is read first.
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 			c.awaitUnreadAnswer()
@@ -180,75 +183,75 @@
 		if stop() && keep {
 			p.put(c)
 		} else {
-			p.drop(c)
+			p.discard(c)
 		}
 	}()
-	if !t.by.IsZero() {
-		c.SetWriteDeadline(t.by)
-		defer c.SetWriteDeadline(time.Time{}) // ahead of the put below, as it is set later
+	if !att.writeBy.IsZero() {
+		c.SetWriteDeadline(att.writeBy)
+		defer c.SetWriteDeadline(time.Time{}) // runs before the deferred put above
 	}
 	head, stated := x.encodeHead()
-	p.audit.checkSent(c.host, x, time.Now(), stated, p.grace)
-	early, err := c.write(x, head)
+	p.audit.checkSent(c.host, x, time.Now(), stated, p.drainGrace)
+	early, err := c.writeRequest(x, head)
 	if err != nil {
 		switch {
-		case errors.Is(err, errClient):
-			// Answered by whoever reads the client; nothing ran, and the host is not to blame.
+		case errors.Is(err, errClientBody):
+			// Nothing ran, and the host is not to blame.
 			x.finish(answer{kind: answerRejected, err: err})
 			return lynxspool.NotSent, answer{}
 		case ctx.Err() != nil:
-			return unsent(ctx), answer{}
+			return unsentResult(ctx), answer{}
 		}
 		if localFailure(err) {
 			return lynxspool.NotSent, answer{}
 		}
 		if x.upload != nil {
-			t.took = max(1, c.since.Sub(t.from)) // the rest is the client's time
+			att.chargedTime = max(1, c.acquiredAt.Sub(att.chargedFrom)) // the rest is time that the client took
 		}
 		return lynxspool.ConnectFailed, answer{}
 	}
 	wrote := time.Now()
-	t.sentOn, t.sentAt = c, wrote
-	t.sent.Store(true)
+	att.conn, att.writtenAt = c, wrote
+	att.written.Store(true)
 	if x.upload != nil && !early {
-		t.from = wrote
-		t.whole()
+		att.chargedFrom = wrote
+		att.onUploadComplete()
 	}
-	status, a, keep, err := c.read(x.method, p.kept)
+	status, a, keep, err := c.readAnswer(x.method, p.memory)
 	if early {
-		keep = false // what it did not read of the request would follow
+		keep = false // the rest of the request would follow on the connection
 	}
 	if err == nil && a.stream == nil {
-		t.took = c.answerDuration(t.from, wrote)
+		att.chargedTime = c.answerDuration(att.chargedFrom, wrote)
 	}
 	if err != nil && ctx.Err() != nil {
-		p.unheard(c.host, wrote)
+		p.closeIdleIfSilent(c.host, wrote)
 	}
 	switch {
 	case err == nil:
 		p.mu.Lock()
-		c.host.heard = time.Now()
+		c.host.lastAnswerAt = time.Now()
 		p.mu.Unlock()
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		return lynxspool.TimedOut, answer{}
 	case ctx.Err() != nil:
 		return lynxspool.Canceled, answer{}
 	case localFailure(err):
-		return lynxspool.Canceled, answer{} // it may have run, and nothing is known of the host
-	case early && broken(err):
+		return lynxspool.Canceled, answer{} // it may have run, and the failure says nothing of the host
+	case early && isConnError(err):
 		return lynxspool.ConnectFailed, answer{}
-	case broken(err):
+	case isConnError(err):
 		return lynxspool.Reset, answer{}
 	default:
-		return lynxspool.Failed, answer{} // the host has answered, if not as it should
+		return lynxspool.Failed, answer{} // the host sent an invalid answer
 	}
 	switch {
 	case status == http.StatusOK && early:
 		a.discard()
-		return lynxspool.Failed, answer{} // it cannot have run what it has not got
+		return lynxspool.Failed, answer{} // the host has not received the whole request that it claims to have served
 	case status == http.StatusOK && a.stream != nil:
 		var result lynxspool.Result
-		result, keep = c.pass(x, t, a, keep)
+		result, keep = c.streamToClient(x, att, a, keep)
 		return result, answer{}
 	case status == http.StatusOK:
 		return lynxspool.OK, a
@@ -256,92 +259,93 @@
 	a.discard()
 	switch {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
-		a.header.Get(headNotProcessed) == "1":
+		a.header.Get(notProcessedHeader) == "1":
 		return lynxspool.Full, answer{}
 	case status == http.StatusBadRequest || status == http.StatusNotFound:
-		return lynxspool.Rejected, answer{} // of the answers to a fault of the client, hosts give these
+		return lynxspool.Rejected, answer{} // the only statuses with which hosts reject an invalid request
 	}
 	return lynxspool.Failed, answer{}
 }
 
-// pass hands an answer that is still coming to the client's side, and waits for its end.
-func (c *conn) pass(x *exchange, t *try, a answer, keep bool) (lynxspool.Result, bool) {
-	if !t.pass(x, a) {
+// streamToClient streams an answer to the client, and waits for its end.
+func (c *conn) streamToClient(x *exchange, att *attempt, a answer, keep bool) (lynxspool.Result, bool) {
+	if !att.startStreaming(x, a) {
 		return lynxspool.Canceled, false
 	}
 	err := <-a.stream.done
 	c.SetReadDeadline(time.Time{})
 	switch {
 	case err == nil:
-		return lynxspool.OK, keep && c.in.Buffered() == 0
+		return lynxspool.OK, keep && c.reader.Buffered() == 0
 	case err == errClientGone:
 		return lynxspool.Canceled, false
-	case broken(err):
+	case isConnError(err):
 		return lynxspool.Reset, false
 	}
 	return lynxspool.Failed, false
 }
 
-// errClient marks what went wrong on the client's side while its body was passed on.
-var errClient = errors.New("the body did not arrive")
+// errClientBody marks a failure to read the body from the client while it was streamed to a host.
+var errClientBody = errors.New("the body did not arrive")
 
-// write sends the request, its last byte last. A body that is too long to be kept is
-// passed on as it comes; early says that the host has answered ahead of its end.
-func (c *conn) write(x *exchange, head []byte) (early bool, err error) {
+// writeRequest writes the request, the last byte last. It streams a body that is too long to be
+// buffered. early means that the host answered before the end of the request.
+func (c *conn) writeRequest(x *exchange, head []byte) (early bool, err error) {
 	out := net.Buffers{head}
-	up := x.upload
-	if up == nil {
+	upload := x.upload
+	if upload == nil {
 		if len(x.body) > 0 {
 			out = append(out, x.body)
 		}
 		_, err := out.WriteTo(c.Conn)
 		return false, err
 	}
-	piece := func(p []byte) error {
-		if len(p) > 0 && up.length < 0 {
+	writePiece := func(p []byte) error {
+		if len(p) > 0 && upload.length < 0 {
 			out = append(out, strconv.AppendInt(nil, int64(len(p)), 16), crlf, p, crlf)
 		} else if len(p) > 0 {
 			out = append(out, p)
 		}
-		c.SetWriteDeadline(time.Now().Add(hostStall))
+		c.SetWriteDeadline(time.Now().Add(hostStallTimeout))
 		defer c.SetWriteDeadline(time.Time{})
 		_, err := out.WriteTo(c.Conn)
 		out = nil
 		return err
 	}
-	if err := piece(x.body); err != nil {
+	if err := writePiece(x.body); err != nil {
 		return false, err
 	}
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+	buf := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buf)
 	for {
 		if !c.quiet() {
 			return true, nil
 		}
-		up.spent = true
-		n, err := up.Read(buf[:])
-		if err == nil && up.got == up.length {
-			err = io.EOF // the host will not wait for it to be told
+		upload.consumed = true
+		n, err := upload.Read(buf[:])
+		if err == nil && upload.received == upload.length {
+			err = io.EOF // the host does not need the end of the body to be signalled
 		}
 		if err != nil && err != io.EOF {
-			return false, fmt.Errorf("%w: %w", errClient, err)
+			return false, fmt.Errorf("%w: %w", errClientBody, err)
 		}
 		if err == io.EOF {
-			// All of it has been read. It may have come long before: the server took it late.
+			// The whole body has been read. It may have arrived long before, if the host read it
+			// slowly.
 			x.deadline = x.capDeadline(x.clientDeadline())
 		}
-		if err == io.EOF && up.length < 0 {
-			if err := piece(buf[:n]); err != nil {
+		if err == io.EOF && upload.length < 0 {
+			if err := writePiece(buf[:n]); err != nil {
 				return false, err
 			}
 			out = net.Buffers{lastChunk}
 			n = 0
 		}
-		if err := piece(buf[:n]); err != nil {
+		if err := writePiece(buf[:n]); err != nil {
 			return false, err
 		}
 		if err == io.EOF {
-			close(up.whole)
+			close(upload.sent)
 			return false, nil
 		}
 	}
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -61,7 +61,7 @@
 // checkSent checks an attempt whose first byte was written at began and which stated a timeout to its
 // host.
 func (a *Audit) checkSent(h *host, x *exchange, began time.Time, statedTimeout time.Duration, grace time.Duration) {
-	if left := h.leftAt.Load(); left != nil && began.Sub(*left) > grace {
+	if left := h.unusableSince.Load(); left != nil && began.Sub(*left) > grace {
 		recordViolation(&a.sentAfterNotification, "sent after notification", "id", x.requestID(), "host", h.id, "after", began.Sub(*left))
 	}
 	if gone := x.clientGoneAt.Load(); gone != nil && began.Sub(*gone) > goneClientSlack {
@@ -78,11 +78,11 @@
 	if class.Effect == lynxspool.Idempotent {
 		return
 	}
-	for _, t := range x.attempts {
-		if t.ended && t.result.ProvesNotRun() {
+	for _, att := range x.attempts {
+		if att.ended && att.result.ProvesNotRun() {
 			continue
 		}
-		if class.Effect == lynxspool.AtMostOnce || now.Sub(t.from) > class.DedupWindow {
+		if class.Effect == lynxspool.AtMostOnce || now.Sub(att.chargedFrom) > class.DedupWindow {
 			recordViolation(&a.secondRuns, "sent again though it may have run", "id", x.requestID(), "attempts", len(x.attempts))
 			return
 		}
--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -17,94 +17,99 @@
 )
 
 const (
-	bansFolder = "maintenance" // in $TMPDIR
-	banPrefix  = "host-"       // so that no id makes a name with a meaning, such as ".."
-	backPrefix = "back-"       // a host that was called back when this was written: it is cold
-
-	// While two processes overlap, each looks this often at what the other has banned.
-	// An answer to an operator waits banSettle, in which the other has looked.
-	bansEvery = 25 * time.Millisecond
-	banSettle = 120 * time.Millisecond
+	maintenanceDir    = "maintenance" // in $TMPDIR
+	maintenancePrefix = "host-"       // keeps an id from forming a special name such as ".."
+	endedPrefix       = "back-"       // the maintenance of this host ended when the file was written: it is cold
+
+	// While two processes overlap, each polls at this interval what the other has changed. An
+	// operator's call is answered after maintenancePropagationTime, within which the other process
+	// has polled.
+	maintenancePollInterval    = 25 * time.Millisecond
+	maintenancePropagationTime = 120 * time.Millisecond
 )
 
-// Bans keeps which hosts operators have taken out, in a folder that both processes of an
-// upgrade share: one file a host, so that no two writes can spoil each other.
-type Bans struct {
-	dir string // "": bans end with the process
+// MaintenanceStore keeps which hosts are in maintenance, in a directory that both processes of an
+// upgrade share. Each host has a file of its own, so that concurrent writes cannot corrupt each
+// other.
+type MaintenanceStore struct {
+	dir string // empty if maintenance ends with the process
 
-	mu     sync.Mutex // held from a change or a look until the loop has been told of it
-	out    map[string]bool
-	looked bool // what was called back before this process is told
+	mu            sync.Mutex // held from a change, or from reading the directory, until the loop has been notified
+	inMaintenance map[string]bool
+	endMarksRead  bool // the marks that were written before this process started have been read
 }
 
-// NewBans returns the bans kept in a folder of tmp. Without tmp, which is the platform's
-// to keep and to clear, bans live as long as the process.
-func NewBans(tmp string) (*Bans, error) {
-	b := &Bans{out: map[string]bool{}}
+// NewMaintenanceStore returns a store in a directory of tmp, which the platform keeps and clears.
+// If tmp is empty, maintenance ends with the process.
+func NewMaintenanceStore(tmp string) (*MaintenanceStore, error) {
+	b := &MaintenanceStore{inMaintenance: map[string]bool{}}
 	if tmp == "" {
 		return b, nil
 	}
-	b.dir = filepath.Join(tmp, bansFolder)
+	b.dir = filepath.Join(tmp, maintenanceDir)
 	if err := os.MkdirAll(b.dir, 0o700); err != nil {
 		return nil, fmt.Errorf("TMPDIR: %w", err)
 	}
 	return b, nil
 }
 
-// Set bans a host or ends its ban, and tells the loop.
-func (b *Bans) Set(loop *Loop, id string, out bool) error {
+// Set puts a host into maintenance or ends its maintenance, and notifies the loop.
+func (b *MaintenanceStore) Set(loop *Loop, id string, on bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.dir != "" {
-		keep := b.keepBan
-		if !out {
-			keep = b.keepCallBack
+		persist := b.persistStart
+		if !on {
+			persist = b.persistEnd
 		}
-		if err := keep(id); err != nil {
+		if err := persist(id); err != nil {
 			return err
 		}
 	}
-	b.tell(loop, id, out)
+	b.apply(loop, id, on)
 	return nil
 }
 
-func (b *Bans) banFile(id string) string { return filepath.Join(b.dir, banPrefix+url.QueryEscape(id)) }
-func (b *Bans) backFile(id string) string {
-	return filepath.Join(b.dir, backPrefix+url.QueryEscape(id))
+func (b *MaintenanceStore) maintenanceFile(id string) string {
+	return filepath.Join(b.dir, maintenancePrefix+url.QueryEscape(id))
+}
+func (b *MaintenanceStore) endedFile(id string) string {
+	return filepath.Join(b.dir, endedPrefix+url.QueryEscape(id))
 }
 
-// keepBan writes that a host is out. An error means that nothing has changed.
-func (b *Bans) keepBan(id string) error {
-	if err := b.write(b.banFile(id), ""); err != nil {
+// persistStart stores that a host is in maintenance. If it fails, nothing has changed.
+func (b *MaintenanceStore) persistStart(id string) error {
+	if err := b.write(b.maintenanceFile(id), ""); err != nil {
 		return err
 	}
-	if err := b.remove(b.backFile(id)); err != nil {
-		// Beside a ban the mark only says that the host is cold, once it is called back.
-		slog.Warn("mark of an older call back not removed", "host", id, "err", err)
+	if err := b.remove(b.endedFile(id)); err != nil {
+		// While the host is in maintenance, the mark has no effect but that the host is cold
+		// afterwards.
+		slog.Warn("failed to remove the mark of an earlier end of maintenance", "host", id, "err", err)
 	}
 	return nil
 }
 
-// keepCallBack writes that a host is in use again, and since when. An error means that nothing
-// has changed.
-func (b *Bans) keepCallBack(id string) error {
-	if b.out[id] { // else it is in use: a call that is repeated does not make it cold anew
-		if err := b.write(b.backFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
+// persistEnd stores that the maintenance of a host has ended, and when. If it fails, nothing has
+// changed.
+func (b *MaintenanceStore) persistEnd(id string) error {
+	if b.inMaintenance[id] { // otherwise it is in use: a repeated call does not make it cold again
+		if err := b.write(b.endedFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
 			return err
 		}
 	}
-	err := b.remove(b.banFile(id))
-	if err != nil && b.out[id] {
-		b.undo(b.backFile(id))
-		if err := os.WriteFile(b.banFile(id), nil, 0o600); err != nil { // it may be gone, and that not yet kept
-			slog.Error("ban not kept after a call back that failed", "host", id, "err", err)
+	err := b.remove(b.maintenanceFile(id))
+	if err != nil && b.inMaintenance[id] {
+		b.removeFailed(b.endedFile(id))
+		if err := os.WriteFile(b.maintenanceFile(id), nil, 0o600); err != nil { // the file may have been removed and the removal not synced
+			slog.Error("failed to restore the maintenance of a host after an error", "host", id, "err", err)
 		}
 	}
 	return err
 }
 
-// write makes a file that outlasts a loss of power, or none.
-func (b *Bans) write(path, text string) error {
+// write creates a file that survives a loss of power. If it fails, there is no file.
+func (b *MaintenanceStore) write(path, text string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -115,13 +120,13 @@
 		err = b.sync()
 	}
 	if err != nil {
-		b.undo(path)
+		b.removeFailed(path)
 	}
 	return err
 }
 
-// remove removes a file, if it is there, so that it stays removed after a loss of power.
-func (b *Bans) remove(path string) error {
+// remove removes a file, if it exists, in a way that survives a loss of power.
+func (b *MaintenanceStore) remove(path string) error {
 	err := os.Remove(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -132,8 +137,8 @@
 	return b.sync()
 }
 
-// sync makes what was created and removed in the folder last.
-func (b *Bans) sync() error {
+// sync makes creations and removals of files in the directory durable.
+func (b *MaintenanceStore) sync() error {
 	dir, err := os.Open(b.dir)
 	if err != nil {
 		return err
@@ -141,15 +146,15 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// undo removes what a call has written that failed.
-func (b *Bans) undo(path string) {
+// removeFailed removes the file that a failed call has written.
+func (b *MaintenanceStore) removeFailed(path string) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		slog.Error("what a failed call has written is not removed", "file", path, "err", err)
+		slog.Error("failed to remove the file of a failed call", "file", path, "err", err)
 	}
 }
 
-// sinceBoot is the time since the machine started, which no step of the wall clock changes and
-// all its processes read alike; 0 where it cannot be read.
+// sinceBoot returns the time since the machine started, which does not change when the wall clock
+// is stepped and is the same for all processes. It returns 0 if the time cannot be read.
 func sinceBoot() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
@@ -158,18 +163,19 @@
 	return time.Duration(at.Nano())
 }
 
-// tell is called with b.mu held, so that the loop hears of changes in their order.
-func (b *Bans) tell(loop *Loop, id string, out bool) {
-	if out {
-		b.out[id] = true
+// apply records a change and notifies the loop. The caller holds b.mu, so that the loop receives
+// changes in order.
+func (b *MaintenanceStore) apply(loop *Loop, id string, on bool) {
+	if on {
+		b.inMaintenance[id] = true
 	} else {
-		delete(b.out, id)
+		delete(b.inMaintenance, id)
 	}
-	loop.maintain(id, out)
+	loop.setMaintenance(id, on)
 }
 
-// Look tells the loop what has changed in the folder.
-func (b *Bans) Look(loop *Loop) error {
+// Refresh reads the directory and notifies the loop of what has changed.
+func (b *MaintenanceStore) Refresh(loop *Loop) error {
 	if b.dir == "" {
 		return nil
 	}
@@ -179,37 +185,37 @@
 	if err != nil {
 		return err
 	}
-	now := map[string]bool{}
+	onDisk := map[string]bool{}
 	for _, e := range entries {
 		kind, name, _ := strings.Cut(e.Name(), "-")
 		id, err := url.QueryUnescape(name)
 		switch {
 		case err != nil:
-		case kind+"-" == banPrefix:
-			now[id] = true
-		case kind+"-" == backPrefix && !b.looked:
+		case kind+"-" == maintenancePrefix:
+			onDisk[id] = true
+		case kind+"-" == endedPrefix && !b.endMarksRead:
 			if info, err := e.Info(); err == nil {
-				loop.calledBack(id, calledBackAt(filepath.Join(b.dir, e.Name()), info))
+				loop.maintenanceEnded(id, maintenanceEndedAt(filepath.Join(b.dir, e.Name()), info))
 			}
 		}
 	}
-	b.looked = true
-	for id := range b.out {
-		if !now[id] {
-			b.tell(loop, id, false)
+	b.endMarksRead = true
+	for id := range b.inMaintenance {
+		if !onDisk[id] {
+			b.apply(loop, id, false)
 		}
 	}
-	for id := range now {
-		if !b.out[id] {
-			b.tell(loop, id, true)
+	for id := range onDisk {
+		if !b.inMaintenance[id] {
+			b.apply(loop, id, true)
 		}
 	}
 	return nil
 }
 
-// calledBackAt is when the mark of a call back was written: as it says itself, on the clock of
-// this boot, or else by the time of the file.
-func calledBackAt(path string, mark fs.FileInfo) time.Time {
+// maintenanceEndedAt returns when the mark for the end of a maintenance was written: as its
+// contents say, on the clock of this boot, or else by the modification time of the file.
+func maintenanceEndedAt(path string, mark fs.FileInfo) time.Time {
 	now := time.Now()
 	if text, err := os.ReadFile(path); err == nil {
 		written, err := strconv.ParseInt(string(text), 10, 64)
@@ -221,9 +227,9 @@
 	return now.Add(-max(0, now.Sub(mark.ModTime())))
 }
 
-// Watch looks again and again, until done is closed.
-func (b *Bans) Watch(loop *Loop, done <-chan struct{}) {
-	tick := time.NewTicker(bansEvery)
+// Watch calls Refresh periodically until done is closed.
+func (b *MaintenanceStore) Watch(loop *Loop, done <-chan struct{}) {
+	tick := time.NewTicker(maintenancePollInterval)
 	defer tick.Stop()
 	failing := false
 	for {
@@ -232,9 +238,9 @@
 			return
 		case <-tick.C:
 		}
-		err := b.Look(loop)
+		err := b.Refresh(loop)
 		if err != nil && !failing {
-			slog.Error("bans of hosts cannot be read, the last ones stand", "err", err)
+			slog.Error("failed to read the maintenance of hosts, keeping the last state", "err", err)
 		}
 		failing = err != nil
 	}
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -11,14 +11,14 @@
 // keptBans are the ids of hosts that a process that starts now takes for banned.
 func keptBans(t *testing.T, loop *Loop, tmp string) map[string]bool {
 	t.Helper()
-	b, err := NewBans(tmp)
+	b, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Look(loop); err != nil {
+	if err := b.Refresh(loop); err != nil {
 		t.Fatal(err)
 	}
-	return b.out
+	return b.inMaintenance
 }
 
 // A call of an operator that fails, as the folder takes no change, has changed nothing: not
@@ -26,14 +26,14 @@
 func TestFailedMaintenanceChangesNothing(t *testing.T) {
 	g := startGateway(t, testConfig())
 	tmp := t.TempDir()
-	bans, err := NewBans(tmp)
+	bans, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := bans.Set(g.loop, "s-out", true); err != nil {
 		t.Fatal(err)
 	}
-	dir := filepath.Join(tmp, bansFolder)
+	dir := filepath.Join(tmp, maintenanceDir)
 	// What is to be removed is a folder that is not empty, which no process can remove as a file,
 	// and what is to be written one, too.
 	block := func(name string) {
@@ -46,14 +46,14 @@
 			t.Fatal(err)
 		}
 	}
-	ban, back := banPrefix+"s-out", backPrefix+"s-out"
+	ban, back := maintenancePrefix+"s-out", endedPrefix+"s-out"
 
 	clear(ban)
 	block(ban) // calling it back cannot remove this
 	if err := bans.Set(g.loop, "s-out", false); err == nil {
 		t.Error("a host is called back though its ban cannot be removed")
 	}
-	if !bans.out["s-out"] {
+	if !bans.inMaintenance["s-out"] {
 		t.Error("the host is in use after a call back that failed")
 	}
 	if _, err := os.Stat(filepath.Join(dir, back)); !errors.Is(err, os.ErrNotExist) {
@@ -61,19 +61,19 @@
 	}
 	clear(ban)
 
-	block(banPrefix + "s-new") // this ban cannot be written
+	block(maintenancePrefix + "s-new") // this ban cannot be written
 	if err := bans.Set(g.loop, "s-new", true); err == nil {
 		t.Error("a host is banned though that cannot be kept")
 	}
-	if bans.out["s-new"] {
+	if bans.inMaintenance["s-new"] {
 		t.Error("the host is out after a call that failed")
 	}
-	clear(banPrefix + "s-new")
+	clear(maintenancePrefix + "s-new")
 
-	block(backPrefix + "s-other") // the old mark of a call back cannot be removed: the ban is kept all the same
+	block(endedPrefix + "s-other") // the old mark of a call back cannot be removed: the ban is kept all the same
 	err = bans.Set(g.loop, "s-other", true)
-	if kept := keptBans(t, g.loop, tmp)["s-other"]; kept != (err == nil) || bans.out["s-other"] != kept {
-		t.Errorf("banning is answered with %v, the ban is kept: %t, and in force: %t", err, kept, bans.out["s-other"])
+	if kept := keptBans(t, g.loop, tmp)["s-other"]; kept != (err == nil) || bans.inMaintenance["s-other"] != kept {
+		t.Errorf("banning is answered with %v, the ban is kept: %t, and in force: %t", err, kept, bans.inMaintenance["s-other"])
 	}
 }
 
@@ -82,7 +82,7 @@
 func TestCallBackIsKnownAcrossAStepOfTheClock(t *testing.T) {
 	tmp := t.TempDir()
 	g := startGateway(t, testConfig())
-	bans, err := NewBans(tmp)
+	bans, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 	}
-	mark := filepath.Join(tmp, bansFolder, backPrefix+"s-1")
+	mark := filepath.Join(tmp, maintenanceDir, endedPrefix+"s-1")
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		written := time.Now().Add(-step) // by the clock as it was before the step
 		if err := os.Chtimes(mark, written, written); err != nil {
@@ -101,7 +101,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if age := time.Since(calledBackAt(mark, info)); age < 0 || age > patience {
+		if age := time.Since(maintenanceEndedAt(mark, info)); age < 0 || age > patience {
 			t.Errorf("clock stepped by %v: the host was called back %v ago", step, age)
 		}
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -32,7 +32,7 @@
 	go loop.Run(ctx)
 	go server.Serve(ln)
 	defer server.http.Close()
-	loop.Members(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(lynxspool.ListSaved, cfg.Known)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/gateway/bulk.go
+++ b/internal/gateway/bulk.go
@@ -11,81 +11,84 @@
 )
 
 const (
-	maxSmall = 64 << 10 // of a body or answer that is kept whole, and so can be repeated
-	maxBody  = 32 << 20 // of any body of a request
-	// So much of a body that waits for a host is taken ahead by the system, so that its
-	// client is seen to leave; it counts as kept. What is longer hides that.
-	maxAhead  = 256 << 10
-	pieceSize = 16 << 10 // of what is streamed, at a time
-
-	// Kept bodies and answers, all together, have this share of the memory limit. Two
-	// processes have it together during an upgrade.
-	keptShare     = 0.25
-	keptUnlimited = 64 << 20 // where there is no limit
-
-	// An answer that is not whole this long after its head is passed on as it comes:
-	// what has come must not be held back.
-	streamAfter = 100 * time.Millisecond
-
-	// A stream ends with an error when its other end is silent for this long.
-	hostStall   = 5 * time.Second
-	clientStall = 10 * time.Second
-
-	// A client sends a body at 64 kB a second at the least, and what does not come for bodyStall
-	// has stopped. What waits for us or for a host counts against no client.
-	bodyRate  = 56_000
-	bodySlack = time.Second
-	bodyStall = headerTimeout
-	// What a client still sends behind an early answer is read for this long: closing on
-	// it would reset the connection, and the answer with it.
-	drainTime = time.Second
+	maxBufferedBytes = 64 << 10 // size up to which a body or answer is buffered whole, so that it can be sent again
+	maxBodyBytes     = 32 << 20 // limit on the body of a request
+	// readAheadBytes is how much of a body that waits for a host the kernel receives ahead, so that
+	// its client is seen to leave. It counts as buffered memory. A longer body hides that its
+	// client has left.
+	readAheadBytes    = 256 << 10
+	streamBufferBytes = 16 << 10 // size of the buffer of a stream
+
+	// Buffered bodies and answers together use up to this share of the memory limit. Two processes
+	// share it during an upgrade.
+	bufferMemoryShare   = 0.25
+	defaultBufferMemory = 64 << 20 // in bytes; used without a memory limit
+
+	// An answer that is incomplete this long after its head is streamed, so that the part that has
+	// arrived is not held back.
+	streamDelay = 100 * time.Millisecond
+
+	// A stream fails if its other end makes no progress for this long.
+	hostStallTimeout   = 5 * time.Second
+	clientStallTimeout = 10 * time.Second
+
+	// Clients send a body at 64 kB a second at least; minBodyRate is below that. A body of which
+	// nothing arrives for bodyStallTimeout has stopped. Time that the body waits for the gateway or
+	// for a host is not charged to the client.
+	minBodyRate      = 56_000 // in bytes a second
+	bodyRateSlack    = time.Second
+	bodyStallTimeout = headerTimeout
+	// What a client still sends after an early answer is read for this long: closing the connection
+	// earlier would reset it and destroy the answer.
+	bodyDrainTime = time.Second
 )
 
-// budget is how many bytes may be kept, over all requests.
-type budget struct{ left atomic.Int64 }
+// memoryBudget limits how many bytes all requests together may buffer.
+type memoryBudget struct{ remaining atomic.Int64 }
 
-func newBudget(cfg *Config) *budget {
-	b := new(budget)
-	n := int64(keptShare * float64(cfg.MemoryMB) * (1 << 20))
+func newMemoryBudget(cfg *Config) *memoryBudget {
+	b := new(memoryBudget)
+	n := int64(bufferMemoryShare * float64(cfg.MemoryMB) * (1 << 20))
 	if cfg.MemoryMB == 0 {
-		n = keptUnlimited
+		n = defaultBufferMemory
 	}
 	if cfg.AcceptFD != 0 {
 		n /= 2
 	}
-	b.left.Store(n)
+	b.remaining.Store(n)
 	return b
 }
 
-// take says whether n bytes more may be kept; they are given back by give.
-func (b *budget) take(n int) bool {
-	if b.left.Add(int64(-n)) >= 0 {
+// acquire returns whether n more bytes may be buffered. They must be returned with release.
+func (b *memoryBudget) acquire(n int) bool {
+	if b.remaining.Add(int64(-n)) >= 0 {
 		return true
 	}
-	b.left.Add(int64(n))
+	b.remaining.Add(int64(n))
 	return false
 }
 
-func (b *budget) give(n int) { b.left.Add(int64(n)) }
+// release returns n bytes to the budget.
+func (b *memoryBudget) release(n int) { b.remaining.Add(int64(n)) }
 
-// pieces are the buffers of streams, one for each direction that is under way.
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+// streamBuffers holds buffers for streams: one for each direction of a stream in progress.
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
 var (
-	errTooLong    = errors.New("the body is too long")
-	errStopped    = errors.New("gateway: the request has its answer")
-	errClientGone = errors.New("gateway: the client takes no more")
+	errBodyTooLong = errors.New("the body is too long")
+	errReadStopped = errors.New("gateway: the request has its answer")
+	errClientGone  = errors.New("gateway: the client takes no more")
 )
 
-// clientBody reads the body of a request at the pace that its client is owed. It can be
-// stopped from outside, as one goroutine reads it for a host while another answers.
+// clientBody reads the body of a request and enforces the rate at which its client must send it. It
+// can be stopped by another goroutine, as one reads it for a host while another answers.
 type clientBody struct {
-	body  io.Reader
-	rc    *http.ResponseController
-	start time.Time     // of the request, or of its connection if that is its first
-	began bool          // the first read has begun
-	spent time.Duration // by the client: up to the first read, and in reads
-	got   int64
+	body       io.Reader
+	rc         *http.ResponseController
+	startedAt  time.Time     // start of the request, or of its connection for the first request on it
+	started    bool          // the first read has begun
+	clientTime time.Duration // time charged to the client: until the first read, and during reads
+	received   int64
 
 	mu      sync.Mutex
 	stopped bool
@@ -97,35 +100,35 @@
 	switch {
 	case b.stopped:
 		b.mu.Unlock()
-		return 0, errStopped
+		return 0, errReadStopped
 	case b.ended:
 		b.mu.Unlock()
-		return 0, io.EOF // a deadline set now would end the wait for the next request
+		return 0, io.EOF // a read deadline set now would apply to the next request
 	}
 	began := time.Now()
-	if !b.began {
-		b.began, b.spent = true, began.Sub(b.start)
+	if !b.started {
+		b.started, b.clientTime = true, began.Sub(b.startedAt)
 	}
-	b.rc.SetReadDeadline(began.Add(min(b.allowed()-b.spent, bodyStall)))
+	b.rc.SetReadDeadline(began.Add(min(b.allowedTime()-b.clientTime, bodyStallTimeout)))
 	b.mu.Unlock()
 	n, err := b.body.Read(p)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spent += time.Since(began)
-	b.got += int64(n)
+	b.clientTime += time.Since(began)
+	b.received += int64(n)
 	b.ended = err == io.EOF
-	if b.got > maxBody {
-		return n, errTooLong
+	if b.received > maxBodyBytes {
+		return n, errBodyTooLong
 	}
 	return n, err
 }
 
-// allowed is the time that a client has for what it has sent of a request.
-func (b *clientBody) allowed() time.Duration {
-	return max(requestTimeout, bodySlack+time.Duration(float64(b.got)/bodyRate*float64(time.Second)))
+// allowedTime returns how long the client may have taken to send the bytes received so far.
+func (b *clientBody) allowedTime() time.Duration {
+	return max(requestTimeout, bodyRateSlack+time.Duration(float64(b.received)/minBodyRate*float64(time.Second)))
 }
 
-// stop ends reading, also one that waits now. It says whether the body was read whole.
+// stop ends reading, also a read in progress. It returns whether the body was read whole.
 func (b *clientBody) stop() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,32 +139,31 @@
 	return b.ended
 }
 
-// upload is a body that is too long to be kept and goes to a host as it comes.
+// upload is a body that is too long to be buffered and is streamed to a host.
 type upload struct {
 	*clientBody
-	length int64         // of the whole body; -1: not told
-	whole  chan struct{} // closed when the last byte is with a host, or never
-	spent  bool          // some of it has been read; belongs to the attempt
+	length   int64         // of the whole body; -1 if unknown
+	sent     chan struct{} // closed when a host has been sent the last byte, or never
+	consumed bool          // part of it has been read; owned by the attempt
 }
 
-// stream is an answer that is passed on as it comes. The attempt that reads it waits for
-// done.
+// stream is an answer that is streamed to the client. The attempt that reads it waits for done.
 type stream struct {
 	conn   *conn
 	body   io.Reader
-	length int64  // of the whole answer; -1: not told
-	prefix []byte // what has been read of it
+	length int64  // of the whole answer; -1 if unknown
+	prefix []byte // the part that has been read already
 	done   chan error
 }
 
-// pass writes a stream to the client and says what cut it short, if anything did.
-func (st *stream) pass(w http.ResponseWriter, r *http.Request) error {
-	// The client may go while the host is silent.
+// copyTo writes a stream to the client and returns the error that cut it short, if any.
+func (st *stream) copyTo(w http.ResponseWriter, r *http.Request) error {
+	// The client may leave while the host is silent.
 	stop := context.AfterFunc(r.Context(), func() { st.conn.SetReadDeadline(time.Now()) })
 	defer stop()
 	rc := http.NewResponseController(w)
 	write := func(p []byte) error {
-		rc.SetWriteDeadline(time.Now().Add(clientStall))
+		rc.SetWriteDeadline(time.Now().Add(clientStallTimeout))
 		if _, err := w.Write(p); err != nil {
 			return errClientGone
 		}
@@ -173,10 +175,10 @@
 	if err := write(st.prefix); err != nil {
 		return err
 	}
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+	buf := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buf)
 	for {
-		st.conn.SetReadDeadline(time.Now().Add(hostStall))
+		st.conn.SetReadDeadline(time.Now().Add(hostStallTimeout))
 		if r.Context().Err() != nil {
 			return errClientGone
 		}
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -60,7 +60,7 @@
 		io.WriteString(w, "good")
 	})
 	g := startGateway(t, testConfig(host))
-	for _, n := range []int{maxSmall - 1, maxSmall, maxSmall + 1, 1 << 20, maxBody} {
+	for _, n := range []int{maxBufferedBytes - 1, maxBufferedBytes, maxBufferedBytes + 1, 1 << 20, maxBodyBytes} {
 		body := text(n)
 		want := fmt.Sprintf("%d <nil> %x id-1", n, sha256.Sum256(body))
 		for _, framing := range []string{"length", "chunked", "expect"} {
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	until(t, "what was kept is given back", func() bool { return g.loop.pool.kept.left.Load() == newBudget(g.cfg).left.Load() })
+	until(t, "what was kept is given back", func() bool { return g.loop.pool.memory.remaining.Load() == newMemoryBudget(g.cfg).remaining.Load() })
 }
 
 // Long answers reach the client as they were in every form a host may give them, and
@@ -252,24 +252,24 @@
 	h, x, tr := pooled(p, host.addr()), newExchange("b"), newTry()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	tr.cancel = cancel
-	tr.begun = func() { close(began) }
+	tr.onResponseStarted = func() { close(began) }
 	done := make(chan lynxspool.Result, 1)
 	go func() {
-		result, _ := p.attempt(ctx, h, x, tr)
+		result, _ := p.runAttempt(ctx, h, x, tr)
 		done <- result
 	}()
 	<-began
-	took := tr.took
-	tr.end(errStopped) // as the deadline would
+	took := tr.chargedTime
+	tr.abort(errReadStopped) // as the deadline would
 	close(end)
 	a := <-x.answer
 	w := httptest.NewRecorder()
-	a.stream.done <- a.stream.pass(deadlines{w}, httptest.NewRequest("GET", "/", nil))
+	a.stream.done <- a.stream.copyTo(deadlines{w}, httptest.NewRequest("GET", "/", nil))
 	if result := <-done; result != lynxspool.OK || w.Body.Len() != 100_000 {
 		t.Errorf("result %v, %d bytes", result, w.Body.Len())
 	}
-	if tr.took != took || took == 0 {
-		t.Errorf("the host is charged %v, %v at the first byte", tr.took, took)
+	if tr.chargedTime != took || took == 0 {
+		t.Errorf("the host is charged %v, %v at the first byte", tr.chargedTime, took)
 	}
 }
 
@@ -316,8 +316,8 @@
 		want       int
 	}{
 		{"bad chunk", head("POST /api HTTP/1.1", "a", chunked) + strings.Repeat(piece, 4) + "zz\r\n", 400},
-		{"told too long", head("POST /api HTTP/1.1", "b", fmt.Sprintf("Content-Length: %d\r\n", maxBody+1)), 413},
-		{"too long", head("POST /api HTTP/1.1", "c", chunked) + strings.Repeat(piece, maxBody/0x8000+2), 413},
+		{"told too long", head("POST /api HTTP/1.1", "b", fmt.Sprintf("Content-Length: %d\r\n", maxBodyBytes+1)), 413},
+		{"too long", head("POST /api HTTP/1.1", "c", chunked) + strings.Repeat(piece, maxBodyBytes/0x8000+2), 413},
 		{"stalls", head("POST /api HTTP/1.1", "d", "Content-Length: 200000\r\n") + "x", 400},
 		{"stalls in a chunk", head("POST /api HTTP/1.1", "e", chunked) + strings.Repeat(piece, 3) + "8000\r\nx", 400},
 	} {
@@ -403,11 +403,11 @@
 func TestBudgetSpent(t *testing.T) {
 	host := newHost(t, says(good))
 	g := startGateway(t, testConfig(host))
-	g.loop.pool.kept.left.Store(0)
+	g.loop.pool.memory.remaining.Store(0)
 	if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
-	if left := g.loop.pool.kept.left.Load(); left != 0 {
+	if left := g.loop.pool.memory.remaining.Load(); left != 0 {
 		t.Errorf("%d bytes given back that were not taken", left)
 	}
 }
@@ -429,7 +429,7 @@
 	x.capDeadline, x.timeout = s.capDeadline, time.Hour
 	x.upload = &upload{
 		clientBody: &clientBody{body: bytes.NewReader(text(100_000)), rc: http.NewResponseController(deadlines{httptest.NewRecorder()})},
-		length:     100_000, whole: make(chan struct{}),
+		length:     100_000, sent: make(chan struct{}),
 	}
 	s.stopping.Store(true)
 	if got, _ := tryOnce(t, p, pooled(p, host.addr()), x); got != lynxspool.OK || !x.deadline.Equal(s.finalAnswerAt) {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,5 +1,5 @@
-// Package gateway is the real gateway round package lynxspool: it speaks HTTP
-// with clients, hosts and discovery, and leaves every decision to the Balancer.
+// Package gateway is the gateway process around the decision module, package lynxspool. It speaks
+// HTTP with clients, hosts and discovery, and leaves every decision to the Balancer.
 package gateway
 
 import (
@@ -18,60 +18,60 @@
 	"lynxspool/internal/wire"
 )
 
-// Config is what a gateway is told at its start.
+// Config is the configuration of a gateway.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list of hosts comes from
-	Operator  string // where operators call; "": nowhere
-	AcceptFD  int    // descriptor of the clients' listening socket, which is shared; 0: Listen is ours
+	Listen    string // address for clients
+	Discovery string // address of discovery, or several separated by commas
+	Operator  string // address for operators; empty if there is none
+	AcceptFD  int    // descriptor of a shared listening socket for clients; 0 if this process listens at Listen itself
 	Seed      uint64
 
 	Cores    float64
 	MemoryMB int
-	Sockets  int // file descriptors that the process may hold
+	Sockets  int // limit on the file descriptors of the process
 
-	Known MemberList // the hosts as this gateway last had them
+	Known MemberList // the list of hosts that this gateway had last
 
-	// Membership among gateways; off while Bind is "".
+	// Membership among gateways is off while Bind is empty.
 	Membership Membership
 	Rules
-	raw json.RawMessage // the settings object
+	rawSettings json.RawMessage // the settings object
 
-	// Names as they stand in lists; the module knows their index.
+	// Names in lists of hosts, by the index that the module uses.
 	Zones map[string]int
 	Kinds map[string]int
 
-	ConnIdle    time.Duration // a host closes a connection that was idle this long
-	DialTimeout time.Duration // a connection that is not up by then has failed
+	ConnIdle    time.Duration // idle time after which a host closes a connection
+	DialTimeout time.Duration // a dial that takes longer has failed
 }
 
-// Rules is the part of the configuration that can change at SIGHUP: the module's
-// settings, and the names of classes and tenants as they stand in requests, of which the
-// module knows the index. It is replaced as a whole.
+// Rules is the part of the configuration that can change at SIGHUP: the module's settings, and the
+// names of classes and tenants in requests by the index that the module uses. It is replaced as a
+// whole.
 type Rules struct {
 	Settings lynxspool.Settings
 	Classes  map[string]int
 	Tenants  map[string]int
 }
 
-// longest is the longest deadline of any class.
-func (r *Rules) longest() (d time.Duration) {
+// longestDeadline returns the longest deadline of any class.
+func (r *Rules) longestDeadline() (d time.Duration) {
 	for _, c := range r.Settings.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
 }
 
-// Defaults of what the file may leave out.
+// Defaults of settings that the file may omit.
 const (
 	defaultConnIdle    = time.Minute
 	defaultDialTimeout = 250 * time.Millisecond
 	defaultSockets     = 1024
 )
 
-// file is the form of GW_CONFIG.
-type file struct {
+// fileConfig is the format of the file that GW_CONFIG names.
+type fileConfig struct {
 	Name      string
 	Listen    string
 	Discovery string
@@ -87,18 +87,18 @@
 	Settings   json.RawMessage
 }
 
-// Membership is the "membership" object of the configuration: the host:port of this
-// gateway's memberlist (UDP and TCP), and peers to join through.
+// Membership is the "membership" object of the configuration: the host:port of this gateway's
+// memberlist (UDP and TCP), and the peers through which it joins.
 type Membership struct {
 	Bind  string
 	Peers []string
-	Local bool // memberlist's timing for one machine: probes wait 200 ms, not 500 ms
+	Local bool // use memberlist's timing for one machine: probes time out after 200 ms, not 500 ms
 }
 
-// names is what the settings object holds beside the module's part.
-type names struct {
-	Classes []named
-	Tenants []named
+// settingsNames is the part of the settings object that the module does not read.
+type settingsNames struct {
+	Classes []namedEntry
+	Tenants []namedEntry
 	Zones   []string `json:"azs"`
 	Kinds   []string
 	Caps    struct {
@@ -107,11 +107,10 @@
 	}
 }
 
-type named struct{ Name string }
+type namedEntry struct{ Name string }
 
-// Load reads the configuration from the file that GW_CONFIG names; the other
-// GW_ variables go before what the file says. An error is one plain line that
-// names the field at fault.
+// Load reads the configuration from the file that GW_CONFIG names. The other GW_ variables override
+// the file. An error is one line that names the invalid field.
 func Load(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
@@ -139,15 +138,15 @@
 	return c, nil
 }
 
-// Reload reads the file anew, at SIGHUP, and checks all of it as at a start. What the
-// GW_ variables say was true at the start only, so here the file alone counts. Its
-// settings must have every key that those in force have.
+// Reload reads the file again, at SIGHUP, and validates all of it as at the start. The GW_
+// variables apply to the start only, so that the file alone counts here. Its settings must have
+// every key that those in force have.
 func Reload(getenv func(string) string, inForce *Config) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
 	}
-	// Where we listen stays, and the file need not say it.
+	// The listening addresses cannot change, and the file may omit them.
 	f.Listen, f.Operator = inForce.Listen, inForce.Operator
 	c, err := f.config()
 	if err != nil {
@@ -158,67 +157,67 @@
 		return nil, fmt.Errorf("settings: caps.max_attempts: %d is not above 0", c.Settings.MaxAttempts)
 	}
 	var before, after any
-	if err := errors.Join(json.Unmarshal(inForce.raw, &before), json.Unmarshal(c.raw, &after)); err != nil {
+	if err := errors.Join(json.Unmarshal(inForce.rawSettings, &before), json.Unmarshal(c.rawSettings, &after)); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if key := missing("settings", before, after); key != "" {
+	if key := missingKey("settings", before, after); key != "" {
 		return nil, fmt.Errorf("%s: missing or of another form than before", key)
 	}
 	return c, nil
 }
 
-// mayLack are keys of the settings that may come and go.
-var mayLack = map[string]bool{"aim_stretch": true, "passes_deadline": true, "warm_keys": true, "fleet": true}
+// optionalKeys are keys of the settings that may be added and removed.
+var optionalKeys = map[string]bool{"aim_stretch": true, "passes_deadline": true, "warm_keys": true, "fleet": true}
 
-// missing names the first key that the old object has and the new one lacks, or holds in
-// another form. Entries of a list must each have the keys that all old entries share.
-func missing(at string, old, now any) string {
+// missingKey returns the path of the first key that the old object has and the new one lacks, or
+// has with another type. Each entry of a list must have the keys that all old entries share.
+func missingKey(path string, old, now any) string {
 	switch old := old.(type) {
 	case map[string]any:
 		now, ok := now.(map[string]any)
 		if !ok {
-			return at
+			return path
 		}
 		for _, key := range slices.Sorted(maps.Keys(old)) {
-			if mayLack[key] {
+			if optionalKeys[key] {
 				continue
 			}
 			v, ok := now[key]
 			if !ok {
-				return at + "." + key
+				return path + "." + key
 			}
-			if m := missing(at+"."+key, old[key], v); m != "" {
+			if m := missingKey(path+"."+key, old[key], v); m != "" {
 				return m
 			}
 		}
 	case []any:
 		now, ok := now.([]any)
 		if !ok {
-			return at
+			return path
 		}
 		shared := sharedKeys(old)
 		for i, e := range now {
-			if m := missing(fmt.Sprintf("%s[%d]", at, i), shared, e); m != "" {
+			if m := missingKey(fmt.Sprintf("%s[%d]", path, i), shared, e); m != "" {
 				return m
 			}
 		}
 	case float64:
 		if _, ok := now.(float64); !ok {
-			return at
+			return path
 		}
 	case string:
 		if _, ok := now.(string); !ok {
-			return at
+			return path
 		}
 	case bool:
 		if _, ok := now.(bool); !ok {
-			return at
+			return path
 		}
 	}
 	return ""
 }
 
-// sharedKeys is an object of the keys that all entries have, or nil where they are no
+// sharedKeys returns an object with the keys that all entries have, or nil if not all entries are
 // objects.
 func sharedKeys(list []any) any {
 	var shared map[string]any
@@ -238,7 +237,7 @@
 	return shared
 }
 
-func readFile(getenv func(string) string) (*file, error) {
+func readFile(getenv func(string) string) (*fileConfig, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, errors.New("GW_CONFIG: not set")
@@ -247,7 +246,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	f := new(file)
+	f := new(fileConfig)
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
 	}
@@ -261,7 +260,7 @@
 	return nil
 }
 
-func (f *file) config() (*Config, error) {
+func (f *fileConfig) config() (*Config, error) {
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Membership: f.Membership,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known,
@@ -278,7 +277,7 @@
 	}
 	for _, a := range addrs {
 		if a.field == "operator" && a.addr == "" {
-			continue // it may be left out
+			continue // it is optional
 		}
 		if err := checkAddr(a.field, a.addr); err != nil {
 			return nil, err
@@ -305,41 +304,41 @@
 		return nil, err
 	}
 	if _, err := lynxspool.New(c.Settings, c.Seed); err != nil {
-		return nil, err // it names the field
+		return nil, err // the error names the field
 	}
-	c.raw = f.Settings
-	var n names
+	c.rawSettings = f.Settings
+	var n settingsNames
 	if err := json.Unmarshal(f.Settings, &n); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for _, t := range []struct {
 		field string
-		list  []named
+		list  []namedEntry
 		to    *map[string]int
 	}{{"classes", n.Classes, &c.Classes}, {"tenants", n.Tenants, &c.Tenants}} {
 		list := make([]string, len(t.list))
 		for i, e := range t.list {
 			list[i] = e.Name
 		}
-		if *t.to, err = index(t.field, list); err != nil {
+		if *t.to, err = indexNames(t.field, list); err != nil {
 			return nil, err
 		}
 	}
-	if c.Zones, err = index("azs", n.Zones); err != nil {
+	if c.Zones, err = indexNames("azs", n.Zones); err != nil {
 		return nil, err
 	}
-	if c.Kinds, err = index("kinds", n.Kinds); err != nil {
+	if c.Kinds, err = indexNames("kinds", n.Kinds); err != nil {
 		return nil, err
 	}
-	if c.ConnIdle, err = micros("caps.conn_idle", n.Caps.ConnIdle, defaultConnIdle); err != nil {
+	if c.ConnIdle, err = microseconds("caps.conn_idle", n.Caps.ConnIdle, defaultConnIdle); err != nil {
 		return nil, err
 	}
-	c.DialTimeout, err = micros("caps.dial_timeout", n.Caps.DialTimeout, defaultDialTimeout)
+	c.DialTimeout, err = microseconds("caps.dial_timeout", n.Caps.DialTimeout, defaultDialTimeout)
 	return c, err
 }
 
-// index numbers names in the order of the settings, as the module does.
-func index(field string, list []string) (map[string]int, error) {
+// indexNames numbers names in the order of the settings, as the module does.
+func indexNames(field string, list []string) (map[string]int, error) {
 	m := make(map[string]int, len(list))
 	for i, name := range list {
 		if name == "" {
@@ -353,8 +352,8 @@
 	return m, nil
 }
 
-// micros converts a span in microseconds; 0 stands for the default.
-func micros(field string, us float64, def time.Duration) (time.Duration, error) {
+// microseconds converts a duration from microseconds; 0 stands for the default.
+func microseconds(field string, us float64, def time.Duration) (time.Duration, error) {
 	if us == 0 {
 		return def, nil
 	}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -21,32 +21,35 @@
 const (
 	pathMembers = "/catalog/members"
 
-	// An instance answers a call within a second or turns it away; one that is cut off
-	// says nothing. Where there are many, all of them are tried within callsWithin.
-	callSilence = 2 * time.Second
-	callLeast   = 500 * time.Millisecond
-	callsWithin = 3 * lynxspool.NotifiedAfter / 4
-	// Where there is one, a call that is given up keeps its place in the queue, and the next
-	// has another, so a call is left its time to wait its turn. After a watch that ended its
-	// clock leaves none for a second call anyway. All in spans of a watch's silence.
-	turnUrgent = 1 // the clock of the loss has run for some time, or is short
-	turnUsual  = 1.5
-	turnEnded  = 2
-	watchDial  = 500 * time.Millisecond
-	// Where lists are pushed, what the gateway's own agent has counts as notified whether or
-	// not a watch is open: a new one is begun soon, and watchMost is half of the longest wait.
-	watchBackoff = 50 * time.Millisecond // before a new watch, doubled to watchMost
-	watchMost    = 300 * time.Millisecond
-	maxList      = 4 << 20 // a list of 2,000 hosts has 250 kB
-	// A list older than ours is refused for this long; if every address still offers
-	// only older ones then, discovery has counted anew (a catalog rebuilt empty) and
-	// its whole list is taken: what it has counts as notified, whatever its number.
-	resetAfter = lynxspool.NotifiedAfter / 4
-	// While discovery is down, how often the age of the list in use is logged.
-	ageEvery = 10 * time.Second
+	// An instance of discovery answers a call within a second or rejects it; one that is cut off
+	// says nothing. If there are several instances, all of them are tried within allCallsTimeout.
+	callTimeout     = 2 * time.Second
+	minCallTimeout  = 500 * time.Millisecond
+	allCallsTimeout = 3 * lynxspool.NotifiedAfter / 4
+	// If there is one instance, a call that is given up keeps its place in the queue of discovery
+	// and the next call gets another one, so a call is given enough time to be served in turn.
+	// After a watch that ended, the deadline for notifications leaves no time for a second call
+	// anyway. The factors are multiples of the time after which a watch counts as silent.
+	urgentTimeoutFactor = 1 // the time since the loss has run for a while, or is short
+	usualTimeoutFactor  = 1.5
+	endedTimeoutFactor  = 2
+	watchDialTimeout    = 500 * time.Millisecond
+	// If lists are pushed, what the gateway's own agent has counts as notified whether or not a
+	// watch is open, so a new watch is begun soon. maxWatchBackoff is half of the longest wait.
+	minWatchBackoff = 50 * time.Millisecond // wait before a new watch, doubled up to maxWatchBackoff
+	maxWatchBackoff = 300 * time.Millisecond
+	maxListBytes    = 4 << 20 // a list of 2,000 hosts has 250 kB
+	// A list with a version lower than ours is rejected for this long. If every address still
+	// offers only such lists after that, discovery has started its versions anew (a catalog that
+	// was rebuilt empty) and its full list is applied: what it has counts as notified, whatever its
+	// version.
+	versionResetAfter = lynxspool.NotifiedAfter / 4
+	// listAgeLogInterval is the time between two log lines on the age of the list in use while
+	// discovery is unreachable.
+	listAgeLogInterval = 10 * time.Second
 )
 
-// MemberList is the list of hosts, or changes of it, in discovery's form.
+// MemberList is the list of hosts, or changes of it, in the format of discovery.
 type MemberList struct {
 	Version uint64
 	Full    bool
@@ -64,8 +67,8 @@
 	StartedMS int64 `json:"started_ms"`
 }
 
-// state reads the state of a member; a host of which we cannot tell gets nothing new.
-func (m *Member) state() lynxspool.HostState {
+// hostState parses the state of a host. A host in an unknown state counts as draining.
+func (m *Member) hostState() lynxspool.HostState {
 	switch m.State {
 	case "ready":
 		return lynxspool.Ready
@@ -75,39 +78,40 @@
 	return lynxspool.Draining
 }
 
-// Discovery follows the list of hosts and tells the loop of it.
+// Discovery watches the list of hosts and passes it on to a ListHandler.
 type Discovery struct {
-	moved   chan struct{} // there is another address to watch
-	ask     bool          // a watch begins only when the module asks for it
-	asked   chan struct{}
-	version uint64 // of the list as told to the loop; belongs to Run
-	anew    bool   // the whole list is wanted, whatever we have; belongs to Run
-	waited  int    // calls in a row that went without an answer; belongs to Run
-	client  http.Client
-	inForce func()        // returns once the lists that were handed on are in force
-	silence time.Duration // after which a watch is taken for dead
-	turn    float64       // how long the next call may wait its turn, in spans of silence; belongs to Run
-	answer  time.Duration // ... and a call without an answer, where another instance may be well
-	heard   time.Time     // when discovery last said anything; belongs to Run
-	behind  time.Time     // since when lists older than ours were offered; belongs to Run
-	listed  bool          // there is a list to go on with; belongs to Run
-	within  time.Duration // longest time that a busy discovery can keep us from asking
-	resting time.Time     // until when a busy discovery asked not to be called; belongs to Run
+	addrsChanged    chan struct{} // signals that there are other addresses to watch
+	onDemand        bool          // a watch begins only when the module asks for it
+	watchRequested  chan struct{}
+	version         uint64 // of the list that was passed on last; owned by Run
+	needFullList    bool   // a full list is requested, whatever version there is; owned by Run
+	unansweredCalls int    // consecutive calls without an answer; owned by Run
+	client          http.Client
+	syncLists       func()        // returns once the lists that were passed on are in force
+	silenceTimeout  time.Duration // a watch that is silent for this long is dead
+	timeoutFactor   float64       // time that the next call may take, as a multiple of silenceTimeout; owned by Run
+	answerTimeout   time.Duration // time that a call may go without an answer if there are other instances
+	lastHeardAt     time.Time     // when discovery last sent anything; owned by Run
+	olderListSince  time.Time     // since when only lists older than ours were offered; owned by Run
+	haveList        bool          // a list is in use; owned by Run
+	maxRetryDelay   time.Duration // longest delay that discovery can request with Retry-After
+	retryAt         time.Time     // discovery asked not to be called before; owned by Run
 
-	mu     sync.Mutex
-	addrs  []string                // instances of one discovery service, tried in turn
-	at     int                     // the one in use
-	fresh  bool                    // addrs have not been watched yet
-	cancel context.CancelCauseFunc // ends the present watch; nil without one
-	conn   *watchConn              // of the present call
+	mu          sync.Mutex
+	addrs       []string                // instances of one discovery service, tried in turn
+	addrIndex   int                     // index of the address in use
+	addrsUnused bool                    // addrs have changed and none of them has been called yet
+	cancelWatch context.CancelCauseFunc // ends the present watch; nil if there is none
+	callConn    *watchConn              // connection of the present or the last call
 }
 
-// Lister takes what discovery tells; the Loop is one.
-type Lister interface {
-	Members(kind lynxspool.ListKind, list MemberList)
+// ListHandler receives lists of hosts, changes of them and reports that discovery was lost. Loop
+// and Roster implement it.
+type ListHandler interface {
+	HandleList(kind lynxspool.ListKind, list MemberList)
 }
 
-// splitAddrs reads GW_DISCOVERY: one address, or several of one service, by commas.
+// splitAddrs parses GW_DISCOVERY: one address, or several of one service, separated by commas.
 func splitAddrs(s string) []string {
 	var out []string
 	for _, a := range strings.Split(s, ",") {
@@ -122,103 +126,104 @@
 }
 
 var (
-	errSilent = errors.New("discovery is silent")
-	errMoved  = errors.New("discovery has moved")
-	errBehind = errors.New("discovery offers a list older than ours")
+	errSilent       = errors.New("discovery is silent")
+	errAddrsChanged = errors.New("discovery has moved")
+	errOlderList    = errors.New("discovery offers a list older than ours")
 )
 
 // NewDiscovery returns a Discovery that starts from the known list.
 func NewDiscovery(cfg *Config) *Discovery {
 	d := &Discovery{
-		addrs: splitAddrs(cfg.Discovery), moved: make(chan struct{}, 1), heard: time.Now(),
-		ask: cfg.Settings.WatchHosts, asked: make(chan struct{}, 1), version: cfg.Known.Version,
-		silence: lynxspool.SilentAfter, turn: turnUsual, answer: callSilence, listed: len(cfg.Known.Servers) > 0, within: cfg.Settings.MaxWatchGap,
+		addrs: splitAddrs(cfg.Discovery), addrsChanged: make(chan struct{}, 1), lastHeardAt: time.Now(),
+		onDemand: cfg.Settings.WatchHosts, watchRequested: make(chan struct{}, 1), version: cfg.Known.Version,
+		silenceTimeout: lynxspool.SilentAfter, timeoutFactor: usualTimeoutFactor, answerTimeout: callTimeout, haveList: len(cfg.Known.Servers) > 0, maxRetryDelay: cfg.Settings.MaxWatchGap,
 	}
-	d.inForce = func() {}
+	d.syncLists = func() {}
 	d.client = http.Client{Transport: &http.Transport{DialContext: d.dial, DisableKeepAlives: true}}
 	return d
 }
 
-// dial makes the connection of a call.
+// dial connects to discovery for a call.
 func (d *Discovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	c, err := (&net.Dialer{Timeout: watchDial}).DialContext(ctx, network, addr)
+	c, err := (&net.Dialer{Timeout: watchDialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	watch := newWatchConn(c, d.inForce)
+	watch := newWatchConn(c, d.syncLists)
 	d.mu.Lock()
-	d.conn = watch
+	d.callConn = watch
 	d.mu.Unlock()
 	return watch, nil
 }
 
-// watched is the connection of the present call, or of the last; nil before the first.
-func (d *Discovery) watched() *watchConn {
+// currentConn returns the connection of the present or the last call, or nil before the first.
+func (d *Discovery) currentConn() *watchConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.conn
+	return d.callConn
 }
 
-// SetInForce gives what returns once the lists that were handed on are in force, before Run.
-func (d *Discovery) SetInForce(inForce func()) { d.inForce = inForce }
+// SetSync sets a function that returns once the lists that were passed on are in force. It must be
+// called before Run.
+func (d *Discovery) SetSync(sync func()) { d.syncLists = sync }
 
-// Overdue says whether discovery has written something that should be in force by now: the
-// process was held up, and changes count from when they were written.
-func (d *Discovery) Overdue() bool {
-	c := d.watched()
-	return c != nil && c.overdue()
+// UpdateOverdue returns whether discovery has written something that should be in force by now.
+// That happens after the process was stalled: a change counts as notified from when it was written.
+func (d *Discovery) UpdateOverdue() bool {
+	c := d.currentConn()
+	return c != nil && c.updateOverdue()
 }
 
-// Watch asks for changes from now on, where they do not come by themselves.
+// Watch requests a watch, if the module has to ask for watches.
 func (d *Discovery) Watch() {
 	select {
-	case d.asked <- struct{}{}:
-	default: // asked already
+	case d.watchRequested <- struct{}{}:
+	default: // requested already
 	}
 }
 
-// Move says that discovery has other addresses from now on. The old one may go on for
-// a while and say no more, so its watch ends here.
-func (d *Discovery) Move(addr string) {
+// SetAddrs changes the addresses of discovery. It ends the present watch, as the old address may
+// stay connected and send nothing more.
+func (d *Discovery) SetAddrs(addr string) {
 	addrs := splitAddrs(addr)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if strings.Join(addrs, ",") == strings.Join(d.addrs, ",") {
 		return
 	}
-	d.addrs, d.at, d.fresh = addrs, 0, true
+	d.addrs, d.addrIndex, d.addrsUnused = addrs, 0, true
 	select {
-	case d.moved <- struct{}{}:
-	default: // Run has yet to see the last move
+	case d.addrsChanged <- struct{}{}:
+	default: // Run has not handled the last change yet
 	}
-	if d.cancel != nil {
-		d.cancel(errMoved)
+	if d.cancelWatch != nil {
+		d.cancelWatch(errAddrsChanged)
 	}
 }
 
-// Run watches the list until ctx ends. A watch that breaks is begun anew at the next
-// address, after a capped exponential backoff with jitter; where the module has
-// to ask, it is told instead and decides when. After a move a watch begins at once:
-// what was asked for stands. While no address answers, the loop keeps the last list
-// (fail-static) and its age is logged every ageEvery.
-func (d *Discovery) Run(ctx context.Context, loop Lister) {
-	backoff, lost := watchBackoff, false
-	var since, logged time.Time // of the loss, and of the last line about it
-	asked, tried := false, 0    // what was asked for stands; instances that failed for it
-	again := false              // a call without an answer was made anew at once already
+// Run watches the list until ctx ends. After a watch breaks it begins a new one at the next
+// address, after a capped exponential backoff with jitter. If the module asks for watches, Run
+// reports the loss instead, and the module decides when to watch again. After a change of addresses
+// a watch begins at once, as the request for it still holds. While no address answers, the last
+// list stays in use, and its age is logged every listAgeLogInterval.
+func (d *Discovery) Run(ctx context.Context, loop ListHandler) {
+	backoff, watchLost := minWatchBackoff, false
+	var lostSince, loggedAt time.Time      // time of the loss, and of the last log line about it
+	callAgain, failedInstances := false, 0 // whether the next watch begins without being requested; instances that failed in this round
+	retriedUnanswered := false             // an unanswered call has already been repeated at once
 	for ctx.Err() == nil {
-		if d.ask && !asked {
+		if d.onDemand && !callAgain {
 			select {
 			case <-ctx.Done():
 				return
-			case <-d.asked:
-				select { // a busy discovery has said when
+			case <-d.watchRequested:
+				select { // discovery may have asked to be called later
 				case <-ctx.Done():
 					return
-				case <-time.After(time.Until(d.resting)):
-				case <-d.moved:
+				case <-time.After(time.Until(d.retryAt)):
+				case <-d.addrsChanged:
 				}
-			case <-d.moved:
+			case <-d.addrsChanged:
 			}
 		}
 		heard, err := d.watch(ctx, loop)
@@ -226,97 +231,98 @@
 			return
 		}
 		if heard {
-			if lost && time.Since(since) > ageEvery {
-				slog.Info("discovery back", "after_s", time.Since(since).Round(time.Millisecond).Seconds())
+			if watchLost && time.Since(lostSince) > listAgeLogInterval {
+				slog.Info("discovery back", "after_s", time.Since(lostSince).Round(time.Millisecond).Seconds())
 			}
-			backoff, lost = watchBackoff, false
+			backoff, watchLost = minWatchBackoff, false
 		}
-		if errors.Is(err, errMoved) {
+		if errors.Is(err, errAddrsChanged) {
 			continue
 		}
-		// A watch that fell silent has missed what counts as notified by now: it is opened anew
-		// at once, and only if that fails is the module told, which takes its time. So is a
-		// call that got no answer, but once: where every call goes unanswered the module's
-		// turns keep the bank's calls apart.
-		asked = errors.Is(err, errSilent) && (heard || !again)
+		// A watch that fell silent has missed changes that count as notified by now. It is reopened
+		// at once, and a failure is reported to the module only if that fails, as it waits before the
+		// next call. A call without an answer is also repeated at once, but only once: if no call
+		// is answered, the module spaces the calls of the fleet.
+		callAgain = errors.Is(err, errSilent) && (heard || !retriedUnanswered)
 		switch {
-		case asked && heard:
-			d.turn = turnUrgent
-			loop.Members(lynxspool.ListSilent, MemberList{})
+		case callAgain && heard:
+			d.timeoutFactor = urgentTimeoutFactor
+			loop.HandleList(lynxspool.ListSilent, MemberList{})
 		case errors.Is(err, errEnded):
-			d.turn = turnEnded
+			d.timeoutFactor = endedTimeoutFactor
 		default:
-			d.turn = turnUsual
+			d.timeoutFactor = usualTimeoutFactor
 		}
-		again = asked && !heard
+		retriedUnanswered = callAgain && !heard
 		d.mu.Lock()
-		d.at = (d.at + 1) % len(d.addrs)
+		d.addrIndex = (d.addrIndex + 1) % len(d.addrs)
 		instances := len(d.addrs)
 		d.mu.Unlock()
-		// Another instance may be well: each is tried once before the module is told, unless
-		// one asked not to be called.
-		if tried++; !heard && tried < instances && time.Now().After(d.resting) {
-			asked = true
+		// Another instance may be available: each is tried once before a failure is reported, unless
+		// one has asked not to be called.
+		if failedInstances++; !heard && failedInstances < instances && time.Now().After(d.retryAt) {
+			callAgain = true
 		} else {
-			tried = 0
+			failedInstances = 0
 		}
 		switch now := time.Now(); {
-		case !lost:
+		case !watchLost:
 			slog.Warn("watch of the host list lost, watching anew", "err", err)
-			lost, since, logged = true, now, now
-		case now.Sub(logged) >= ageEvery:
+			watchLost, lostSince, loggedAt = true, now, now
+		case now.Sub(loggedAt) >= listAgeLogInterval:
 			slog.Warn("discovery unreachable, serving on the last list", "age_s",
-				now.Sub(d.heard).Round(time.Second).Seconds(), "err", err)
-			logged = now
+				now.Sub(d.lastHeardAt).Round(time.Second).Seconds(), "err", err)
+			loggedAt = now
 		}
-		if d.ask && asked {
+		if d.onDemand && callAgain {
 			continue
 		}
-		if d.ask {
-			loop.Members(lossKind(err), MemberList{})
+		if d.onDemand {
+			loop.HandleList(lossKind(err), MemberList{})
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-d.moved:
+		case <-d.addrsChanged:
 		case <-time.After(jitter(backoff)):
 		}
-		backoff = min(2*backoff, watchMost)
+		backoff = min(2*backoff, maxWatchBackoff)
 	}
 }
 
-// watch holds one watch until it ends and says whether it brought anything, or was open
+// watch holds one watch until it ends. It returns whether the watch received anything, or was open
 // when it fell silent.
-func (d *Discovery) watch(ctx context.Context, loop Lister) (heard bool, err error) {
+func (d *Discovery) watch(ctx context.Context, loop ListHandler) (heard bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	d.mu.Lock()
-	moved := d.fresh
+	addrsChanged := d.addrsUnused
 	d.mu.Unlock()
-	if moved {
-		d.turn = turnUrgent
-		loop.Members(lynxspool.ListMoved, MemberList{})
+	if addrsChanged {
+		d.timeoutFactor = urgentTimeoutFactor
+		loop.HandleList(lynxspool.ListMoved, MemberList{})
 	}
-	silence := d.whenSilent(d.answerIn(), func() { cancel(errSilent) })
-	defer silence.Stop()
-	open := false // discovery has answered the call
+	silenceTimer := d.startSilenceTimer(d.nextCallTimeout(), func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
+	answered := false
 	defer func() {
-		if cause := context.Cause(ctx); cause == errSilent || cause == errMoved {
-			err, heard = cause, heard || open
-		} else if open && errors.Is(err, io.ErrUnexpectedEOF) {
+		if cause := context.Cause(ctx); cause == errSilent || cause == errAddrsChanged {
+			err, heard = cause, heard || answered
+		} else if answered && errors.Is(err, io.ErrUnexpectedEOF) {
 			err = fmt.Errorf("%w: %w", errEnded, err)
 		}
 	}()
 	d.mu.Lock()
-	addr := d.addrs[d.at]
-	d.cancel = cancel
-	if d.fresh {
-		// Another discovery may count its versions anew, and has its own cares.
-		d.fresh, d.version, d.behind, d.resting, d.waited = false, 0, time.Time{}, time.Time{}, 0
+	addr := d.addrs[d.addrIndex]
+	d.cancelWatch = cancel
+	if d.addrsUnused {
+		// Another discovery service may number its versions differently, and its load is another
+		// one.
+		d.addrsUnused, d.version, d.olderListSince, d.retryAt, d.unansweredCalls = false, 0, time.Time{}, time.Time{}, 0
 	}
 	d.mu.Unlock()
 	index := d.version
-	if d.anew {
+	if d.needFullList {
 		index = 0
 	}
 	url := "http://" + addr + pathMembers + "?stream=1&index=" + strconv.FormatUint(index, 10)
@@ -324,100 +330,100 @@
 	if err != nil {
 		return false, err
 	}
-	if d.listed {
+	if d.haveList {
 		req.Header.Set("X-Catalog-Have", strconv.FormatUint(d.version, 10))
 	}
 	began := time.Now()
 	resp, err := d.client.Do(req)
 	logCall(ctx, index, time.Since(began), resp, err)
 	if context.Cause(ctx) == errSilent {
-		d.waited++
+		d.unansweredCalls++
 	} else {
-		d.waited = 0
+		d.unansweredCalls = 0
 	}
 	if err != nil {
 		return false, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		d.rest(resp.Header.Get("Retry-After"))
+		d.applyRetryAfter(resp.Header.Get("Retry-After"))
 		return false, fmt.Errorf("discovery answers %s", resp.Status)
 	}
-	open = true
-	silence.Reset(d.silence)
-	current := d.listed && index == d.version && index > 0 // else the list is still to come
-	in := &heedfulReader{from: resp.Body, heed: func(blank bool) {
-		silence.Reset(d.silence)
-		heard, d.heard = true, time.Now()
-		if blank && current { // nothing has changed since the version that we have
-			loop.Members(lynxspool.ListChanges, MemberList{Version: index})
+	answered = true
+	silenceTimer.Reset(d.silenceTimeout)
+	upToDate := d.haveList && index == d.version && index > 0 // otherwise the list is still to come
+	reader := &listReader{body: resp.Body, onData: func(blank bool) {
+		silenceTimer.Reset(d.silenceTimeout)
+		heard, d.lastHeardAt = true, time.Now()
+		if blank && upToDate { // the list has not changed since our version
+			loop.HandleList(lynxspool.ListChanges, MemberList{Version: index})
 		}
-		current = false
+		upToDate = false
 	}}
-	lists := json.NewDecoder(in) // not by lines: a list may be indented
+	lists := json.NewDecoder(reader) // not by lines, as a list may be indented
 	for {
 		var list MemberList
 		err := lists.Decode(&list)
-		in.taken = 0
+		reader.bytesSinceList = 0
 		switch {
-		case errors.Is(err, errTooMuch):
-			return heard, fmt.Errorf("discovery's list is longer than %d MB, ours is kept", maxList>>20)
-		case in.broke != nil:
-			return heard, in.broke
+		case errors.Is(err, errListTooLong):
+			return heard, fmt.Errorf("discovery's list is longer than %d MB, ours is kept", maxListBytes>>20)
+		case reader.readErr != nil:
+			return heard, reader.readErr
 		case err == io.EOF:
-			return heard, io.ErrUnexpectedEOF // a watch has no end of its own
-		case garbledList(err):
-			d.anew = true // what it said is lost
+			return heard, io.ErrUnexpectedEOF // a watch never ends in order
+		case isMalformedList(err):
+			d.needFullList = true // the changes in it are lost
 			return false, fmt.Errorf("discovery's list: %w", err)
 		case err != nil:
 			return heard, err
 		}
 		if list.Version < d.version {
-			if d.behind.IsZero() {
-				d.behind = time.Now()
+			if d.olderListSince.IsZero() {
+				d.olderListSince = time.Now()
 			}
-			if time.Since(d.behind) < resetAfter || !list.Full {
-				d.anew = true // if it counts anew, what we have is no part of its count
-				return false, fmt.Errorf("%w: %d, ours %d", errBehind, list.Version, d.version)
+			if time.Since(d.olderListSince) < versionResetAfter || !list.Full {
+				d.needFullList = true // if its versions start anew, ours is not one of them
+				return false, fmt.Errorf("%w: %d, ours %d", errOlderList, list.Version, d.version)
 			}
 			slog.Error("discovery counts anew: its whole list is taken", "version", list.Version, "ours", d.version)
 		}
-		d.behind, d.anew = time.Time{}, false
+		d.olderListSince, d.needFullList = time.Time{}, false
 		kind := lynxspool.ListChanges
 		if list.Full {
 			kind = lynxspool.ListFull
 		}
-		d.version, d.listed = list.Version, true
-		loop.Members(kind, list)
+		d.version, d.haveList = list.Version, true
+		loop.HandleList(kind, list)
 	}
 }
 
-// heedfulReader tells of every read that brings something, and ends what brings too much.
-type heedfulReader struct {
-	from  io.Reader
-	heed  func(blank bool) // blank: there is nothing but white space
-	taken int              // bytes since a list was read whole
-	broke error            // what ended the connection, if that was no end in order
+// listReader calls onData for every read that returns data, and fails if a list is too long.
+type listReader struct {
+	body           io.Reader
+	onData         func(blank bool) // blank means that there is only white space
+	bytesSinceList int              // bytes read since the last whole list
+	readErr        error            // error other than io.EOF that ended the connection
 }
 
-var errTooMuch = errors.New("too much")
+var errListTooLong = errors.New("too much")
 
-func (r *heedfulReader) Read(p []byte) (int, error) {
-	n, err := r.from.Read(p)
+func (r *listReader) Read(p []byte) (int, error) {
+	n, err := r.body.Read(p)
 	if n > 0 {
-		r.heed(len(bytes.TrimSpace(p[:n])) == 0)
+		r.onData(len(bytes.TrimSpace(p[:n])) == 0)
 	}
 	if err != io.EOF {
-		r.broke = err
+		r.readErr = err
 	}
-	if r.taken += n; r.taken > maxList {
-		return 0, errTooMuch
+	if r.bytesSinceList += n; r.bytesSinceList > maxListBytes {
+		return 0, errListTooLong
 	}
 	return n, err
 }
 
-// garbledList says whether what came cannot be read as a list, or ended within one.
-func garbledList(err error) bool {
+// isMalformedList returns whether the data cannot be parsed as a list, or ended within one.
+func isMalformedList(err error) bool {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	return errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, io.ErrUnexpectedEOF)
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -14,11 +14,11 @@
 	"lynxspool"
 )
 
-// This file has how long calls for the list may take and when they are made anew.
+// This file computes how long calls for the list may take and when they are repeated.
 
-// rest heeds a Retry-After, in seconds, as long as the module allows. One that is no such
-// number is ignored, one that is longer is cut.
-func (d *Discovery) rest(retryAfter string) {
+// applyRetryAfter applies the value of a Retry-After header, in seconds, within the limits of the
+// module. It ignores a value that is not such a number, and caps one that is too long.
+func (d *Discovery) applyRetryAfter(retryAfter string) {
 	if retryAfter == "" {
 		return
 	}
@@ -31,32 +31,32 @@
 	if s < asked.Seconds() {
 		asked = time.Duration(s * float64(time.Second))
 	}
-	wait := d.restFor(asked, rand.Float64())
+	wait := d.retryDelay(asked, rand.Float64())
 	if wait < asked {
 		slog.Warn("discovery's Retry-After is longer than changes may go unheard, cut", "value", retryAfter[:min(len(retryAfter), 40)])
 	}
-	d.resting = time.Now().Add(wait)
+	d.retryAt = time.Now().Add(wait)
 }
 
-// answerIn is how long a call may go without an answer. One that had none may have waited
-// its turn at a busy discovery, so the next is given longer.
-func (d *Discovery) answerIn() time.Duration {
+// nextCallTimeout returns how long the next call may go without an answer. If the last call had
+// none, it may have waited in the queue of a busy discovery, so the next one gets more time.
+func (d *Discovery) nextCallTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n := len(d.addrs); n > 1 {
-		return min(d.silence, d.answer, max(callLeast, callsWithin/time.Duration(n)))
+		return min(d.silenceTimeout, d.answerTimeout, max(minCallTimeout, allCallsTimeout/time.Duration(n)))
 	}
-	turn := d.turn
-	if d.waited > 0 {
-		turn = max(turn, turnEnded)
+	factor := d.timeoutFactor
+	if d.unansweredCalls > 0 {
+		factor = max(factor, endedTimeoutFactor)
 	}
-	return time.Duration(turn * float64(d.silence))
+	return time.Duration(factor * float64(d.silenceTimeout))
 }
 
 // errEnded marks a watch whose connection ended in order.
 var errEnded = errors.New("the watch ended")
 
-// lossKind says what the module has to know of how discovery was lost.
+// lossKind returns the kind of a loss of discovery that is reported to the module.
 func lossKind(err error) lynxspool.ListKind {
 	switch {
 	case errors.Is(err, errEnded):
@@ -67,43 +67,44 @@
 	return lynxspool.ListFailed
 }
 
-// restFor is how long discovery is left alone that asks for it: up to a quarter more, as
-// jitter says, so that those who were told one time do not meet, but not longer than a list
-// may go unasked; who has a list keeps to the clock of notifications.
-func (d *Discovery) restFor(asked time.Duration, jitter float64) time.Duration {
-	most := d.within
-	if most <= 0 {
-		most = ageEvery
+// retryDelay returns how long to wait before the next call after discovery asked for a delay. It
+// adds up to a quarter, in proportion to jitter (0 to 1), so that gateways that were given the same
+// delay do not call together. It does not exceed the longest time that a list may go without a
+// call; with a list, the limit follows from the deadline for notifications.
+func (d *Discovery) retryDelay(asked time.Duration, jitter float64) time.Duration {
+	maxDelay := d.maxRetryDelay
+	if maxDelay <= 0 {
+		maxDelay = listAgeLogInterval
 	}
-	if d.listed {
-		most = min(most, lynxspool.MaxWatchBackoff)
+	if d.haveList {
+		maxDelay = min(maxDelay, lynxspool.MaxWatchBackoff)
 	}
-	asked = min(asked, most)
-	return min(asked+time.Duration(jitter/4*float64(asked)), most)
+	asked = min(asked, maxDelay)
+	return min(asked+time.Duration(jitter/4*float64(asked)), maxDelay)
 }
 
-// whenSilent calls end after a time, unless the timer is reset before. What waits unread then is read
-// first: the process was held up, not discovery.
-func (d *Discovery) whenSilent(after time.Duration, end func()) (silence *time.Timer) {
-	set := make(chan struct{})
-	silence = time.AfterFunc(after, func() {
-		<-set
-		if c := d.watched(); c != nil && c.hasNews() {
-			silence.Reset(stallReadTime)
+// startSilenceTimer calls onSilence after a time unless the timer is reset before. If there is
+// unread data then, the process was stalled and not discovery silent, so the data is read first.
+func (d *Discovery) startSilenceTimer(after time.Duration, onSilence func()) (timer *time.Timer) {
+	timerSet := make(chan struct{})
+	timer = time.AfterFunc(after, func() {
+		<-timerSet
+		if c := d.currentConn(); c != nil && c.hasRecentData() {
+			timer.Reset(stallReadTime)
 			return
 		}
-		end()
+		onSilence()
 	})
-	close(set)
-	return silence
+	close(timerSet)
+	return timer
 }
 
-// jitter draws a wait from half of d to twice d: gateways that lost discovery together must
-// not come back to it together.
+// jitter returns a random duration between half of d and twice d, so that gateways that lost
+// discovery together do not return to it together.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(3*d/2) }
 
-// logCall notes how a call for a list went: where a fleet is told late, the waits of its calls
-// say whose turn came when.
+// logCall logs the result of a call for the list. If changes reach a fleet late, the durations of
+// its calls show which gateway was served when.
 func logCall(ctx context.Context, index uint64, took time.Duration, resp *http.Response, err error) {
 	status := 0
 	if resp != nil {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -19,7 +19,7 @@
 // lists collects what discovery tells.
 type lists chan lynxspool.ListKind
 
-func (l lists) Members(kind lynxspool.ListKind, _ MemberList) { l <- kind }
+func (l lists) HandleList(kind lynxspool.ListKind, _ MemberList) { l <- kind }
 
 // A time to come back at is heeded with a little added by chance, never beyond what a list
 // may go unasked, nor with a list beyond half of the clock of notifications; what is no such time
@@ -38,16 +38,16 @@
 		{"", true, 0, 0}, {"NaN", true, 0, 0}, {"2", true, 2 * second, 5 * second / 2}, {"4", true, 3 * second, 3 * second},
 		{"99999999999999999999", true, 3 * second, 3 * second}, {"Inf", true, 3 * second, 3 * second},
 	} {
-		d := &Discovery{within: 10 * time.Second, listed: c.listed}
+		d := &Discovery{maxRetryDelay: 10 * time.Second, haveList: c.listed}
 		before := time.Now()
-		d.rest(c.value)
+		d.applyRetryAfter(c.value)
 		if c.to == 0 {
-			if !d.resting.IsZero() {
+			if !d.retryAt.IsZero() {
 				t.Errorf("%q: rests", c.value)
 			}
 			continue
 		}
-		if wait := d.resting.Sub(before); wait < c.from || wait > c.to+time.Second { // the look at the clock may come late
+		if wait := d.retryAt.Sub(before); wait < c.from || wait > c.to+time.Second { // the look at the clock may come late
 			t.Errorf("%q, with a list %t: rests %v, want %v to %v", c.value, c.listed, wait, c.from, c.to)
 		}
 	}
@@ -141,7 +141,7 @@
 	cfg := &Config{Discovery: ln.Addr().String() + "," + strings.TrimPrefix(well.URL, "http://")}
 	cfg.Settings.WatchHosts = true
 	d := NewDiscovery(cfg)
-	d.answer, d.silence = 50*time.Millisecond, time.Hour
+	d.answerTimeout, d.silenceTimeout = 50*time.Millisecond, time.Hour
 	told := make(lists, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -168,7 +168,7 @@
 	cfg := testConfig()
 	cfg.Settings.WatchHosts, cfg.Discovery = true, host.addr()
 	d := NewDiscovery(cfg)
-	d.silence = 300 * time.Millisecond
+	d.silenceTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	told, done := make(lists, 8), make(chan struct{})
 	go func() {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -124,7 +124,7 @@
 			moved := &fakeDiscovery{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
 			moved.start("127.0.0.84:0")
 			r.t.Cleanup(moved.stop)
-			d.Move(moved.ln.Addr().String())
+			d.SetAddrs(moved.ln.Addr().String())
 			return moved
 		},
 	} {
@@ -145,7 +145,7 @@
 	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = ask, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
-	d.silence = 300 * time.Millisecond
+	d.silenceTimeout = 300 * time.Millisecond
 	g := startWatching(t, cfg, d.Watch)
 	loop := g.loop
 	done := make(chan struct{})
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -35,7 +35,7 @@
 	answer   chan answer // receives the one final answer
 
 	id       lynxspool.RequestID
-	attempts []*try
+	attempts []*attempt
 	inFlight int // attempts that have not ended
 }
 
@@ -63,7 +63,7 @@
 }
 
 // bodyConsumed returns whether part of the body is no longer there, so that it cannot be sent again.
-func (x *exchange) bodyConsumed() bool { return x.upload != nil && x.upload.spent }
+func (x *exchange) bodyConsumed() bool { return x.upload != nil && x.upload.consumed }
 
 // answer is the final answer to a request.
 type answer struct {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -73,7 +73,7 @@
 	go pool.Run(ctx)
 	go loop.Run(ctx)
 	go g.server.Serve(ln)
-	loop.Members(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(lynxspool.ListSaved, cfg.Known)
 	t.Cleanup(func() {
 		g.server.http.Close()
 		cancel()
@@ -112,7 +112,7 @@
 
 func (g *testGateway) openRequests() int {
 	n := make(chan int, 1)
-	g.loop.post(func(lynxspool.Time) { n <- len(g.loop.open) })
+	g.loop.post(func(lynxspool.Time) { n <- len(g.loop.openRequests) })
 	return <-n
 }
 
@@ -285,12 +285,12 @@
 	if status := get(); status != 503 {
 		t.Errorf("with no hosts: status %d", status)
 	}
-	g.loop.Members(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	until(t, "health is good with a host", func() bool { return get() == 200 })
-	g.loop.Members(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
 	until(t, "health is bad with the last host draining", func() bool { return get() == 503 })
 	g.server.stopping.Store(true)
-	g.loop.Members(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
 		t.Errorf("while stopping: status %d", status)
 	}
@@ -305,7 +305,7 @@
 		return Member{ID: id, Addr: h.addr(), State: state}
 	}
 	asks := func(what string, kind lynxspool.ListKind, want *testHost, list ...Member) {
-		g.loop.Members(kind, MemberList{Servers: list})
+		g.loop.HandleList(kind, MemberList{Servers: list})
 		a, _, _ := first.counts()
 		b, _, _ := second.counts()
 		for range 8 {
@@ -350,7 +350,7 @@
 	if off := c.at(at) - started; off < 0 || off >= time.Millisecond {
 		t.Errorf("a host started 3 s ago is %v off", off)
 	}
-	if got := c.time(c.at(at)); !got.Equal(at) {
+	if got := c.timeOf(c.at(at)); !got.Equal(at) {
 		t.Errorf("%v became %v", at, got)
 	}
 }
@@ -449,7 +449,7 @@
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	g := startGateway(t, cfg)
 	d := NewDiscovery(cfg)
-	d.silence = 50 * time.Millisecond
+	d.silenceTimeout = 50 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.Run(ctx, g.loop)
@@ -478,7 +478,7 @@
 	disco := newWatchServer(t)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	d := NewDiscovery(cfg)
-	d.silence = 300 * time.Millisecond
+	d.silenceTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	told := make(lists, 8)
@@ -592,7 +592,7 @@
 	if resp, _ := g.ask("haul", "/api/1", "b"); resp.StatusCode != 400 {
 		t.Errorf("status %d for a class yet to come", resp.StatusCode)
 	}
-	g.loop.Retune(&next)
+	g.loop.UpdateRules(&next)
 	g.loop.Sync()
 	if resp, _ := g.ask("book", "/api/1", "b"); resp.StatusCode != 400 {
 		t.Errorf("status %d for a class that is gone", resp.StatusCode)
@@ -619,7 +619,7 @@
 		if err := x.resolve(&g.cfg.Rules); err != nil {
 			t.Fatal(err)
 		}
-		g.loop.Retune(&next)
+		g.loop.UpdateRules(&next)
 		g.loop.Submit(x)
 		select {
 		case a := <-x.answer:
@@ -645,12 +645,12 @@
 			return false
 		}
 	}
-	g.loop.Members(lynxspool.ListFailed, MemberList{})
+	g.loop.HandleList(lynxspool.ListFailed, MemberList{})
 	if heard() {
 		t.Error("the list of the file, or a failed call, counts as heard")
 	}
-	g.loop.Members(lynxspool.ListChanges, MemberList{})
-	g.loop.Members(lynxspool.ListChanges, MemberList{})
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{})
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{})
 	if !heard() {
 		t.Error("a list from discovery does not count as heard")
 	}
@@ -675,7 +675,7 @@
 	told []uint64
 }
 
-func (v *versions) Members(kind lynxspool.ListKind, l MemberList) {
+func (v *versions) HandleList(kind lynxspool.ListKind, l MemberList) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.told = append(v.told, l.Version)
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -40,7 +40,7 @@
 		}
 		until(t, name+": those who left are forgotten", func() bool { return g.openRequests() == 1 })
 		cfg.Known.Servers[0].State = "ready"
-		g.loop.Members(lynxspool.ListFull, cfg.Known)
+		g.loop.HandleList(lynxspool.ListFull, cfg.Known)
 		if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%s: who stayed got %v, %v", name, resp, err)
 		}
@@ -67,7 +67,7 @@
 	until(t, "the client is known to have left", func() bool {
 		g.loop.post(func(lynxspool.Time) {
 			over := true
-			for _, e := range g.loop.open {
+			for _, e := range g.loop.openRequests {
 				over = over && e.finished.Load()
 			}
 			x <- over
@@ -163,7 +163,7 @@
 		return there == 1
 	})
 	cfg.Known.Servers[0].State = "ready"
-	g.loop.Members(lynxspool.ListFull, cfg.Known)
+	g.loop.HandleList(lynxspool.ListFull, cfg.Known)
 	if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("who stayed got %v, %v", resp, err)
 	}
--- a/internal/gateway/heldup.go
+++ b/internal/gateway/heldup.go
@@ -10,8 +10,8 @@
 // which timers wait until what has arrived meanwhile has been read.
 type processStall struct {
 	since    time.Time
-	until    time.Time // timers wait at least until then
-	attempts []*try    // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
+	until    time.Time  // timers wait at least until then
+	attempts []*attempt // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
 }
 
 // deferTimers returns whether timers have to wait, since one of them is later than stallThreshold.
@@ -37,11 +37,11 @@
 
 // attemptsWithAnswer returns the attempts whose answer has arrived and whose end the loop has not
 // handled yet.
-func (l *Loop) attemptsWithAnswer() (attempts []*try) {
-	for _, x := range l.open {
-		for _, t := range x.attempts {
-			if !t.ended && t.answerCame() {
-				attempts = append(attempts, t)
+func (l *Loop) attemptsWithAnswer() (attempts []*attempt) {
+	for _, x := range l.openRequests {
+		for _, att := range x.attempts {
+			if !att.ended && att.answerArrived() {
+				attempts = append(attempts, att)
 			}
 		}
 	}
@@ -50,8 +50,8 @@
 
 // awaitsAttempt returns whether the end of one of the attempts has not been handled yet.
 func (s *processStall) awaitsAttempt() bool {
-	for _, t := range s.attempts {
-		if !t.ended {
+	for _, att := range s.attempts {
+		if !att.ended {
 			return true
 		}
 	}
@@ -60,7 +60,7 @@
 
 // untilNextTimer returns how long it is until the next timer fires.
 func (l *Loop) untilNextTimer() time.Duration {
-	next := time.Until(l.clock.time(l.timers[0].at))
+	next := time.Until(l.clock.timeOf(l.timers[0].at))
 	if l.stall != nil {
 		next = max(next, time.Until(l.stall.until))
 	}
--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -145,13 +145,13 @@
 // pooled is a host as the loop keeps it.
 func pooled(p *Pool, addr string) *host {
 	h := &host{id: "s-1"}
-	p.update(h, addr, 0, true)
+	p.updateHost(h, addr, 0, true)
 	return h
 }
 
 // newTry is an attempt that no loop follows.
-func newTry() *try {
-	return &try{cancel: func(error) {}, whole: func() {}, begun: func() {}, from: time.Now()}
+func newTry() *attempt {
+	return &attempt{cancel: func(error) {}, onUploadComplete: func() {}, onResponseStarted: func() {}, chargedFrom: time.Now()}
 }
 
 func newExchange(body string) *exchange {
@@ -168,13 +168,13 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return p.attempt(ctx, h, x, newTry())
+	return p.runAttempt(ctx, h, x, newTry())
 }
 
 func (p *Pool) counts(h *host) (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open, len(p.idle[h])
+	return p.openConns, len(p.idle[h])
 }
 
 // What a host answers decides whether the request may have run: a wrong result here
@@ -200,7 +200,7 @@
 		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
 		{"longer than announced", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\ngood", lynxspool.Failed, 0},
 		{"too long a failure", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), lynxspool.Failed, 0},
-		{"head without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHead), lynxspool.Failed, 0},
+		{"head without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), lynxspool.Failed, 0},
 		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
 		{"no status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
 		{"no header", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
@@ -334,7 +334,7 @@
 		if c.cause != nil {
 			time.AfterFunc(min(c.request, patience/100), func() { cancel(c.cause) })
 		}
-		if got, _ := p.attempt(ctx, h, x, newTry()); got != c.want {
+		if got, _ := p.runAttempt(ctx, h, x, newTry()); got != c.want {
 			t.Errorf("%s: result %v, want %v", name, got, c.want)
 		}
 		cancel(nil)
@@ -374,7 +374,7 @@
 	p := newTestPool()
 	p.dialer.Control = small(syscall.SO_SNDBUF)
 	h := pooled(p, ln.Addr().String())
-	if got, _ := tryOnce(t, p, h, newExchange(strings.Repeat("x", 4*maxSmall))); got != lynxspool.ConnectFailed {
+	if got, _ := tryOnce(t, p, h, newExchange(strings.Repeat("x", 4*maxBufferedBytes))); got != lynxspool.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 }
@@ -502,7 +502,7 @@
 	if open, idle := p.counts(h); open != 2 || idle != 2 {
 		t.Errorf("%d connections open and %d idle, want the two dialled", open, idle)
 	}
-	p.maxIdle = 0
+	p.maxIdleTime = 0
 	p.sweep()
 	if open, _ := p.counts(h); open != 0 {
 		t.Errorf("%d connections open, all had been idle too long", open)
@@ -512,9 +512,9 @@
 // A restarted, moved or drained host gets none of its old connections' requests.
 func TestIdleConnectionsEndWithTheHost(t *testing.T) {
 	for name, change := range map[string]func(p *Pool, h *host){
-		"restarted": func(p *Pool, h *host) { p.update(h, h.addr, 1, true) },
-		"moved":     func(p *Pool, h *host) { p.update(h, "127.0.0.1:1", 0, true) },
-		"draining":  func(p *Pool, h *host) { p.update(h, h.addr, 0, false) },
+		"restarted": func(p *Pool, h *host) { p.updateHost(h, h.addr, 1, true) },
+		"moved":     func(p *Pool, h *host) { p.updateHost(h, "127.0.0.1:1", 0, true) },
+		"draining":  func(p *Pool, h *host) { p.updateHost(h, h.addr, 0, false) },
 	} {
 		p, server := newTestPool(), newHost(t, says(good))
 		h := pooled(p, server.addr())
@@ -556,7 +556,7 @@
 				cancel()
 			}()
 		}
-		got, _ := p.attempt(ctx, h, newExchange("b"), newTry())
+		got, _ := p.runAttempt(ctx, h, newExchange("b"), newTry())
 		requests, _, _ := server.counts()
 		want := tt.want
 		if requests == 0 {
@@ -601,7 +601,7 @@
 		go func() {
 			x := newExchange("b")
 			x.uri = "/hang"
-			got, _ := p.attempt(ctx, h, x, newTry())
+			got, _ := p.runAttempt(ctx, h, x, newTry())
 			done <- got
 		}()
 		until(t, "the host has the request", func() bool {
@@ -628,7 +628,7 @@
 // The list may change, or the request end, while a dial is on: nothing goes out then.
 func TestLookAgainBeforeTheWrite(t *testing.T) {
 	for name, change := range map[string]func(p *Pool, h *host, x *exchange){
-		"drain during a dial": func(p *Pool, h *host, _ *exchange) { p.update(h, h.addr, 0, false) },
+		"drain during a dial": func(p *Pool, h *host, _ *exchange) { p.updateHost(h, h.addr, 0, false) },
 		"over during a dial":  func(_ *Pool, _ *host, x *exchange) { x.claimAnswer() },
 	} {
 		p, server := newTestPool(), newHost(t, says(good))
@@ -686,13 +686,13 @@
 // attempt is not sent, which proves that it did not run.
 func TestConnectionBudget(t *testing.T) {
 	p, first, second := newTestPool(), newHost(t, says(good)), newHost(t, hang)
-	p.budget = 1
+	p.connBudget = 1
 	a, b := pooled(p, first.addr()), pooled(p, second.addr())
 	tryOnce(t, p, a, newExchange("b"))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan lynxspool.Result, 1)
 	go func() {
-		got, _ := p.attempt(ctx, b, newExchange("b"), newTry())
+		got, _ := p.runAttempt(ctx, b, newExchange("b"), newTry())
 		done <- got
 	}()
 	until(t, "the second host gets its request", func() bool {
@@ -713,7 +713,7 @@
 // beyond the smaller part is closed.
 func TestConnectionsWhileProcessesOverlap(t *testing.T) {
 	p, server := newTestPool(), newHost(t, says(good))
-	p.limit, p.budget = 4, 4
+	p.maxConns, p.connBudget = 4, 4
 	h := pooled(p, server.addr())
 	var conns []*conn
 	get := func() (err error) {
@@ -731,15 +731,15 @@
 	for _, c := range conns[:3] {
 		p.put(c)
 	}
-	p.Overlap(true)
+	p.SetOverlap(true)
 	if open, idle := p.counts(h); open != 2 || idle != 1 {
 		t.Errorf("%d connections open, %d idle; want 2 and 1", open, idle)
 	}
 	get()
-	if err := get(); err != errNoSockets {
+	if err := get(); err != errTooManyConns {
 		t.Errorf("a third connection: %v", err)
 	}
-	p.Overlap(false)
+	p.SetOverlap(false)
 	if err := get(); err != nil {
 		t.Errorf("alone again: %v", err)
 	}
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// News is what tells the pool of changes of the list; a Discovery is one.
-type News interface {
-	// Overdue says whether something has been written that should be in force by now.
-	Overdue() bool
+// UpdateSource receives changes of the list of hosts. Discovery implements it.
+type UpdateSource interface {
+	// UpdateOverdue returns whether a change has been written that should be in force by now.
+	UpdateOverdue() bool
 }
 
-// Await has attempts wait until what news has written is in force: a change counts as notified from
-// when it was written.
-func (p *Pool) Await(news News) { p.news = news }
+// SetUpdateSource makes attempts wait until the changes that were written to source are in force: a
+// change counts as notified from when it was written.
+func (p *Pool) SetUpdateSource(source UpdateSource) { p.updateSource = source }
 
-// heedNews waits until what discovery has written is in force, if that is overdue, or the attempt is
-// given up: its reader is at work as soon as the process runs.
-func (p *Pool) heedNews(ctx context.Context) {
-	for p.news != nil && p.news.Overdue() && ctx.Err() == nil {
+// awaitOverdueUpdate waits until the overdue changes of the list are in force or the attempt is
+// given up. That takes little time, as their reader runs as soon as the process does.
+func (p *Pool) awaitOverdueUpdate(ctx context.Context) {
+	for p.updateSource != nil && p.updateSource.UpdateOverdue() && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/notification_clock_test.go
+++ b/internal/gateway/notification_clock_test.go
@@ -320,7 +320,7 @@
 	d := NewDiscovery(cfg)
 	d.client.Transport = &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, watchDial)
+			ctx, cancel := context.WithTimeout(ctx, watchDialTimeout)
 			defer cancel()
 			return n.dial(ctx, network, addr)
 		}}
@@ -329,7 +329,7 @@
 		t.Fatal(err)
 	}
 	go loop.Run(ctx)
-	loop.Members(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(lynxspool.ListSaved, cfg.Known)
 	go d.Run(ctx, loop)
 	return &bubbleGateway{cfg, loop, d}
 }
@@ -498,7 +498,7 @@
 			moved := newBubbleDiscovery(d.net, "elsewhere:80", d.hosts)
 			moved.version = 7 // it counts by itself
 			moved.will(callUnanswered)
-			g.d.Move(moved.addr)
+			g.d.SetAddrs(moved.addr)
 			return moved
 		}},
 	{name: "version counted anew", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
@@ -695,7 +695,7 @@
 		defer settle(cancel, disco, moved)
 		moved.will(callBusy)
 		moved.drain("s-0")
-		g.d.Move(moved.addr)
+		g.d.SetAddrs(moved.addr)
 		time.Sleep(1900 * time.Millisecond)
 		if g.usable("s-0") {
 			t.Errorf("not heard at the new address 1.9 s after the move, after %d calls", len(moved.calls))
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -34,9 +34,9 @@
 // Operator serves the operators' address: whether this process is ready to serve, maintenance of
 // hosts, the membership view and the audit.
 type Operator struct {
-	loop   *Loop
-	server *Server
-	bans   *Bans
+	loop        *Loop
+	server      *Server
+	maintenance *MaintenanceStore
 	// Members returns the membership view for GET /members. It is nil while membership is off.
 	Members          func() any
 	propagationDelay time.Duration // wait before a confirmation, until the other process of an upgrade has followed
@@ -50,10 +50,10 @@
 
 // NewOperator returns an Operator. shared says that another process may serve beside this one and
 // has to follow changes of maintenance.
-func NewOperator(loop *Loop, server *Server, bans *Bans, shared bool) *Operator {
-	o := &Operator{loop: loop, server: server, bans: bans}
+func NewOperator(loop *Loop, server *Server, maintenance *MaintenanceStore, shared bool) *Operator {
+	o := &Operator{loop: loop, server: server, maintenance: maintenance}
 	if shared {
-		o.propagationDelay = banSettle
+		o.propagationDelay = maintenancePropagationTime
 	}
 	o.http = http.Server{
 		Handler:        http.HandlerFunc(o.serve), // no ServeMux, which would redirect
@@ -138,10 +138,10 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(o.Members())
-	case !o.loop.known(id):
+	case !o.loop.hostKnown(id):
 		refuse(http.StatusNotFound, errors.New("no such host was ever listed"))
 	default:
-		if err := o.bans.Set(o.loop, id, action == "maint"); err != nil {
+		if err := o.maintenance.Set(o.loop, id, action == "maint"); err != nil {
 			slog.Error("failed to change the maintenance of a host", "host", id, "call", action, "err", err)
 			http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
 			return
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -18,14 +18,14 @@
 // startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
-	bans, err := NewBans(dir)
+	bans, err := NewMaintenanceStore(dir)
 	if err != nil {
 		g.Fatal(err)
 	}
 	return g.startOperatorWith(bans, shared)
 }
 
-func (g *testGateway) startOperatorWith(bans *Bans, shared bool) string {
+func (g *testGateway) startOperatorWith(bans *MaintenanceStore, shared bool) string {
 	g.Helper()
 	o := NewOperator(g.loop, g.server, bans, shared)
 	ln := listen(g.T, "127.0.0.1:0", nil)
@@ -94,7 +94,7 @@
 			t.Errorf("%.40q: status %d, connection ends %v; want %d and an end", tt.text, status, ends, tt.want)
 		}
 	}
-	if g.loop.hosts[hostID("s-1")].banned {
+	if g.loop.hosts[hostID("s-1")].inMaintenance {
 		t.Error("a refused call has been carried out")
 	}
 }
@@ -103,7 +103,7 @@
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, says(good))))
 	g.loop.Sync()
-	bans, _ := NewBans("")
+	bans, _ := NewMaintenanceStore("")
 	o := NewOperator(g.loop, g.server, bans, false)
 	o.http.ReadTimeout = time.Hour // silent callers stay connected, so no answer has waited for their end
 	ln := listen(t, "127.0.0.1:0", nil)
@@ -122,7 +122,7 @@
 		t.Errorf("status %d", status)
 	}
 	g.loop.Sync()
-	if g.loop.hosts[hostID("s-0")].banned {
+	if g.loop.hosts[hostID("s-0")].inMaintenance {
 		t.Error("half a call has been carried out")
 	}
 }
@@ -143,8 +143,8 @@
 	if result, _ := tryOnce(t, g.loop.pool, h, newExchange("b")); result != lynxspool.NotSent {
 		t.Errorf("an attempt ends with %v, want it not sent", result)
 	}
-	g.loop.Members(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
-	g.loop.Members(lynxspool.ListFull, cfg.Known)
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
+	g.loop.HandleList(lynxspool.ListFull, cfg.Known)
 	for range 20 {
 		if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
@@ -172,11 +172,11 @@
 		cfg := testConfig()
 		cfg.Known.Servers = []Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
-		bans, err := NewBans(dir)
+		bans, err := NewMaintenanceStore(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := bans.Look(g.loop); err != nil {
+		if err := bans.Refresh(g.loop); err != nil {
 			t.Fatal(err)
 		}
 		g.loop.Sync()
@@ -199,7 +199,7 @@
 	}
 	until(t, "the old process follows", old.loop.Ready)
 	// A process that starts now knows that the host is cold.
-	entries, err := os.ReadDir(filepath.Join(dir, bansFolder))
+	entries, err := os.ReadDir(filepath.Join(dir, maintenanceDir))
 	if err != nil || len(entries) != 1 || entries[0].Name() != "back-..%2Fs%2F0%25" {
 		t.Errorf("the folder holds %v, %v", entries, err)
 	}
@@ -220,13 +220,13 @@
 		}
 	}
 	want(503, "no host is known")
-	g.loop.Members(lynxspool.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(lynxspool.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
 	g.loop.Sync()
 	want(200, "a host is known")
-	g.loop.maintain("s-0", true)
+	g.loop.setMaintenance("s-0", true)
 	g.loop.Sync()
 	want(503, "the only host is out")
-	g.loop.maintain("s-0", false)
+	g.loop.setMaintenance("s-0", false)
 	g.loop.Sync()
 	g.server.accepting.Store(false)
 	want(503, "it does not accept")
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -15,102 +15,103 @@
 )
 
 const (
-	idleShare  = 0.5 // of the hosts' idle limit that we keep a connection: its end must not cross a request
-	sweepEvery = time.Second
+	idleLimitShare = 0.5 // share of the hosts' idle limit for which a connection is kept: its end must not cross a request
+	sweepInterval  = time.Second
 )
 
-// Pool makes the attempts and keeps the connections to all hosts. http.Transport
-// would not do: it sends requests again by itself and dials more connections than
-// it is asked for. Here an attempt writes its request whole once at most.
+// Pool runs attempts and keeps the connections to all hosts. http.Transport is unsuitable because
+// it resends requests by itself and dials more connections than requested. Here an attempt writes
+// its whole request at most once.
 type Pool struct {
-	dialer  net.Dialer
-	dial    DialFunc // the dialer's, but in tests without sockets
-	maxIdle time.Duration
-	limit   int // connections at most, all hosts together
-	kept    *budget
-	audit   *Audit
-	grace   time.Duration // after which nothing new goes to a server that leaves
-	news    News          // of the list; nil: nobody waits for any
+	dialer       net.Dialer
+	dial         DialFunc // dialer.DialContext, except in tests without sockets
+	maxIdleTime  time.Duration
+	maxConns     int // limit on the connections to all hosts together
+	memory       *memoryBudget
+	audit        *Audit
+	drainGrace   time.Duration // a send to a host that has been unusable for longer violates the audit
+	updateSource UpdateSource  // of the list of hosts; may be nil
 
-	mu     sync.Mutex
-	open   int               // connections, in use, idle and being dialled
-	budget int               // of them; less than limit while another process has its part
-	idle   map[*host][]*conn // the warmest last
+	mu         sync.Mutex
+	openConns  int               // connections in use, idle and being dialled
+	connBudget int               // limit on openConns; below maxConns while another process shares the descriptors
+	idle       map[*host][]*conn // the connection used last is at the end
 }
 
-// host is where attempts go. The loop creates it and updates it through the Pool;
-// Pool.mu guards all but id and usable.
+// host is a host that attempts can be sent to. The loop creates it and updates it through the Pool.
+// Pool.mu guards all fields but id and the atomic ones, and those of the loop.
 type host struct {
-	id      string
-	usable  atomic.Bool               // it takes new requests: not so when draining, gone or banned
-	leftAt  atomic.Pointer[time.Time] // since when it is not usable; nil: it is, or never was
-	ready   bool                      // so the list says
-	banned  bool                      // an operator has taken it out
-	addr    string
-	started int64     // no connection outlives the process it was made to
-	heard   time.Time // last whole answer
+	id            string
+	usable        atomic.Bool               // whether it takes new requests: false while it is draining, gone or in maintenance
+	unusableSince atomic.Pointer[time.Time] // nil if the host is usable, or never was unusable
+	listedReady   bool                      // the list of hosts says that it is ready
+	inMaintenance bool
+	addr          string
+	started       int64     // start time that the list states, in Unix ms; no connection outlives the process that it was made to
+	lastAnswerAt  time.Time // time of the last complete answer
 
-	// Of the loop: when it says that it started, as told and by the module's clock.
+	// Owned by the loop: the start time that the list states, in Unix ms and on the module's clock.
 	startedMS int64
 	startedAt lynxspool.Time
 }
 
-// conn is a connection to a host. It belongs to one attempt or, while idle, to the
-// Pool.
+// conn is a connection to a host. It belongs to one attempt or, while idle, to the Pool.
 type conn struct {
 	net.Conn
-	raw     syscall.RawConn // of Conn; nil where there is none, as in tests without sockets
-	host    *host
-	addr    string
-	started int64
-	reused  bool
-	limit   *io.LimitedReader // guards against an answer without end
-	in      *bufio.Reader
-	idleAt  time.Time
-	since   time.Time // it belongs to the present attempt
+	raw        syscall.RawConn // of Conn; nil if there is no socket, as in some tests
+	host       *host
+	addr       string
+	started    int64
+	reused     bool
+	limited    *io.LimitedReader // limits how much is read of an answer's head
+	reader     *bufio.Reader
+	idleSince  time.Time
+	acquiredAt time.Time // when the present attempt got the connection
 }
 
-// NewPool returns a Pool that keeps to the limits of cfg.
+// NewPool returns a Pool with the limits of cfg.
 func NewPool(cfg *Config) *Pool {
 	p := &Pool{
-		dialer:  net.Dialer{Timeout: cfg.DialTimeout},
-		maxIdle: time.Duration(idleShare * float64(cfg.ConnIdle)),
-		limit:   cfg.Sockets * maxHostConnPercent / 100,
-		budget:  cfg.Sockets * maxHostConnPercent / 100,
-		idle:    map[*host][]*conn{},
-		kept:    newBudget(cfg),
-		audit:   &Audit{},
-		grace:   cfg.Settings.DrainGrace,
+		dialer:      net.Dialer{Timeout: cfg.DialTimeout},
+		maxIdleTime: time.Duration(idleLimitShare * float64(cfg.ConnIdle)),
+		maxConns:    cfg.Sockets * maxHostConnPercent / 100,
+		connBudget:  cfg.Sockets * maxHostConnPercent / 100,
+		idle:        map[*host][]*conn{},
+		memory:      newMemoryBudget(cfg),
+		audit:       &Audit{},
+		drainGrace:  cfg.Settings.DrainGrace,
 	}
-	if p.grace == 0 {
-		p.grace = time.Second
+	if p.drainGrace == 0 {
+		p.drainGrace = time.Second
 	}
 	p.dial = p.dialer.DialContext
 	return p
 }
 
-// DialFunc dials a server.
+// DialFunc connects to a host.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WrapDial puts something round the dialling of servers, before the first attempt.
+// WrapDial replaces the function that connects to hosts by a wrapper of it. It must be called
+// before the first attempt.
 func (p *Pool) WrapDial(wrap func(DialFunc) DialFunc) { p.dial = wrap(p.dial) }
 
-// Overlap says whether another process serves beside this one: the two have the
-// descriptors together. Clients share theirs out by coming to one or the other.
-func (p *Pool) Overlap(on bool) {
+// SetOverlap says whether another process serves beside this one, in which case each uses half of
+// the connections to hosts. The connections of clients need no such limit: each client connects to
+// one process or the other.
+func (p *Pool) SetOverlap(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget = p.limit
+	p.connBudget = p.maxConns
 	if on {
-		p.budget /= 2
+		p.connBudget /= 2
 	}
-	for p.open > p.budget && p.closeColdest() {
+	for p.openConns > p.connBudget && p.closeLongestIdleLocked() {
 	}
 }
 
-// Run closes idle connections that hosts have closed or soon will, until ctx ends.
+// Run closes idle connections that hosts have closed or will close soon, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -122,16 +123,17 @@
 	}
 }
 
+// sweep closes the idle connections that are too old or that the host has closed.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for h, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if time.Since(c.idleAt) < p.maxIdle && c.quiet() {
+			if time.Since(c.idleSince) < p.maxIdleTime && c.quiet() {
 				kept = append(kept, c)
 			} else {
-				p.close(c)
+				p.closeLocked(c)
 			}
 		}
 		clear(list[len(kept):])
@@ -143,12 +145,13 @@
 	}
 }
 
-// update takes over what the list says of a host. Idle connections to one that
-// takes nothing new, that has moved or that was started anew are of no more use.
-func (p *Pool) update(h *host, addr string, started int64, ready bool) {
+// updateHost applies what the list says of a host. It closes the idle connections to a host that
+// takes no new requests, that has another address or that was restarted, as they are of no more
+// use.
+func (p *Pool) updateHost(h *host, addr string, started int64, ready bool) {
 	p.mu.Lock()
-	h.ready = ready
-	usable := ready && !h.banned
+	h.listedReady = ready
+	usable := ready && !h.inMaintenance
 	h.setUsable(usable)
 	stale := !usable || h.addr != addr || h.started != started
 	h.addr, h.started = addr, started
@@ -158,33 +161,33 @@
 	}
 }
 
-// setUsable says whether a host takes new requests, and since when not.
+// setUsable sets whether a host takes new requests, and since when it does not.
 func (h *host) setUsable(usable bool) {
 	if h.usable.Swap(usable); usable {
-		h.leftAt.Store(nil)
-	} else if h.leftAt.Load() == nil {
+		h.unusableSince.Store(nil)
+	} else if h.unusableSince.Load() == nil {
 		now := time.Now()
-		h.leftAt.Store(&now)
+		h.unusableSince.Store(&now)
 	}
 }
 
-// ban takes a host out of use or calls it back. It is started anew meanwhile, so no
-// idle connection outlives the ban.
-func (p *Pool) ban(h *host, out bool) {
+// setMaintenance puts a host into maintenance or ends its maintenance. The host is restarted during
+// maintenance, so that its idle connections are of no more use.
+func (p *Pool) setMaintenance(h *host, on bool) {
 	p.mu.Lock()
-	h.banned = out
-	h.setUsable(h.ready && !out)
+	h.inMaintenance = on
+	h.setUsable(h.listedReady && !on)
 	p.mu.Unlock()
 	p.closeIdle(h)
 }
 
-// unheard follows an attempt that was given up. If the host has answered nothing
-// since, its idle connections may be half-dead: a machine that has vanished leaves
-// them open and silent, and what is written there may have run for all we know. A dial
-// fails soon, which proves that nothing ran.
-func (p *Pool) unheard(h *host, wrote time.Time) {
+// closeIdleIfSilent is called after an attempt was given up that had written its request at wrote.
+// If the host has answered nothing since, its idle connections may be half-open: a machine that has
+// vanished leaves them open and silent, and a request written to one may have run as far as the
+// gateway can tell. A dial fails soon instead, which proves that nothing ran.
+func (p *Pool) closeIdleIfSilent(h *host, wrote time.Time) {
 	p.mu.Lock()
-	silent := h.heard.Before(wrote)
+	silent := h.lastAnswerAt.Before(wrote)
 	p.mu.Unlock()
 	if silent {
 		p.closeIdle(h)
@@ -196,41 +199,41 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[h] {
-		p.close(c)
+		p.closeLocked(c)
 	}
 	delete(p.idle, h)
 }
 
-// close closes a connection; p.mu is held.
-func (p *Pool) close(c *conn) {
+// closeLocked closes a connection. The caller holds p.mu.
+func (p *Pool) closeLocked(c *conn) {
 	c.Conn.Close()
-	p.open--
+	p.openConns--
 }
 
-// drop closes a connection that an attempt is done with.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection that its attempt does not return.
+func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.close(c)
+	p.closeLocked(c)
 }
 
-// put keeps a connection for the next attempt.
+// put makes a connection available to the next attempt, or closes it if its host has changed.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := c.host
 	if !h.usable.Load() || c.addr != h.addr || c.started != h.started {
-		p.close(c)
+		p.closeLocked(c)
 		return
 	}
-	c.reused, c.idleAt = true, time.Now()
+	c.reused, c.idleSince = true, time.Now()
 	p.idle[h] = append(p.idle[h], c)
 }
 
-var errNoSockets = errors.New("gateway: too many connections to hosts")
+var errTooManyConns = errors.New("gateway: too many connections to hosts")
 
-// get returns the warmest idle connection to a host, or dials one. The dial is
-// counted before it is made, so that the budget holds.
+// get returns the idle connection to a host that was used last, or dials a new one. A dial is
+// counted before it begins, so that it cannot exceed the budget.
 func (p *Pool) get(ctx context.Context, h *host) (*conn, error) {
 	p.mu.Lock()
 	for list := p.idle[h]; len(list) > 0; list = p.idle[h] {
@@ -238,50 +241,50 @@
 		p.idle[h] = list[:len(list)-1]
 		if c.quiet() {
 			p.mu.Unlock()
-			c.since = time.Now()
+			c.acquiredAt = time.Now()
 			return c, nil
 		}
-		p.close(c)
+		p.closeLocked(c)
 	}
-	if p.open >= p.budget && !p.closeColdest() {
+	if p.openConns >= p.connBudget && !p.closeLongestIdleLocked() {
 		p.mu.Unlock()
-		return nil, errNoSockets
+		return nil, errTooManyConns
 	}
-	p.open++
+	p.openConns++
 	c := &conn{host: h, addr: h.addr, started: h.started}
 	p.mu.Unlock()
-	nc, err := p.dial(ctx, "tcp", c.addr)
+	netConn, err := p.dial(ctx, "tcp", c.addr)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		return nil, err
 	}
-	c.Conn, c.raw, c.since = nc, rawConn(nc), time.Now()
-	c.limit = &io.LimitedReader{R: nc}
-	c.in = bufio.NewReader(c.limit)
+	c.Conn, c.raw, c.acquiredAt = netConn, rawConn(netConn), time.Now()
+	c.limited = &io.LimitedReader{R: netConn}
+	c.reader = bufio.NewReader(c.limited)
 	return c, nil
 }
 
-// closeColdest makes room by closing the connection that was idle longest; p.mu is
-// held.
-func (p *Pool) closeColdest() bool {
-	var coldest *conn
+// closeLongestIdleLocked closes the connection that has been idle for longest, and returns false if
+// none is idle. The caller holds p.mu.
+func (p *Pool) closeLongestIdleLocked() bool {
+	var longestIdle *conn
 	for _, list := range p.idle {
-		if len(list) > 0 && (coldest == nil || list[0].idleAt.Before(coldest.idleAt)) {
-			coldest = list[0]
+		if len(list) > 0 && (longestIdle == nil || list[0].idleSince.Before(longestIdle.idleSince)) {
+			longestIdle = list[0]
 		}
 	}
-	if coldest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	p.idle[coldest.host] = p.idle[coldest.host][1:]
-	p.close(coldest)
+	p.idle[longestIdle.host] = p.idle[longestIdle.host][1:]
+	p.closeLocked(longestIdle)
 	return true
 }
 
-// quiet says whether an idle connection is open with nothing to read: one that the
-// host has closed, or on which it said something unasked, carries no request.
+// quiet returns whether a connection is open with nothing to read. An idle connection that the host
+// has closed, or on which it has sent something unrequested, must not carry a request.
 func (c *conn) quiet() bool {
 	if c.raw == nil {
 		return false
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -12,94 +12,94 @@
 )
 
 const (
-	maxRoster = 20_000  // hosts of a list that a peer gives
-	farAhead  = 1 << 20 // a version so far beyond ours is not believed of a peer
+	maxPeerListHosts = 20_000  // limit on the hosts of a list from a peer
+	maxVersionLead   = 1 << 20 // a list from a peer is refused if its version is further ahead of ours
 )
 
-// Roster stands between discovery and the loop and keeps the list of hosts as it is, to be
-// shared with peers. A gateway that has none serves on a peer's until discovery confirms or
-// replaces it; one that has its own keeps that.
+// Roster passes lists from discovery to the loop and keeps the present list of hosts, which it
+// shares with peers. A gateway without a list uses one from a peer until discovery confirms or
+// replaces it; a gateway with its own list keeps that.
 type Roster struct {
-	loop Lister
+	loop ListHandler
 
-	mu      sync.Mutex
-	version uint64
-	hosts   map[string]Member
-	own     bool // the list is from discovery or was known at the start, else a peer's
-	offer   []byte
+	mu            sync.Mutex
+	version       uint64
+	hosts         map[string]Member
+	authoritative bool   // the list is from discovery or was known at the start, not from a peer
+	encoded       []byte // the list in JSON; nil if not encoded yet
 }
 
-// NewRoster returns a Roster that begins with the known list and tells loop of changes.
-func NewRoster(known MemberList, loop Lister) *Roster {
+// NewRoster returns a Roster that starts from the known list and passes changes to loop.
+func NewRoster(known MemberList, loop ListHandler) *Roster {
 	r := &Roster{loop: loop, hosts: map[string]Member{}}
 	if len(known.Servers) > 0 {
-		r.own = true
+		r.authoritative = true
 		r.merge(lynxspool.ListFull, known)
 	}
 	return r
 }
 
-// Members takes what discovery tells, and passes it on.
-func (r *Roster) Members(kind lynxspool.ListKind, list MemberList) {
+// HandleList applies a list from discovery, or changes of it, and passes it on.
+func (r *Roster) HandleList(kind lynxspool.ListKind, list MemberList) {
 	if !kind.IsLoss() {
 		r.mu.Lock()
-		if !r.own {
-			r.hosts = map[string]Member{} // a peer's list is a hint that discovery ends
+		if !r.authoritative {
+			r.hosts = map[string]Member{} // a peer's list counts only until discovery sends one
 		}
-		r.own = true
+		r.authoritative = true
 		r.merge(kind, list)
 		r.mu.Unlock()
 	}
-	r.loop.Members(kind, list)
+	r.loop.HandleList(kind, list)
 }
 
-// merge enters a list; r.mu is held, or r not yet shared.
+// merge applies a list. The caller holds r.mu, or r is not shared yet.
 func (r *Roster) merge(kind lynxspool.ListKind, list MemberList) {
 	if kind == lynxspool.ListFull {
 		r.hosts = make(map[string]Member, len(list.Servers))
 	}
 	for _, m := range list.Servers {
-		if m.state() == lynxspool.Removed {
+		if m.hostState() == lynxspool.Removed {
 			delete(r.hosts, m.ID)
 		} else {
 			r.hosts[m.ID] = m
 		}
 	}
-	r.version, r.offer = list.Version, nil
+	r.version, r.encoded = list.Version, nil
 }
 
-// Empty says that there is no list to serve on.
+// Empty returns whether there is no list.
 func (r *Roster) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.hosts) == 0
 }
 
-// Offer returns the list for a peer, or nil with none.
+// Offer returns the encoded list for a peer, or nil if there is none.
 func (r *Roster) Offer() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.offer == nil && len(r.hosts) > 0 {
+	if r.encoded == nil && len(r.hosts) > 0 {
 		list := MemberList{Version: r.version, Full: true}
 		for _, m := range r.hosts {
 			list.Servers = append(list.Servers, m)
 		}
-		r.offer, _ = json.Marshal(list)
+		r.encoded, _ = json.Marshal(list)
 	}
-	return r.offer
+	return r.encoded
 }
 
-var errOwnList = errors.New("its version is far ahead of ours, which is kept")
+var errVersionTooHigh = errors.New("its version is far ahead of ours, which is kept")
 
-// Take is a peer's list. It is passed on as a saved one, which answers no rule on what was
-// told, and only by a gateway with no list of its own. An error says why it is refused.
+// Take accepts a list from a peer if this gateway has no list of its own, and passes it on as a
+// saved list, which does not count as a notification. An error says why the list is refused.
 func (r *Roster) Take(text []byte) error {
 	var list MemberList
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	if len(list.Servers) == 0 || len(list.Servers) > maxRoster {
-		return fmt.Errorf("it has %d hosts, not 1 to %d", len(list.Servers), maxRoster)
+	if len(list.Servers) == 0 || len(list.Servers) > maxPeerListHosts {
+		return fmt.Errorf("it has %d hosts, not 1 to %d", len(list.Servers), maxPeerListHosts)
 	}
 	for _, m := range list.Servers {
 		if _, _, err := net.SplitHostPort(m.Addr); err != nil || m.ID == "" {
@@ -108,14 +108,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.hosts) > 0 && list.Version > r.version+farAhead {
-		return errOwnList
+	if len(r.hosts) > 0 && list.Version > r.version+maxVersionLead {
+		return errVersionTooHigh
 	}
-	if r.own || len(r.hosts) > 0 && list.Version <= r.version {
-		return nil // ours is as good
+	if r.authoritative || len(r.hosts) > 0 && list.Version <= r.version {
+		return nil // ours is not worse
 	}
 	r.merge(lynxspool.ListFull, list)
 	slog.Info("list of hosts taken from a peer until discovery gives one", "version", list.Version, "hosts", len(list.Servers))
-	r.loop.Members(lynxspool.ListSaved, list)
+	r.loop.HandleList(lynxspool.ListSaved, list)
 	return nil
 }
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -16,7 +16,9 @@
 
 type tale []told
 
-func (t *tale) Members(kind lynxspool.ListKind, list MemberList) { *t = append(*t, told{kind, list}) }
+func (t *tale) HandleList(kind lynxspool.ListKind, list MemberList) {
+	*t = append(*t, told{kind, list})
+}
 
 func listOf(version uint64, ids ...string) []byte {
 	l := MemberList{Version: version, Full: true}
@@ -39,7 +41,7 @@
 	}{
 		{[]byte("{"), "unexpected end"}, {listOf(3), "0 hosts"}, {listOf(3, ""), "no id"},
 		{[]byte(`{"version":3,"servers":[{"id":"a","addr":"here"}]}`), "host:port"},
-		{[]byte(`{"version":3,"servers":[` + strings.Repeat(`{},`, maxRoster) + `{}]}`), "not 1 to"},
+		{[]byte(`{"version":3,"servers":[` + strings.Repeat(`{},`, maxPeerListHosts) + `{}]}`), "not 1 to"},
 	} {
 		if err := r.Take(bad.text); err == nil || !strings.Contains(err.Error(), bad.want) {
 			t.Errorf("%.40s: %v, want %q", bad.text, err, bad.want)
@@ -53,15 +55,15 @@
 			t.Fatal(err)
 		}
 	}
-	if r.Take(listOf(8+farAhead+1, "x")) != errOwnList {
+	if r.Take(listOf(8+maxVersionLead+1, "x")) != errVersionTooHigh {
 		t.Error("a version far ahead of the hint is believed")
 	}
-	r.Members(lynxspool.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
-	r.Members(lynxspool.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
+	r.HandleList(lynxspool.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
+	r.HandleList(lynxspool.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
 	if err := r.Take(listOf(9, "a")); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Take(listOf(1<<40, "a")); err != errOwnList {
+	if err := r.Take(listOf(1<<40, "a")); err != errVersionTooHigh {
 		t.Errorf("a version far ahead of discovery's: %v", err)
 	}
 	var kinds []string
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -78,7 +78,7 @@
 		ReadTimeout:       requestTimeout,
 		WriteTimeout:      writeTimeout, // reset when the answer is written
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead, // bounds a connection's share of the memory limit
+		MaxHeaderBytes:    maxHeadBytes, // bounds a connection's share of the memory limit
 
 		DisableGeneralOptionsHandler: true,
 	}
@@ -175,7 +175,7 @@
 	if x.upload != nil {
 		// A body that stops arriving also ends the context, but the goroutine that reads the body
 		// answers that case. The attempt sets x.deadline once it has read the whole body.
-		bodySent, clientGone = x.upload.whole, nil
+		bodySent, clientGone = x.upload.sent, nil
 	}
 	deadline := func() time.Time {
 		if bodySent != nil {
@@ -225,14 +225,14 @@
 		defer a.release()
 	}
 	rc := http.NewResponseController(w)
-	rc.SetWriteDeadline(time.Now().Add(clientStall))
+	rc.SetWriteDeadline(time.Now().Add(clientStallTimeout))
 	bodyUnread := x.upload != nil && !x.upload.stop()
 	if bodyUnread {
 		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
 	}
 	if a.stream != nil {
 		setHeaders(w, a.header, a.stream.length)
-		err := a.stream.pass(w, r)
+		err := a.stream.copyTo(w, r)
 		a.stream.done <- err
 		if err != nil {
 			abort(r, a.stream.length)
@@ -265,7 +265,7 @@
 	if !ok || r.Header.Get("Expect") != "" || rc.Flush() != nil {
 		return
 	}
-	rc.SetReadDeadline(time.Now().Add(drainTime))
+	rc.SetReadDeadline(time.Now().Add(bodyDrainTime))
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		io.Copy(io.Discard, c.Conn) // the framing of the body is broken, or reading it was stopped
 	}
@@ -339,34 +339,34 @@
 
 // readBody reads a body that is to be kept, and prepares any other one to be streamed to a host.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) (int, error) {
-	if r.ContentLength > maxBody {
-		return http.StatusRequestEntityTooLarge, errTooLong
+	if r.ContentLength > maxBodyBytes {
+		return http.StatusRequestEntityTooLarge, errBodyTooLong
 	}
 	rc := http.NewResponseController(w)
 	rc.EnableFullDuplex() // otherwise an early answer would wait for the body
-	body := &clientBody{body: r.Body, rc: rc, start: startedAt}
-	size := maxSmall
+	body := &clientBody{body: r.Body, rc: rc, startedAt: startedAt}
+	size := maxBufferedBytes
 	if r.ContentLength > 0 {
-		size = int(min(r.ContentLength, maxSmall))
+		size = int(min(r.ContentLength, maxBufferedBytes))
 	}
-	if r.ContentLength > maxSmall || !s.loop.pool.kept.take(size) {
-		x.upload = &upload{clientBody: body, length: r.ContentLength, whole: make(chan struct{})}
-		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.kept.take(maxAhead) {
-			c.setReadBuffer(maxAhead)
-			x.releaseBody = func() { s.loop.pool.kept.give(maxAhead) }
+	if r.ContentLength > maxBufferedBytes || !s.loop.pool.memory.acquire(size) {
+		x.upload = &upload{clientBody: body, length: r.ContentLength, sent: make(chan struct{})}
+		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.memory.acquire(readAheadBytes) {
+			c.setReadBuffer(readAheadBytes)
+			x.releaseBody = func() { s.loop.pool.memory.release(readAheadBytes) }
 		}
 		return 0, nil
 	}
-	x.releaseBody = func() { s.loop.pool.kept.give(size) }
+	x.releaseBody = func() { s.loop.pool.memory.release(size) }
 	s.setReadingBody(r, true)
-	text, err := io.ReadAll(io.LimitReader(body, maxSmall+1))
+	text, err := io.ReadAll(io.LimitReader(body, maxBufferedBytes+1))
 	if stillOpen := s.setReadingBody(r, false); err != nil || !stillOpen {
 		x.releaseBody()
 		return http.StatusBadRequest, errors.New("the body did not arrive")
 	}
 	x.body = text
-	if len(text) > maxSmall {
-		x.upload = &upload{clientBody: body, length: -1, whole: make(chan struct{})}
+	if len(text) > maxBufferedBytes {
+		x.upload = &upload{clientBody: body, length: -1, sent: make(chan struct{})}
 	}
 	return 0, nil
 }
@@ -420,7 +420,7 @@
 		status, text = http.StatusServiceUnavailable, "turned away, trying again is harmless"
 	case answerRejected:
 		status, text = http.StatusBadRequest, a.err.Error()
-		if errors.Is(a.err, errTooLong) {
+		if errors.Is(a.err, errBodyTooLong) {
 			status = http.StatusRequestEntityTooLarge
 		}
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -26,14 +26,14 @@
 // as long as a request on them can be answered in time, since closing one may cross a request.
 func (s *Server) Shutdown() {
 	now := time.Now()
-	maxDeadline := min(s.loop.rules.Load().longest(), maxShutdownDeadline)
+	maxDeadline := min(s.loop.rules.Load().longestDeadline(), maxShutdownDeadline)
 	s.finalAnswerAt = now.Add(killDelay + maxDeadline - finalAnswerMargin)
 	s.stopping.Store(true)
 	close(s.shutdownStarted)
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	if s.cfg.AcceptFD != 0 {
-		s.loop.pool.Overlap(true)
+		s.loop.pool.SetOverlap(true)
 		if ln := s.ln.Load(); ln != nil {
 			(*ln).Close()
 		}
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -46,7 +46,7 @@
 			for rank := range count {
 				peers = append(peers, lynxspool.Peer{Rank: rank, Rate: 20})
 			}
-			if p := g.loop.Peers(peers); p.Live != count || p.Draws == 0 {
+			if p := g.loop.UpdatePeers(peers); p.Live != count || p.Draws == 0 {
 				t.Errorf("asked for %t: the place in the fleet is %+v", ask, p)
 			}
 			if n := countServed(200); n != 200 {
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -41,14 +41,14 @@
 	fleetTraffic([]*bubbleGateway{g}, stop)
 	time.Sleep(5 * time.Second)
 	g.loop.post(func(lynxspool.Time) {
-		g.loop.wall = func() time.Time { return time.Now().Add(step) }
+		g.loop.wallClock = func() time.Time { return time.Now().Add(step) }
 	})
 	began := time.Now()
 	started := began
 	if all {
 		started = began.Add(step)
 	}
-	g.loop.Members(lynxspool.ListChanges, MemberList{Version: 60, Servers: []Member{
+	g.loop.HandleList(lynxspool.ListChanges, MemberList{Version: 60, Servers: []Member{
 		{ID: hosts[0].id, Addr: hosts[0].addr, State: "ready", StartedMS: started.UnixMilli()}}})
 	time.Sleep(warmAfter + 10*time.Second)
 	// At 40 requests a second a warm host gets half of them.
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// watchConn is a connection to discovery that knows whether what came on it is in force. Its reader
-// asks for more only once all whole lists have gone to the loop.
+// watchConn is a connection to discovery that knows whether the data read from it is in force. Its
+// reader reads more only after all whole lists have been passed to the loop.
 type watchConn struct {
 	net.Conn
-	raw     syscall.RawConn // of Conn; nil where there is none, as in tests without sockets
-	reader  connReader
-	look    func(fd uintptr) // of overdue
-	inForce func()           // returns once all that has gone to the loop is in force
+	raw        syscall.RawConn // of Conn; nil if there is no socket, as in some tests
+	reader     connReader
+	checkDelay func(fd uintptr) // argument of raw.Control in updateOverdue; sets unreadDelayed
+	syncLists  func()           // returns once everything that was passed to the loop is in force
 
-	mu     sync.Mutex
-	late   int       // reads of what had waited for long
-	heeded int       // ... of which all is in force
-	readAt time.Time // something was read last
-	closed bool
-	waited bool // what look has found
+	mu            sync.Mutex
+	delayedReads  int       // reads of data that had been unread for stallThreshold
+	appliedReads  int       // the value of delayedReads up to which all data is in force
+	lastReadAt    time.Time // when data was last read
+	closed        bool
+	unreadDelayed bool // result of checkDelay
 }
 
-func newWatchConn(c net.Conn, inForce func()) *watchConn {
-	w := &watchConn{Conn: c, raw: rawConn(c), inForce: inForce}
+func newWatchConn(c net.Conn, syncLists func()) *watchConn {
+	w := &watchConn{Conn: c, raw: rawConn(c), syncLists: syncLists}
 	w.reader.init(w.raw, w.readNow)
-	w.look = func(fd uintptr) { w.waited = waitedLong(int(fd)) }
+	w.checkDelay = func(fd uintptr) { w.unreadDelayed = hasDelayedData(int(fd)) }
 	return w
 }
 
-// Read reads what has come.
+// Read reads data as it arrives.
 func (c *watchConn) Read(p []byte) (int, error) {
 	if c.raw == nil {
 		return c.Conn.Read(p)
@@ -51,40 +51,42 @@
 	return n, nil
 }
 
-// readNow reads what there is, and looks how long that has waited in one step under c.mu.
+// readNow reads the available data and checks how long it has been unread, in one step under c.mu.
 func (c *watchConn) readNow(fd int, p []byte, _ *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	waited := waitedLong(fd)
+	delayed := hasDelayedData(fd)
 	n, err = retryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
 	if err == syscall.EAGAIN {
-		c.handedOn()
+		c.noteHandedOn()
 		return 0, false, nil
 	}
 	if n > 0 {
-		c.readAt = time.Now()
+		c.lastReadAt = time.Now()
 	}
-	if waited && n > 0 {
-		c.late++
+	if delayed && n > 0 {
+		c.delayedReads++
 	}
 	return n, true, err
 }
 
-// handedOn notes that all that was read has gone to the loop; c.mu is held.
-func (c *watchConn) handedOn() {
-	if c.late == c.heeded {
+// noteHandedOn records that all data read so far has been passed to the loop. The caller holds
+// c.mu.
+func (c *watchConn) noteHandedOn() {
+	if c.delayedReads == c.appliedReads {
 		return
 	}
-	late := c.late
+	delayed := c.delayedReads
 	go func() { // the reader must not wait for the loop
-		c.inForce()
+		c.syncLists()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.heeded = late
+		c.appliedReads = delayed
 	}()
 }
 
-// Close ends the connection; what it brought and nobody read is lost, so nothing waits for it.
+// Close closes the connection. Unread data on it is lost, so that nothing waits for it to be in
+// force.
 func (c *watchConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -92,41 +94,43 @@
 	return c.Conn.Close()
 }
 
-// overdue says whether something has come long ago that is not in force yet.
-func (c *watchConn) overdue() bool {
+// updateOverdue returns whether data that arrived stallThreshold ago or earlier is not in force
+// yet.
+func (c *watchConn) updateOverdue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.raw == nil || c.closed {
 		return false
 	}
-	if c.late > c.heeded {
+	if c.delayedReads > c.appliedReads {
 		return true
 	}
-	c.waited = false
-	c.raw.Control(c.look) // an error is that of a closed connection
-	return c.waited
+	c.unreadDelayed = false
+	c.raw.Control(c.checkDelay) // fails only if the connection is closed
+	return c.unreadDelayed
 }
 
-// hasNews says whether something has come that nobody has read, or that was read just now.
-func (c *watchConn) hasNews() (unread bool) {
+// hasRecentData returns whether there is unread data, or data was read less than stallThreshold
+// ago.
+func (c *watchConn) hasRecentData() (unread bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.raw == nil {
 		return false
 	}
-	if time.Since(c.readAt) < stallThreshold {
+	if time.Since(c.lastReadAt) < stallThreshold {
 		return true
 	}
-	c.raw.Control(func(fd uintptr) { // an error is that of a closed connection
+	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
 		n, ok := unreadBytes(int(fd))
 		unread = ok && n > 0
 	})
 	return unread
 }
 
-// waitedLong says whether what waits to be read came longer ago than a process takes that is not
-// held up.
-func waitedLong(fd int) bool {
+// hasDelayedData returns whether unread data arrived so long ago that the process must have been
+// stalled.
+func hasDelayedData(fd int) bool {
 	if n, ok := unreadBytes(fd); !ok || n == 0 {
 		return false
 	}
