--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -14,7 +14,7 @@
 // A failed accept costs one connection and does not end service: whatever the error, once or
 // repeatedly, the listeners of clients and operators keep accepting.
 func TestFailedAcceptsDoNotEndService(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	cfg := testConfig(host)
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := NewPool(cfg)
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -61,10 +61,10 @@
 					return true // the second gets no answer
 				}
 				time.Sleep(busy)
-				return says(good)(c, r, n)
+				return answerWith(okAnswer)(c, r, n)
 			})
 			g := startGateway(t, testConfig(host))
-			c := g.openConn(timedRequest("GET", "first", patience, 0))
+			c := g.openConn(timedRequest("GET", "first", waitTimeout, 0))
 			<-seen
 			second := timedRequest("GET", "second", timeout, 0)
 			for i := range pieces {
@@ -137,7 +137,7 @@
 				io.Copy(io.Discard, c) // no answer
 			}()
 			g := startGateway(t, testConfig(&testHost{Listener: ln}))
-			body := text(5 << 20)
+			body := testBytes(5 << 20)
 			c := g.openConn(timedRequest("POST", "long", timeout, len(body)))
 			if _, err := c.Write(body); err != nil {
 				t.Fatal(err)
@@ -155,9 +155,9 @@
 // takes longer than that.
 func TestSlowUploadKeepsItsTime(t *testing.T) {
 	const timeout = 700 * time.Millisecond
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
-	body := text(maxBufferedBytes + 30<<10)
+	body := testBytes(maxBufferedBytes + 30<<10)
 	c := g.openConn(timedRequest("POST", "slow", timeout, len(body)))
 	for i := range 5 {
 		time.Sleep(300 * time.Millisecond)
@@ -184,7 +184,7 @@
 	}()
 	g := startGateway(t, testConfig(&testHost{Listener: ln}))
 	c := g.openConn(chunkedRequest("long", timeout))
-	writeChunks(t, c, text(5<<20))
+	writeChunks(t, c, testBytes(5<<20))
 	sent := time.Now()
 	readAnswer(t, bufio.NewReader(c))
 	if took := time.Since(sent); took > timeout+answerSlack {
@@ -213,7 +213,7 @@
 // the way: its client cannot have written the last byte before most of it was read.
 func TestLongBodyToSlowHostKeepsItsTime(t *testing.T) {
 	const timeout = 4 * time.Second
-	body := text(maxBodyBytes)
+	body := testBytes(maxBodyBytes)
 	for name, write := range map[string]func(net.Conn){
 		"length": func(c net.Conn) { c.Write(body) },
 		"chunks": func(c net.Conn) { writeChunks(t, c, body) },
@@ -252,7 +252,7 @@
 	seen := make(chan receivedRequest, 1)
 	host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
 		seen <- newReceivedRequest(r)
-		return says(good)(c, r, n)
+		return answerWith(okAnswer)(c, r, n)
 	})
 	ln := listen(t, "127.0.0.1:0", nil)
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -299,7 +299,7 @@
 	seen := make(chan receivedRequest, 1)
 	host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
 		seen <- newReceivedRequest(r)
-		return says(good)(c, r, n)
+		return answerWith(okAnswer)(c, r, n)
 	})
 	cfg := testConfig(host)
 	cfg.Sockets = 64
@@ -431,8 +431,8 @@
 // arrived, not until the loop handled the end of the attempt, which was 0.5 s more.
 func TestHostIsChargedUntilAnswerArrived(t *testing.T) {
 	const delay = 500 * time.Millisecond
-	for name, answer := range map[string]string{"served": good, "an error": errored} {
-		host := newHost(t, says(answer))
+	for name, answer := range map[string]string{"served": okAnswer, "an error": errorAnswer} {
+		host := newHost(t, answerWith(answer))
 		p := newTestPool()
 		p.WrapDial(func(dial DialFunc) DialFunc {
 			return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -443,8 +443,8 @@
 				return delayedConn{c.(*net.TCPConn), delay}, nil
 			}
 		})
-		attempt := newTry()
-		p.runAttempt(t.Context(), pooled(p, host.addr()), newExchange("b"), attempt)
+		attempt := newAttempt()
+		p.runAttempt(t.Context(), newPoolHost(p, host.addr()), newExchange("b"), attempt)
 		if attempt.chargedTime == 0 || attempt.chargedTime > delay/2 {
 			t.Errorf("%s: the host is charged with %v (0: the whole attempt), its answer arrived at once and waited for %v", name, attempt.chargedTime, delay)
 		}
--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -42,47 +42,47 @@
 // NewMaintenanceStore returns a store in a directory of tmp, which the platform keeps and clears.
 // If tmp is empty, maintenance ends with the process.
 func NewMaintenanceStore(tmp string) (*MaintenanceStore, error) {
-	b := &MaintenanceStore{inMaintenance: map[string]bool{}}
+	s := &MaintenanceStore{inMaintenance: map[string]bool{}}
 	if tmp == "" {
-		return b, nil
+		return s, nil
 	}
-	b.dir = filepath.Join(tmp, maintenanceDir)
-	if err := os.MkdirAll(b.dir, 0o700); err != nil {
+	s.dir = filepath.Join(tmp, maintenanceDir)
+	if err := os.MkdirAll(s.dir, 0o700); err != nil {
 		return nil, fmt.Errorf("TMPDIR: %w", err)
 	}
-	return b, nil
+	return s, nil
 }
 
 // Set puts a host into maintenance or ends its maintenance, and notifies the loop.
-func (b *MaintenanceStore) Set(loop *Loop, id string, on bool) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.dir != "" {
-		persist := b.persistStart
+func (s *MaintenanceStore) Set(loop *Loop, id string, on bool) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.dir != "" {
+		persist := s.persistStart
 		if !on {
-			persist = b.persistEnd
+			persist = s.persistEnd
 		}
 		if err := persist(id); err != nil {
 			return err
 		}
 	}
-	b.apply(loop, id, on)
+	s.apply(loop, id, on)
 	return nil
 }
 
-func (b *MaintenanceStore) maintenanceFile(id string) string {
-	return filepath.Join(b.dir, maintenancePrefix+url.QueryEscape(id))
+func (s *MaintenanceStore) maintenanceFile(id string) string {
+	return filepath.Join(s.dir, maintenancePrefix+url.QueryEscape(id))
 }
-func (b *MaintenanceStore) endedFile(id string) string {
-	return filepath.Join(b.dir, endedPrefix+url.QueryEscape(id))
+func (s *MaintenanceStore) endedFile(id string) string {
+	return filepath.Join(s.dir, endedPrefix+url.QueryEscape(id))
 }
 
 // persistStart stores that a host is in maintenance. If it fails, nothing has changed.
-func (b *MaintenanceStore) persistStart(id string) error {
-	if err := b.write(b.maintenanceFile(id), ""); err != nil {
+func (s *MaintenanceStore) persistStart(id string) error {
+	if err := s.write(s.maintenanceFile(id), ""); err != nil {
 		return err
 	}
-	if err := b.remove(b.endedFile(id)); err != nil {
+	if err := s.remove(s.endedFile(id)); err != nil {
 		// While the host is in maintenance, the mark has no effect but that the host is cold
 		// afterwards.
 		slog.Warn("failed to remove the mark of an earlier end of maintenance", "host", id, "err", err)
@@ -92,16 +92,16 @@
 
 // persistEnd stores that the maintenance of a host has ended, and when. If it fails, nothing has
 // changed.
-func (b *MaintenanceStore) persistEnd(id string) error {
-	if b.inMaintenance[id] { // otherwise it is in use: a repeated call does not make it cold again
-		if err := b.write(b.endedFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
+func (s *MaintenanceStore) persistEnd(id string) error {
+	if s.inMaintenance[id] { // otherwise it is in use: a repeated call does not make it cold again
+		if err := s.write(s.endedFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
 			return err
 		}
 	}
-	err := b.remove(b.maintenanceFile(id))
-	if err != nil && b.inMaintenance[id] {
-		b.removeFailed(b.endedFile(id))
-		if err := os.WriteFile(b.maintenanceFile(id), nil, 0o600); err != nil { // the file may have been removed and the removal not synced
+	err := s.remove(s.maintenanceFile(id))
+	if err != nil && s.inMaintenance[id] {
+		s.removeFailed(s.endedFile(id))
+		if err := os.WriteFile(s.maintenanceFile(id), nil, 0o600); err != nil { // the file may have been removed and the removal not synced
 			slog.Error("failed to restore the maintenance of a host after an error", "host", id, "err", err)
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 // write creates a file that survives a loss of power. If it fails, there is no file.
-func (b *MaintenanceStore) write(path, text string) error {
+func (s *MaintenanceStore) write(path, text string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -117,16 +117,16 @@
 	_, err = f.WriteString(text)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = b.sync()
+		err = s.sync()
 	}
 	if err != nil {
-		b.removeFailed(path)
+		s.removeFailed(path)
 	}
 	return err
 }
 
 // remove removes a file, if it exists, in a way that survives a loss of power.
-func (b *MaintenanceStore) remove(path string) error {
+func (s *MaintenanceStore) remove(path string) error {
 	err := os.Remove(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -134,12 +134,12 @@
 	case err != nil:
 		return err
 	}
-	return b.sync()
+	return s.sync()
 }
 
 // sync makes creations and removals of files in the directory durable.
-func (b *MaintenanceStore) sync() error {
-	dir, err := os.Open(b.dir)
+func (s *MaintenanceStore) sync() error {
+	dir, err := os.Open(s.dir)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 }
 
 // removeFailed removes the file that a failed call has written.
-func (b *MaintenanceStore) removeFailed(path string) {
+func (s *MaintenanceStore) removeFailed(path string) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		slog.Error("failed to remove the file of a failed call", "file", path, "err", err)
 	}
@@ -165,23 +165,23 @@
 
 // apply records a change and notifies the loop. The caller holds b.mu, so that the loop receives
 // changes in order.
-func (b *MaintenanceStore) apply(loop *Loop, id string, on bool) {
+func (s *MaintenanceStore) apply(loop *Loop, id string, on bool) {
 	if on {
-		b.inMaintenance[id] = true
+		s.inMaintenance[id] = true
 	} else {
-		delete(b.inMaintenance, id)
+		delete(s.inMaintenance, id)
 	}
 	loop.setMaintenance(id, on)
 }
 
 // Refresh reads the directory and notifies the loop of what has changed.
-func (b *MaintenanceStore) Refresh(loop *Loop) error {
-	if b.dir == "" {
+func (s *MaintenanceStore) Refresh(loop *Loop) error {
+	if s.dir == "" {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	entries, err := os.ReadDir(b.dir)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	entries, err := os.ReadDir(s.dir)
 	if err != nil {
 		return err
 	}
@@ -193,21 +193,21 @@
 		case err != nil:
 		case kind+"-" == maintenancePrefix:
 			onDisk[id] = true
-		case kind+"-" == endedPrefix && !b.endMarksRead:
+		case kind+"-" == endedPrefix && !s.endMarksRead:
 			if info, err := e.Info(); err == nil {
-				loop.maintenanceEnded(id, maintenanceEndedAt(filepath.Join(b.dir, e.Name()), info))
+				loop.maintenanceEnded(id, maintenanceEndedAt(filepath.Join(s.dir, e.Name()), info))
 			}
 		}
 	}
-	b.endMarksRead = true
-	for id := range b.inMaintenance {
+	s.endMarksRead = true
+	for id := range s.inMaintenance {
 		if !onDisk[id] {
-			b.apply(loop, id, false)
+			s.apply(loop, id, false)
 		}
 	}
 	for id := range onDisk {
-		if !b.inMaintenance[id] {
-			b.apply(loop, id, true)
+		if !s.inMaintenance[id] {
+			s.apply(loop, id, true)
 		}
 	}
 	return nil
@@ -228,7 +228,7 @@
 }
 
 // Watch calls Refresh periodically until done is closed.
-func (b *MaintenanceStore) Watch(loop *Loop, done <-chan struct{}) {
+func (s *MaintenanceStore) Watch(loop *Loop, done <-chan struct{}) {
 	tick := time.NewTicker(maintenancePollInterval)
 	defer tick.Stop()
 	failing := false
@@ -238,7 +238,7 @@
 			return
 		case <-tick.C:
 		}
-		err := b.Refresh(loop)
+		err := s.Refresh(loop)
 		if err != nil && !failing {
 			slog.Error("failed to read the maintenance of hosts, keeping the last state", "err", err)
 		}
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// keptBans are the ids of hosts that a process that starts now takes for banned.
-func keptBans(t *testing.T, loop *Loop, tmp string) map[string]bool {
+// persistedMaintenance returns the ids of the hosts that a process that starts now takes to be in
+// maintenance.
+func persistedMaintenance(t *testing.T, loop *Loop, tmp string) map[string]bool {
 	t.Helper()
 	b, err := NewMaintenanceStore(tmp)
 	if err != nil {
@@ -21,21 +22,20 @@
 	return b.inMaintenance
 }
 
-// A call of an operator that fails, as the folder takes no change, has changed nothing: not
-// here, and not for a process that reads the folder later.
+// An operator's call that fails because the directory cannot be written must change nothing,
+// neither in this process nor for one that reads the directory later.
 func TestFailedMaintenanceChangesNothing(t *testing.T) {
 	g := startGateway(t, testConfig())
 	tmp := t.TempDir()
-	bans, err := NewMaintenanceStore(tmp)
+	store, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := bans.Set(g.loop, "s-out", true); err != nil {
+	if err := store.Set(g.loop, "s-out", true); err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(tmp, maintenanceDir)
-	// What is to be removed is a folder that is not empty, which no process can remove as a file,
-	// and what is to be written one, too.
+	// A non-empty directory in place of a file can be neither removed nor written as a file.
 	block := func(name string) {
 		if err := os.MkdirAll(filepath.Join(dir, name, "in the way"), 0o700); err != nil {
 			t.Fatal(err)
@@ -46,48 +46,48 @@
 			t.Fatal(err)
 		}
 	}
-	ban, back := maintenancePrefix+"s-out", endedPrefix+"s-out"
+	maintenanceFile, endedFile := maintenancePrefix+"s-out", endedPrefix+"s-out"
 
-	clear(ban)
-	block(ban) // calling it back cannot remove this
-	if err := bans.Set(g.loop, "s-out", false); err == nil {
-		t.Error("a host is called back though its ban cannot be removed")
+	clear(maintenanceFile)
+	block(maintenanceFile) // ending the maintenance cannot remove this
+	if err := store.Set(g.loop, "s-out", false); err == nil {
+		t.Error("a maintenance ends although its file cannot be removed")
 	}
-	if !bans.inMaintenance["s-out"] {
-		t.Error("the host is in use after a call back that failed")
+	if !store.inMaintenance["s-out"] {
+		t.Error("the host is in use after a failed end of its maintenance")
 	}
-	if _, err := os.Stat(filepath.Join(dir, back)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a call back that failed leaves its mark: %v", err)
+	if _, err := os.Stat(filepath.Join(dir, endedFile)); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a failed end of a maintenance leaves its mark: %v", err)
 	}
-	clear(ban)
+	clear(maintenanceFile)
 
-	block(maintenancePrefix + "s-new") // this ban cannot be written
-	if err := bans.Set(g.loop, "s-new", true); err == nil {
-		t.Error("a host is banned though that cannot be kept")
+	block(maintenancePrefix + "s-new") // this maintenance cannot be written
+	if err := store.Set(g.loop, "s-new", true); err == nil {
+		t.Error("a maintenance begins although it cannot be stored")
 	}
-	if bans.inMaintenance["s-new"] {
-		t.Error("the host is out after a call that failed")
+	if store.inMaintenance["s-new"] {
+		t.Error("the host is in maintenance after a call that failed")
 	}
 	clear(maintenancePrefix + "s-new")
 
-	block(endedPrefix + "s-other") // the old mark of a call back cannot be removed: the ban is kept all the same
-	err = bans.Set(g.loop, "s-other", true)
-	if kept := keptBans(t, g.loop, tmp)["s-other"]; kept != (err == nil) || bans.inMaintenance["s-other"] != kept {
-		t.Errorf("banning is answered with %v, the ban is kept: %t, and in force: %t", err, kept, bans.inMaintenance["s-other"])
+	block(endedPrefix + "s-other") // the earlier mark cannot be removed: the maintenance is stored all the same
+	err = store.Set(g.loop, "s-other", true)
+	if kept := persistedMaintenance(t, g.loop, tmp)["s-other"]; kept != (err == nil) || store.inMaintenance["s-other"] != kept {
+		t.Errorf("the call returns %v, the maintenance is stored: %t, and in force: %t", err, kept, store.inMaintenance["s-other"])
 	}
 }
 
-// A process that starts after the wall clock was stepped takes a host for cold that was called
-// back a moment before.
-func TestCallBackIsKnownAcrossAStepOfTheClock(t *testing.T) {
+// A process that starts after the wall clock was stepped must treat a host as cold whose
+// maintenance ended a moment before.
+func TestEndOfMaintenanceIsKnownAfterClockStep(t *testing.T) {
 	tmp := t.TempDir()
 	g := startGateway(t, testConfig())
-	bans, err := NewMaintenanceStore(tmp)
+	store, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, out := range []bool{true, false} {
-		if err := bans.Set(g.loop, "s-1", out); err != nil {
+	for _, on := range []bool{true, false} {
+		if err := store.Set(g.loop, "s-1", on); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -101,8 +101,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if age := time.Since(maintenanceEndedAt(mark, info)); age < 0 || age > patience {
-			t.Errorf("clock stepped by %v: the host was called back %v ago", step, age)
+		if age := time.Since(maintenanceEndedAt(mark, info)); age < 0 || age > waitTimeout {
+			t.Errorf("clock stepped by %v: the maintenance ended %v ago", step, age)
 		}
 	}
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -70,7 +70,7 @@
 					if _, err := c.Read(buf); err != nil {
 						return
 					}
-					io.WriteString(c, good)
+					io.WriteString(c, okAnswer)
 				}
 			}()
 		}
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -18,8 +18,8 @@
 	"lynxspool"
 )
 
-// text is n bytes that do not repeat soon, so that none can go astray unseen.
-func text(n int) []byte {
+// testBytes returns n bytes that do not repeat soon, so that missing or misplaced ones are noticed.
+func testBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i>>16 ^ i>>8*7 ^ i*31)
@@ -27,7 +27,7 @@
 	return b
 }
 
-// httpHost is a host served by net/http, for bodies of any length.
+// httpHost starts a host served by net/http, for bodies of any length.
 func httpHost(t *testing.T, serve http.HandlerFunc) *testHost {
 	t.Helper()
 	s := httptest.NewServer(serve)
@@ -36,8 +36,8 @@
 	return &testHost{Listener: s.Listener}
 }
 
-// look asks for an answer and leaves its body to the caller.
-func (g *testGateway) look() *http.Response {
+// openAnswer sends a request and returns the answer without reading its body.
+func (g *testGateway) openAnswer() *http.Response {
 	g.Helper()
 	r, _ := http.NewRequest("GET", g.url+"/api/1", nil)
 	r.Header.Set("X-Priority-Class", "look")
@@ -49,8 +49,8 @@
 	return resp
 }
 
-// Bodies of any length arrive at the host as they were, however they are framed; the
-// gateway keeps little of them meanwhile.
+// Bodies of any length and framing must arrive at the host unchanged, and the gateway must return
+// all memory that it buffered them in.
 func TestLongBodies(t *testing.T) {
 	var got atomic.Value
 	host := httpHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -61,7 +61,7 @@
 	})
 	g := startGateway(t, testConfig(host))
 	for _, n := range []int{maxBufferedBytes - 1, maxBufferedBytes, maxBufferedBytes + 1, 1 << 20, maxBodyBytes} {
-		body := text(n)
+		body := testBytes(n)
 		want := fmt.Sprintf("%d <nil> %x id-1", n, sha256.Sum256(body))
 		for _, framing := range []string{"length", "chunked", "expect"} {
 			r, _ := http.NewRequest("POST", g.url+"/api/1", bytes.NewReader(body))
@@ -73,7 +73,7 @@
 			case "expect":
 				r.Header.Set("Expect", "100-continue")
 			}
-			resp, err := (&http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: patience}).RoundTrip(r)
+			resp, err := (&http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: waitTimeout}).RoundTrip(r)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -84,13 +84,13 @@
 			}
 		}
 	}
-	until(t, "what was kept is given back", func() bool { return g.loop.pool.memory.remaining.Load() == newMemoryBudget(g.cfg).remaining.Load() })
+	until(t, "the memory is returned to the budget", func() bool { return g.loop.pool.memory.remaining.Load() == newMemoryBudget(g.cfg).remaining.Load() })
 }
 
-// Long answers reach the client as they were in every form a host may give them, and
-// begin before they have come whole.
+// Long answers must reach the client unchanged in every framing that a host may use, and begin
+// before they are complete.
 func TestLongAnswers(t *testing.T) {
-	long := text(3 << 20)
+	long := testBytes(3 << 20)
 	var chunks bytes.Buffer
 	for rest := long; len(rest) > 0; {
 		n := min(len(rest), 100_000)
@@ -112,15 +112,15 @@
 			io.WriteString(c, head)
 			c.Write(body[:200_000])
 			select {
-			case <-begun: // by the client, with the rest still here
-			case <-time.After(patience):
+			case <-begun: // by the client, before the rest is sent
+			case <-time.After(waitTimeout):
 				return false
 			}
 			c.Write(body[200_000:])
 			return name == "length" || name == "chunked"
 		})
 		g := startGateway(t, testConfig(host))
-		resp := g.look()
+		resp := g.openAnswer()
 		first := make([]byte, 1000)
 		if _, err := io.ReadFull(resp.Body, first); err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -130,7 +130,7 @@
 		if err != nil || !bytes.Equal(append(first, rest...), long) {
 			t.Errorf("%s: %v, %d bytes of %d", name, err, len(first)+len(rest), len(long))
 		}
-		until(t, name+": the request is over", func() bool { return g.openRequests() == 0 })
+		until(t, name+": the request is released", func() bool { return g.openRequests() == 0 })
 		kept := 0
 		if name == "length" || name == "chunked" {
 			kept = 1
@@ -141,23 +141,23 @@
 	}
 }
 
-// A short answer that is told by the end of its connection is an answer.
-func TestShortAnswerToldByItsClose(t *testing.T) {
+// A short answer whose end is marked by the close of its connection is valid.
+func TestShortAnswerEndedByClose(t *testing.T) {
 	for name, text := range map[string]string{"1.1": "HTTP/1.1 200 OK\r\n\r\ngood", "1.0": "HTTP/1.0 200 OK\r\n\r\ngood"} {
 		host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, text)
 			return false
 		})
 		g := startGateway(t, testConfig(host))
-		if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
+		if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
 			t.Errorf("%s: answer %d %q", name, resp.StatusCode, body)
 		}
 	}
 }
 
-// A reset is no end: an answer without a length that breaks off is not served, at whatever
-// moment of its reading that is found.
-func TestAnswerToldByItsCloseThatIsReset(t *testing.T) {
+// A reset does not mark the end of an answer: an answer without a length whose connection is reset
+// is not served, whenever the reset is detected.
+func TestResetIsNotEndOfAnswer(t *testing.T) {
 	for name, text := range map[string]string{
 		"1.1":     "HTTP/1.1 200 OK\r\n\r\nha",
 		"1.0":     "HTTP/1.0 200 OK\r\n\r\nha",
@@ -166,10 +166,10 @@
 	} {
 		host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, text)
-			return breakOff(c, r, n)
+			return resetConn(c, r, n)
 		})
 		g := startGateway(t, testConfig(host))
-		if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != http.StatusBadGateway {
+		if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != http.StatusBadGateway {
 			t.Errorf("%s: answer %d %q", name, resp.StatusCode, body)
 		}
 		if requests, _, _ := host.counts(); requests != 1 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// An answer that is not whole soon is passed on as it comes.
+// An answer that is not complete soon is streamed as it arrives.
 func TestSlowAnswerIsNotHeldBack(t *testing.T) {
 	release := make(chan struct{})
 	host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -188,7 +188,7 @@
 		return true
 	})
 	g := startGateway(t, testConfig(host))
-	resp := g.look()
+	resp := g.openAnswer()
 	first := make([]byte, 2)
 	io.ReadFull(resp.Body, first)
 	close(release)
@@ -197,9 +197,9 @@
 	}
 }
 
-// An answer that breaks off on its way is passed on so that the client can tell, and is
-// not asked for again.
-func TestLongAnswerBreaksOff(t *testing.T) {
+// A streamed answer that breaks off must break off for the client in a way that it can detect, and
+// must not be requested again.
+func TestLongAnswerIsCutShort(t *testing.T) {
 	for name, head := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40000\r\n",
@@ -208,7 +208,7 @@
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 				io.WriteString(c, head)
-				c.Write(text(100_000))
+				c.Write(testBytes(100_000))
 				return false
 			})
 			g := startGateway(t, testConfig(host))
@@ -219,7 +219,7 @@
 			defer c.Close()
 			fmt.Fprintf(c, "GET /api %s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\n\r\n", proto)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-			if name == "spoilt" { // it is found ahead of the first byte
+			if name == "spoilt" { // it is detected before the first byte is passed on
 				if err != nil || resp.StatusCode == 200 {
 					t.Errorf("%s %s: answer %v, %v", name, proto, resp, err)
 				}
@@ -238,43 +238,43 @@
 	}
 }
 
-// Once its first byte went to the client no deadline cuts an answer, and what the client
-// takes its time for is not charged to the host.
+// Once its first byte has been sent to the client, no deadline ends an answer, and the time that
+// the client takes is not charged to the host.
 func TestNoDeadlineCutsAStream(t *testing.T) {
 	p := newTestPool()
 	began, end := make(chan struct{}), make(chan struct{})
 	host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nx")
 		<-end
-		c.Write(text(99_999))
+		c.Write(testBytes(99_999))
 		return true
 	})
-	h, x, tr := pooled(p, host.addr()), newExchange("b"), newTry()
+	h, x, att := newPoolHost(p, host.addr()), newExchange("b"), newAttempt()
 	ctx, cancel := context.WithCancelCause(context.Background())
-	tr.cancel = cancel
-	tr.onResponseStarted = func() { close(began) }
+	att.cancel = cancel
+	att.onResponseStarted = func() { close(began) }
 	done := make(chan lynxspool.Result, 1)
 	go func() {
-		result, _ := p.runAttempt(ctx, h, x, tr)
+		result, _ := p.runAttempt(ctx, h, x, att)
 		done <- result
 	}()
 	<-began
-	took := tr.chargedTime
-	tr.abort(errReadStopped) // as the deadline would
+	took := att.chargedTime
+	att.abort(errReadStopped) // as the deadline would
 	close(end)
 	a := <-x.answer
 	w := httptest.NewRecorder()
-	a.stream.done <- a.stream.copyTo(deadlines{w}, httptest.NewRequest("GET", "/", nil))
+	a.stream.done <- a.stream.copyTo(deadlineRecorder{w}, httptest.NewRequest("GET", "/", nil))
 	if result := <-done; result != lynxspool.OK || w.Body.Len() != 100_000 {
 		t.Errorf("result %v, %d bytes", result, w.Body.Len())
 	}
-	if tr.chargedTime != took || took == 0 {
-		t.Errorf("the host is charged %v, %v at the first byte", tr.chargedTime, took)
+	if att.chargedTime != took || took == 0 {
+		t.Errorf("the host is charged %v, %v at the first byte", att.chargedTime, took)
 	}
 }
 
-// A request whose body is spent goes nowhere else; one whose body is not may.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
+// A request whose body has been read is not sent again; one whose body has not been read may be.
+func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	var got atomic.Int64
 	whole := httpHost(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -283,14 +283,14 @@
 		w.WriteHeader(503)
 	})
 	g := startGateway(t, testConfig(whole, whole))
-	long := string(text(1 << 20))
-	if resp, _ := g.ask("book", "/api/1", long); resp.StatusCode != 503 || got.Load() != 1 {
+	long := string(testBytes(1 << 20))
+	if resp, _ := g.request("book", "/api/1", long); resp.StatusCode != 503 || got.Load() != 1 {
 		t.Errorf("status %d after %d attempts, want a refusal after one", resp.StatusCode, got.Load())
 	}
-	if resp, _ := g.ask("book", "/api/1", "b"); resp.StatusCode != 503 || got.Load() < 3 {
+	if resp, _ := g.request("book", "/api/1", "b"); resp.StatusCode != 503 || got.Load() < 3 {
 		t.Errorf("status %d after %d attempts of a short one, want several", resp.StatusCode, got.Load()-1)
 	}
-	// No connection comes up at one host: nothing is spent by that.
+	// One host refuses connections, which consumes nothing of the body.
 	closed := listen(t, "127.0.0.1:0", nil)
 	closed.Close()
 	good := httpHost(t, func(w http.ResponseWriter, r *http.Request) {
@@ -299,16 +299,16 @@
 	})
 	g = startGateway(t, testConfig(&testHost{Listener: closed}, good))
 	for range 10 {
-		if resp, body := g.ask("book", "/api/1", long); resp.StatusCode != 200 || body != "1048576" {
+		if resp, body := g.request("book", "/api/1", long); resp.StatusCode != 200 || body != "1048576" {
 			t.Fatalf("answer %d %q", resp.StatusCode, body)
 		}
 	}
 }
 
-// A body that stops coming, is too long or is badly framed ends its request with an error,
-// and never becomes one to a host.
-func TestLongBodyThatDoesNotCome(t *testing.T) {
-	host := newHost(t, says(good))
+// A body that stops arriving, is too long or is badly framed is answered with an error, and no host
+// receives it as a whole request.
+func TestIncompleteLongBody(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	piece := "8000\r\n" + strings.Repeat("x", 0x8000) + "\r\n"
 	for _, tt := range []struct {
@@ -316,7 +316,7 @@
 		want       int
 	}{
 		{"bad chunk", head("POST /api HTTP/1.1", "a", chunked) + strings.Repeat(piece, 4) + "zz\r\n", 400},
-		{"told too long", head("POST /api HTTP/1.1", "b", fmt.Sprintf("Content-Length: %d\r\n", maxBodyBytes+1)), 413},
+		{"announced too long", head("POST /api HTTP/1.1", "b", fmt.Sprintf("Content-Length: %d\r\n", maxBodyBytes+1)), 413},
 		{"too long", head("POST /api HTTP/1.1", "c", chunked) + strings.Repeat(piece, maxBodyBytes/0x8000+2), 413},
 		{"stalls", head("POST /api HTTP/1.1", "d", "Content-Length: 200000\r\n") + "x", 400},
 		{"stalls in a chunk", head("POST /api HTTP/1.1", "e", chunked) + strings.Repeat(piece, 3) + "8000\r\nx", 400},
@@ -328,16 +328,16 @@
 	if requests, _, _ := host.counts(); requests != 0 {
 		t.Errorf("the host got %d whole requests", requests)
 	}
-	until(t, "all requests are over", func() bool { return g.openRequests() == 0 })
+	until(t, "all requests are released", func() bool { return g.openRequests() == 0 })
 }
 
-// Requests that come ahead of the last answer are served in turn, and their heads are
-// watched like any other, whatever form their bodies have and wherever the bytes are cut.
+// Requests that arrive before the answer to the last one are served in order, and their heads are
+// checked like any other, whatever the framing of the bodies and however the bytes are split.
 func TestPipelinedRequests(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	body := "2;a=b\r\nbo\r\n2\r\ndy\r\n0\r\nX-Trailer: 1\r\n\r\n"
-	long := strings.ReplaceAll(string(text(100_000)), "|", "-") // talk cuts there
+	long := strings.ReplaceAll(string(testBytes(100_000)), "|", "-") // sendParts splits there
 	all := head("POST /api HTTP/1.1", "1", chunked) + body +
 		head("POST /api HTTP/1.1", "2", "Content-Length: 4\r\n") + "body" +
 		head("POST /api HTTP/1.1", "3", chunked) + body +
@@ -367,7 +367,7 @@
 	}
 }
 
-// Wherever what comes is cut, the same heads are seen in it.
+// The same heads are recognized however the bytes are split.
 func TestFramingInPieces(t *testing.T) {
 	all := "GET / HTTP/1.1\r\nHost: x\r\n\r\n" +
 		"\r\nPOST / HTTP/1.1\r\ncontent-LENGTH:  5 \r\n\r\nab\r\n\n" +
@@ -399,27 +399,27 @@
 	}
 }
 
-// When the budget is spent, short bodies and answers are streamed, not refused.
-func TestBudgetSpent(t *testing.T) {
-	host := newHost(t, says(good))
+// When the budget is exhausted, short bodies and answers are streamed, not refused.
+func TestMemoryBudgetExhausted(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	g.loop.pool.memory.remaining.Store(0)
-	if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
+	if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
 	if left := g.loop.pool.memory.remaining.Load(); left != 0 {
-		t.Errorf("%d bytes given back that were not taken", left)
+		t.Errorf("%d bytes returned that were not acquired", left)
 	}
 }
 
-// deadlines takes the deadlines of a stream, which a recorder knows nothing of.
-type deadlines struct{ *httptest.ResponseRecorder }
+// deadlineRecorder is a response recorder that accepts deadlines.
+type deadlineRecorder struct{ *httptest.ResponseRecorder }
 
-func (deadlines) SetWriteDeadline(time.Time) error { return nil }
-func (deadlines) SetReadDeadline(time.Time) error  { return nil }
+func (deadlineRecorder) SetWriteDeadline(time.Time) error { return nil }
+func (deadlineRecorder) SetReadDeadline(time.Time) error  { return nil }
 
-// A body that has come whole while the process stops is answered before it ends.
-func TestUploadIsDueBeforeTheEnd(t *testing.T) {
+// A body that is complete during a shutdown is answered before the process exits.
+func TestUploadIsDueBeforeShutdown(t *testing.T) {
 	host := httpHost(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "good")
@@ -428,11 +428,11 @@
 	s := &Server{finalAnswerAt: time.Now().Add(time.Second)}
 	x.capDeadline, x.timeout = s.capDeadline, time.Hour
 	x.upload = &upload{
-		clientBody: &clientBody{body: bytes.NewReader(text(100_000)), rc: http.NewResponseController(deadlines{httptest.NewRecorder()})},
+		clientBody: &clientBody{body: bytes.NewReader(testBytes(100_000)), rc: http.NewResponseController(deadlineRecorder{httptest.NewRecorder()})},
 		length:     100_000, sent: make(chan struct{}),
 	}
 	s.stopping.Store(true)
-	if got, _ := tryOnce(t, p, pooled(p, host.addr()), x); got != lynxspool.OK || !x.deadline.Equal(s.finalAnswerAt) {
+	if got, _ := attemptOnce(t, p, newPoolHost(p, host.addr()), x); got != lynxspool.OK || !x.deadline.Equal(s.finalAnswerAt) {
 		t.Errorf("result %v, due %v, want the end of the process %v", got, x.deadline, s.finalAnswerAt)
 	}
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -19,7 +19,7 @@
 		"classes":[{"name":"look","effect":"idempotent","hard_limit":1000000},
 			{"name":"book","effect":"at_most_once","hard_limit":1000000}]}}`
 
-// load writes the configuration to a file and reads it as the program does.
+// load writes the configuration to a file and loads it as the program does.
 func load(t *testing.T, text string, vars ...string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -58,8 +58,8 @@
 	}
 }
 
-// A mistake must be told in one plain line that names the field.
-func TestLoadNamesTheFieldAtFault(t *testing.T) {
+// An error must be one line that names the invalid field.
+func TestLoadErrorNamesField(t *testing.T) {
 	for _, tt := range []struct{ from, to, want string }{
 		{`"listen":"127.0.0.1:9000"`, `"listen":"127.0.0.1"`, "listen"},
 		{`"discovery":"127.0.0.2:8500",`, ``, "discovery"},
@@ -103,9 +103,9 @@
 	}
 }
 
-// A file with any fault must be refused as a whole, with its reason; a key that is gone
-// must not pass for its default. Keys that may come and go, and values, are no faults.
-func TestReloadRefusesWhatIsBroken(t *testing.T) {
+// An invalid file must be rejected as a whole, with the reason, and a missing key must not be
+// replaced by its default. Optional keys may be missing, and values may change.
+func TestReloadRejectsInvalidFile(t *testing.T) {
 	good := strings.Replace(goodConfig, `"dial_timeout":250000`, `"dial_timeout":250000,"max_attempts":6`, 1)
 	good = strings.Replace(good, `"hard_limit":1000000}]`, `"hard_limit":1000000,"aim_stretch":2}]`, 1)
 	inForce, err := load(t, good, "GW_LISTEN", "127.0.0.9:9000")
@@ -119,7 +119,7 @@
 		}
 		return Reload(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] }, inForce)
 	}
-	swap := func(from, to string) string {
+	replaced := func(from, to string) string {
 		if !strings.Contains(good, from) {
 			t.Fatalf("the configuration lacks %s", from)
 		}
@@ -129,31 +129,31 @@
 		{"empty", "", "JSON"},
 		{"cut off", good[:len(good)-40], "JSON"},
 		{"no object", "null", "discovery"},
-		{"no settings", swap(`"settings":`, `"setting":`), "settings"},
-		{"no classes", swap(`"classes":[`, `"klasses":[`), "classes"},
-		{"no name", swap(`{"name":"look",`, `{`), "name"},
-		{"no deadline", swap(`,"hard_limit":1000000}`, `}`), "deadline"},
-		{"deadline of 0", swap(`"hard_limit":1000000}`, `"hard_limit":0}`), "deadline"},
-		{"deadline below 0", swap(`"hard_limit":1000000}`, `"hard_limit":-1}`), "deadline"},
-		{"attempts of 0", swap(`"max_attempts":6`, `"max_attempts":0`), "max_attempts"},
-		{"attempts below 0", swap(`"max_attempts":6`, `"max_attempts":-2`), "max attempts"},
-		{"no attempts", swap(`,"max_attempts":6`, ``), "max_attempts"},
-		{"no caps", swap(`"caps":`, `"cups":`), "caps"},
-		{"no effect", swap(`"effect":"idempotent",`, ``), "effect"},
-		{"odd effect", swap(`"idempotent"`, `"harmless"`), "effect"},
-		{"no tenants", swap(`"tenants":[{"name":"acme","quota_per_s":10}],`, ``), "tenants"},
-		{"no quota", swap(`,"quota_per_s":10`, ``), "tenants[0].quota_per_s"},
-		{"a number for a list", swap(`"azs":["a"]`, `"azs":1`), "azs"},
-		{"no discovery", swap(`"discovery":"127.0.0.2:8500",`, ``), "discovery"},
+		{"no settings", replaced(`"settings":`, `"setting":`), "settings"},
+		{"no classes", replaced(`"classes":[`, `"klasses":[`), "classes"},
+		{"no name", replaced(`{"name":"look",`, `{`), "name"},
+		{"no deadline", replaced(`,"hard_limit":1000000}`, `}`), "deadline"},
+		{"deadline of 0", replaced(`"hard_limit":1000000}`, `"hard_limit":0}`), "deadline"},
+		{"deadline below 0", replaced(`"hard_limit":1000000}`, `"hard_limit":-1}`), "deadline"},
+		{"attempts of 0", replaced(`"max_attempts":6`, `"max_attempts":0`), "max_attempts"},
+		{"attempts below 0", replaced(`"max_attempts":6`, `"max_attempts":-2`), "max attempts"},
+		{"no attempts", replaced(`,"max_attempts":6`, ``), "max_attempts"},
+		{"no caps", replaced(`"caps":`, `"cups":`), "caps"},
+		{"no effect", replaced(`"effect":"idempotent",`, ``), "effect"},
+		{"unknown effect", replaced(`"idempotent"`, `"harmless"`), "effect"},
+		{"no tenants", replaced(`"tenants":[{"name":"acme","quota_per_s":10}],`, ``), "tenants"},
+		{"no quota", replaced(`,"quota_per_s":10`, ``), "tenants[0].quota_per_s"},
+		{"a number for a list", replaced(`"azs":["a"]`, `"azs":1`), "azs"},
+		{"no discovery", replaced(`"discovery":"127.0.0.2:8500",`, ``), "discovery"},
 	} {
 		if c, err := reload(tt.text); err == nil {
-			t.Errorf("%s: taken as %+v", tt.name, c.Rules)
+			t.Errorf("%s: accepted as %+v", tt.name, c.Rules)
 		} else if !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %q, want a line with %q", tt.name, err, tt.want)
+			t.Errorf("%s: error %q, want a line with %q", tt.name, err, tt.want)
 		}
 	}
 	more := `{"name":"haul","effect":"at_most_once","hard_limit":9000000,"promise":1000000}`
-	c, err := reload(strings.Replace(swap(`{"name":"look","effect":"idempotent","hard_limit":1000000}`, more),
+	c, err := reload(strings.Replace(replaced(`{"name":"look","effect":"idempotent","hard_limit":1000000}`, more),
 		`"max_attempts":6`, `"max_attempts":2`, 1))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -240,9 +240,9 @@
 			continue
 		}
 		// A watch that fell silent has missed changes that count as notified by now. It is reopened
-		// at once, and a failure is reported to the module only if that fails, as it waits before the
-		// next call. A call without an answer is also repeated at once, but only once: if no call
-		// is answered, the module spaces the calls of the fleet.
+		// at once, and a failure is reported to the module only if that fails, as the module waits
+		// before the next call. A call without an answer is also repeated at once, but only once:
+		// if no call is answered, the module spaces the calls of the fleet.
 		callAgain = errors.Is(err, errSilent) && (heard || !retriedUnanswered)
 		switch {
 		case callAgain && heard:
@@ -316,8 +316,8 @@
 	addr := d.addrs[d.addrIndex]
 	d.cancelWatch = cancel
 	if d.addrsUnused {
-		// Another discovery service may number its versions differently, and its load is another
-		// one.
+		// Another discovery service numbers its versions by itself, and a Retry-After of the old
+		// one does not apply to it.
 		d.addrsUnused, d.version, d.olderListSince, d.retryAt, d.unansweredCalls = false, 0, time.Time{}, time.Time{}, 0
 	}
 	d.mu.Unlock()
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -138,7 +138,7 @@
 }
 
 func testDrainDespiteFault(t *testing.T, ask bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
-	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good)), newHost(t, says(good))}
+	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	r := newFakeDiscovery(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
 	d.silenceTimeout = 300 * time.Millisecond
-	g := startWatching(t, cfg, d.Watch)
+	g := startGatewayWithWatch(t, cfg, d.Watch)
 	loop := g.loop
 	done := make(chan struct{})
 	go func() {
@@ -178,7 +178,7 @@
 		until(t, id+" is known to drain", func() bool { return !usable(id) })
 		old, _, _ := hosts[n].counts()
 		for range 20 {
-			if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 {
+			if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != 200 {
 				t.Errorf("answer %d %q", resp.StatusCode, body)
 			}
 		}
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -20,14 +20,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			host := newHost(t, says(good))
+			host := newHost(t, answerWith(okAnswer))
 			cfg := testConfig(host)
 			cfg.Sockets = 64
 			g := startGateway(t, cfg)
 			for range 120 {
 				g.openConn(part)
 			}
-			if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
+			if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != 200 || body != "good" {
 				t.Errorf("answer %d %q", resp.StatusCode, body)
 			}
 			g.server.mu.Lock()
@@ -58,7 +58,7 @@
 	host := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
 		seconds, _ := strconv.ParseFloat(r.Header.Get(timeoutHeader), 64)
 		arrived <- hostRequest{time.Now(), time.Duration(seconds * float64(time.Second))}
-		return says(good)(c, r, n)
+		return answerWith(okAnswer)(c, r, n)
 	})
 	cfg := testConfig(host)
 	cfg.Sockets = 64
@@ -75,7 +75,7 @@
 		if left := timeout - a.at.Sub(sent); a.timeout > left+slack {
 			t.Errorf("the host was given a timeout of %v where %v were left", a.timeout, left)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the request does not reach the host")
 	}
 }
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -24,7 +24,7 @@
 		g.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	for part := range strings.SplitSeq(text, "|") {
 		if _, err := io.WriteString(c, part); err != nil {
 			break // closed before the rest
@@ -72,7 +72,7 @@
 		{"HTTP/1.0", head("POST /api HTTP/1.0", "outer", "Connection: keep-alive\r\n"+chunked) + inner},
 		{"HTTP/1.0 and both", head("POST /api HTTP/1.0", "outer", "Connection: keep-alive\r\nContent-Length: 5\r\n"+chunked) + hidden},
 	} {
-		host := newHost(t, says(good))
+		host := newHost(t, answerWith(okAnswer))
 		g := startGateway(t, testConfig(host))
 		g.T = t
 		if got := g.sendParts(tt.text); len(got) != 1 || got[0] != http.StatusBadRequest {
@@ -86,7 +86,7 @@
 
 // Chunked bodies are valid, also on a connection that carries several requests.
 func TestChunkedBodyIsServed(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
@@ -193,7 +193,7 @@
 		},
 		"shutting down": func(g *testGateway) { g.server.closeIdleConns() },
 	} {
-		host := newHost(t, says(good))
+		host := newHost(t, answerWith(okAnswer))
 		g := startGateway(t, testConfig(host))
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
@@ -259,7 +259,7 @@
 func TestReadDeadlinesBoundIncompleteRequests(t *testing.T) {
 	const limit = 3 * time.Second
 	for name, class := range map[string]string{"in order": "book", "unknown": "other"} {
-		g := startGateway(t, testConfig(newHost(t, says(good))))
+		g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 		near, far := net.Pipe()
 		c := &deadlineConn{Conn: near}
 		l := oneConnListener{listen(t, "127.0.0.1:0", nil), make(chan net.Conn, 1)}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,7 +19,7 @@
 	"lynxspool"
 )
 
-// testGateway is a gateway in this process, on loopback.
+// testGateway is a gateway in this process that listens on a loopback address.
 type testGateway struct {
 	*testing.T
 	cfg    *Config
@@ -29,11 +29,11 @@
 	stop   context.CancelFunc
 }
 
-// testConfig knows the hosts and has one class of each effect.
+// testConfig returns a configuration with the given hosts and one class of each effect.
 func testConfig(hosts ...*testHost) *Config {
 	second := time.Second
 	cfg := &Config{
-		Sockets: 1024, ConnIdle: time.Minute, DialTimeout: patience, Seed: 7,
+		Sockets: 1024, ConnIdle: time.Minute, DialTimeout: waitTimeout, Seed: 7,
 		Zones: map[string]int{}, Kinds: map[string]int{},
 		Rules: Rules{
 			Classes: map[string]int{"look": 0, "book": 1, "report": 2},
@@ -55,15 +55,16 @@
 
 func startGateway(t *testing.T, cfg *Config) *testGateway {
 	t.Helper()
-	return startWatching(t, cfg, func() {})
+	return startGatewayWithWatch(t, cfg, func() {})
 }
 
-// startWatching starts a gateway that calls watch where the list must be asked for.
-func startWatching(t *testing.T, cfg *Config, watch func()) *testGateway {
+// startGatewayWithWatch starts a gateway that calls requestWatch when the module asks for a watch
+// of the list.
+func startGatewayWithWatch(t *testing.T, cfg *Config, requestWatch func()) *testGateway {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := NewPool(cfg)
-	loop, err := NewLoop(cfg, pool, watch)
+	loop, err := NewLoop(cfg, pool, requestWatch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,8 +83,8 @@
 	return g
 }
 
-// ask sends a request and returns the status and body of its answer.
-func (g *testGateway) ask(class, path, body string, headers ...string) (*http.Response, string) {
+// request sends a request and returns the answer and its body.
+func (g *testGateway) request(class, path, body string, headers ...string) (*http.Response, string) {
 	g.Helper()
 	method := http.MethodPost
 	if class == "look" {
@@ -98,7 +99,7 @@
 	for i := 0; i < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
 	}
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}).Do(r)
+	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}).Do(r)
 	if err != nil {
 		g.Fatal(err)
 	}
@@ -116,10 +117,10 @@
 	return <-n
 }
 
-// A host must get the request as the client sent it.
-func TestRequestGoesOnUnchanged(t *testing.T) {
-	server := newHost(t, says(good))
-	g := startGateway(t, testConfig(server))
+// A host must receive a request as the client sent it.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
+	g := startGateway(t, testConfig(host))
 	paths := []string{"/api/a%2Fb//c/../d/?q=1&q=%20&", "//api/x", "/api/?", "/api/%7e~;a=b|"}
 	for _, path := range paths {
 		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
@@ -137,25 +138,25 @@
 		}
 		c.Close()
 	}
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	for i, r := range server.requests {
-		if r.RequestURI != paths[i] || r.Method != "POST" || server.bodies[i] != "body" || r.Host != "service.internal" {
-			t.Errorf("the host got %s %s %s %q, want the path %s", r.Method, r.Host, r.RequestURI, server.bodies[i], paths[i])
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	for i, r := range host.requests {
+		if r.RequestURI != paths[i] || r.Method != "POST" || host.bodies[i] != "body" || r.Host != "service.internal" {
+			t.Errorf("the host got %s %s %s %q, want the path %s", r.Method, r.Host, r.RequestURI, host.bodies[i], paths[i])
 		}
 		if r.Header.Get("X-Request-ID") != "id-1" || r.Header.Get("Idempotency-Key") != "key-1" {
 			t.Errorf("the host got the headers %v", r.Header)
 		}
 		var left float64
 		if _, err := fmt.Sscan(r.Header.Get("X-Timeout"), &left); err != nil || left <= 0 || left >= 30 {
-			t.Errorf("the host was told %q of 30 s left", r.Header.Get("X-Timeout"))
+			t.Errorf("the host was sent a timeout of %q with less than 30 s left", r.Header.Get("X-Timeout"))
 		}
 	}
 }
 
-func TestBadRequestsReachNoHost(t *testing.T) {
-	server := newHost(t, says(good))
-	g := startGateway(t, testConfig(server))
+func TestInvalidRequestsReachNoHost(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
+	g := startGateway(t, testConfig(host))
 	for _, tt := range []struct {
 		name, class, body string
 		headers           []string
@@ -164,18 +165,18 @@
 		{"unknown class", "other", "b", nil, 400},
 		{"no key", "report", "b", nil, 400},
 		{"no id", "book", "b", []string{"X-Request-ID", ""}, 400},
-		{"odd time-out", "book", "b", []string{"X-Timeout", "soon"}, 400},
+		{"invalid timeout", "book", "b", []string{"X-Timeout", "soon"}, 400},
 	} {
-		if resp, _ := g.ask(tt.class, "/api/1", tt.body, tt.headers...); resp.StatusCode != tt.want {
+		if resp, _ := g.request(tt.class, "/api/1", tt.body, tt.headers...); resp.StatusCode != tt.want {
 			t.Errorf("%s: status %d, want %d", tt.name, resp.StatusCode, tt.want)
 		}
 	}
-	if requests, _, _ := server.counts(); requests != 0 {
+	if requests, _, _ := host.counts(); requests != 0 {
 		t.Errorf("the host got %d requests", requests)
 	}
 }
 
-// An unsafe request runs once: it goes out again only after a proof that it did not.
+// An unsafe request runs once: it is sent again only if the first attempt proved not to have run.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -183,105 +184,105 @@
 		status   int
 		requests int
 	}{
-		{"500", says(errored), 502, 1},
-		{"reset", breakOff, 502, 1},
-		{"rejected", says("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		{"500", answerWith(errorAnswer), 502, 1},
+		{"reset", resetConn, 502, 1},
+		{"rejected", answerWith("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), 502, 1},
 		{"turned away", func(c net.Conn, r *http.Request, n int) bool {
-			io.WriteString(c, []string{turnedAway, good}[min(n, 1)])
+			io.WriteString(c, []string{notProcessedAnswer, okAnswer}[min(n, 1)])
 			return true
 		}, 200, 2},
 	} {
-		server := newHost(t, tt.first)
-		g := startGateway(t, testConfig(server))
-		if resp, _ := g.ask("book", "/api/1", "b", "Idempotency-Key", "a client's own"); resp.StatusCode != tt.status {
+		host := newHost(t, tt.first)
+		g := startGateway(t, testConfig(host))
+		if resp, _ := g.request("book", "/api/1", "b", "Idempotency-Key", "a client's own"); resp.StatusCode != tt.status {
 			t.Errorf("%s: status %d, want %d", tt.name, resp.StatusCode, tt.status)
 		}
-		if requests, _, _ := server.counts(); requests != tt.requests {
+		if requests, _, _ := host.counts(); requests != tt.requests {
 			t.Errorf("%s: the host got %d requests, want %d", tt.name, requests, tt.requests)
 		}
 	}
 }
 
-// A safe request that failed is tried again; 4 attempts are the most.
-func TestSafeRequestIsTriedAgain(t *testing.T) {
-	server := newHost(t, says(errored))
-	g := startGateway(t, testConfig(server))
-	if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 503 {
+// A safe request that fails is retried, up to 4 attempts.
+func TestSafeRequestIsRetried(t *testing.T) {
+	host := newHost(t, answerWith(errorAnswer))
+	g := startGateway(t, testConfig(host))
+	if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 503 {
 		t.Errorf("status %d, want a refusal, as trying again is harmless", resp.StatusCode)
 	} else if resp.Header.Get("Retry-After") == "" {
-		t.Error("the refusal does not tell when to come back")
+		t.Error("the refusal has no Retry-After")
 	}
-	if requests, _, _ := server.counts(); requests != 4 {
+	if requests, _, _ := host.counts(); requests != 4 {
 		t.Errorf("%d attempts, want 4", requests)
 	}
 }
 
-// When the client has gone, the attempt is called off and the request forgotten.
+// When the client has left, the attempt is canceled and the request released.
 func TestClientGone(t *testing.T) {
-	server := newHost(t, hang)
-	g := startGateway(t, testConfig(server))
+	host := newHost(t, neverAnswer)
+	g := startGateway(t, testConfig(host))
 	for _, head := range []string{
 		"GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: look\r\n\r\n",
 		"POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: book\r\nContent-Length: 4\r\n\r\nbody",
 	} {
-		before, _, _ := server.counts()
+		before, _, _ := host.counts()
 		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(c, head)
 		until(t, "the host has the request", func() bool {
-			requests, _, _ := server.counts()
+			requests, _, _ := host.counts()
 			return requests == before+1
 		})
 		c.Close()
 		until(t, "the host sees its connection end", func() bool {
-			_, accepted, ended := server.counts()
+			_, accepted, ended := host.counts()
 			return accepted == ended
 		})
-		until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
-		if requests, _, _ := server.counts(); requests != before+1 {
-			t.Error("it went out again with nobody waiting")
+		until(t, "the request is released", func() bool { return g.openRequests() == 0 })
+		if requests, _, _ := host.counts(); requests != before+1 {
+			t.Error("it was sent again after its client had left")
 		}
 	}
 }
 
-// X-Timeout, not the deadline of the class (a minute here), says when to answer.
+// The answer is due by X-Timeout, not by the deadline of the class (a minute here).
 func TestDeadline(t *testing.T) {
-	server := newHost(t, hang)
-	g := startGateway(t, testConfig(server))
-	resp, _ := g.ask("book", "/api/1", "b", "X-Timeout", "0.3")
-	if requests, _, _ := server.counts(); requests == 1 && resp.StatusCode != 502 || requests > 1 {
+	host := newHost(t, neverAnswer)
+	g := startGateway(t, testConfig(host))
+	resp, _ := g.request("book", "/api/1", "b", "X-Timeout", "0.3")
+	if requests, _, _ := host.counts(); requests == 1 && resp.StatusCode != 502 || requests > 1 {
 		t.Errorf("%d requests at the host, status %d", requests, resp.StatusCode)
 	}
 	until(t, "the host sees its connection end", func() bool {
-		_, accepted, ended := server.counts()
+		_, accepted, ended := host.counts()
 		return accepted == ended
 	})
-	until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
+	until(t, "the request is released", func() bool { return g.openRequests() == 0 })
 }
 
-// The client has its one answer in time even if the loop is stuck.
-func TestAnswerWhenTheLoopIsLate(t *testing.T) {
-	server := newHost(t, says(good))
-	g := startGateway(t, testConfig(server))
+// A client gets exactly one answer in time even if the loop is stuck.
+func TestAnswerWhenLoopIsStuck(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
+	g := startGateway(t, testConfig(host))
 	stuck := make(chan struct{})
 	g.loop.post(func(lynxspool.Time) { <-stuck })
-	resp, _ := g.ask("look", "/api/1", "", "X-Timeout", "0.2")
+	resp, _ := g.request("look", "/api/1", "", "X-Timeout", "0.2")
 	if resp.StatusCode != 502 {
 		t.Errorf("status %d, want a failure", resp.StatusCode)
 	}
 	close(stuck)
-	until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
-	if requests, _, _ := server.counts(); requests != 0 {
-		t.Error("it went out after its answer")
+	until(t, "the request is released", func() bool { return g.openRequests() == 0 })
+	if requests, _, _ := host.counts(); requests != 0 {
+		t.Error("it was sent after its answer")
 	}
 }
 
-// A front may send clients only when there are hosts to serve them.
+// The health check succeeds only if there are hosts that can serve requests.
 func TestHealth(t *testing.T) {
 	g := startGateway(t, testConfig())
-	get := func() int { resp, _ := g.ask("look", "/_health", ""); return resp.StatusCode }
+	get := func() int { resp, _ := g.request("look", "/_health", ""); return resp.StatusCode }
 	if status := get(); status != 503 {
 		t.Errorf("with no hosts: status %d", status)
 	}
@@ -296,20 +297,20 @@
 	}
 }
 
-// Nothing new goes to a host that the list calls draining or gone, nor to its old
-// address when it has moved.
-func TestListIsFollowed(t *testing.T) {
-	first, second := newHost(t, says(good)), newHost(t, says(good))
+// No new request is sent to a host that is draining or gone, or to the old address of one that has
+// moved.
+func TestListChangesAreApplied(t *testing.T) {
+	first, second := newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(first, second))
 	member := func(id string, h *testHost, state string) Member {
 		return Member{ID: id, Addr: h.addr(), State: state}
 	}
-	asks := func(what string, kind lynxspool.ListKind, want *testHost, list ...Member) {
+	applyList := func(what string, kind lynxspool.ListKind, want *testHost, list ...Member) {
 		g.loop.HandleList(kind, MemberList{Servers: list})
 		a, _, _ := first.counts()
 		b, _, _ := second.counts()
 		for range 8 {
-			if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 200 {
+			if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
 				t.Errorf("%s: status %d", what, resp.StatusCode)
 			}
 		}
@@ -319,14 +320,15 @@
 			t.Errorf("%s: %d and %d requests", what, x-a, y-b)
 		}
 	}
-	asks("draining", lynxspool.ListChanges, second, member("s-0", first, "draining"))
-	asks("a state unheard of", lynxspool.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
-	asks("gone", lynxspool.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
-	asks("absent from a full list", lynxspool.ListFull, first, member("s-0", first, "ready"))
-	asks("moved", lynxspool.ListChanges, second, member("s-0", second, "ready"))
+	applyList("draining", lynxspool.ListChanges, second, member("s-0", first, "draining"))
+	applyList("an unknown state", lynxspool.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
+	applyList("gone", lynxspool.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
+	applyList("absent from a full list", lynxspool.ListFull, first, member("s-0", first, "ready"))
+	applyList("moved", lynxspool.ListChanges, second, member("s-0", second, "ready"))
 }
 
-// Ids must map alike at every gateway and after a restart, and apart from one another.
+// An id must have the same number at every gateway and after a restart, and different ids different
+// numbers.
 func TestHostIDs(t *testing.T) {
 	seen := map[lynxspool.HostID]string{}
 	for i := range 1000 {
@@ -336,14 +338,14 @@
 		}
 		seen[hostID(id)] = id
 	}
-	// FNV-1a of "a" as its authors publish it: another build must agree.
+	// The published FNV-1a hash of "a": another build must agree.
 	if got := hostID("a"); got != 0xaf63dc4c8601ec8c {
 		t.Errorf("%x is not the published hash", got)
 	}
 }
 
 // started_ms is Unix time, and the module's clock must agree with it.
-func TestStartTimesAreOnTheModulesClock(t *testing.T) {
+func TestStartTimesAgreeWithModuleClock(t *testing.T) {
 	c := clock{time.Now()}
 	at := time.Now().Add(-3 * time.Second)
 	started := lynxspool.Time(at.UnixMilli()) * lynxspool.Time(time.Millisecond)
@@ -355,23 +357,23 @@
 	}
 }
 
-// garbled is a line that cannot be read.
-const garbled = "no list"
+// malformedLine is a line that cannot be parsed.
+const malformedLine = "no list"
 
-// watchServer is discovery on a loopback socket: what is sent on lines goes to the
-// watch that is on; an empty string ends it.
+// watchServer is a discovery service on a loopback socket. What is sent on lines goes to the watch
+// that is open; an empty string ends it.
 type watchServer struct {
 	*httptest.Server
 	lines chan string
 	mu    sync.Mutex
-	index []string // as asked for
+	calls []string // path, stream and index of each call
 }
 
 func newWatchServer(t *testing.T) *watchServer {
 	s := &watchServer{lines: make(chan string)}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.index = append(s.index, r.URL.Path+" "+r.FormValue("stream")+" "+r.FormValue("index"))
+		s.calls = append(s.calls, r.URL.Path+" "+r.FormValue("stream")+" "+r.FormValue("index"))
 		s.mu.Unlock()
 		w.(http.Flusher).Flush()
 		for {
@@ -382,7 +384,7 @@
 				}
 				fmt.Fprintln(w, line)
 				w.(http.Flusher).Flush()
-				if line == garbled {
+				if line == malformedLine {
 					return
 				}
 			case <-r.Context().Done():
@@ -394,10 +396,10 @@
 	return s
 }
 
-// A watch that ends is begun anew from the version told last; a line that cannot be
-// read has lost something, so that the whole list is asked for.
+// After a watch ends, a new one begins from the version received last. After a line that cannot be
+// parsed, the full list is requested, as changes have been lost.
 func TestWatchLost(t *testing.T) {
-	first, second := newHost(t, says(good)), newHost(t, says(good))
+	first, second := newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))
 	cfg := testConfig(first)
 	cfg.Known.Version = 41
 	disco := newWatchServer(t)
@@ -410,7 +412,7 @@
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	tell := func(version int, full bool, m ...Member) {
+	sendList := func(version int, full bool, m ...Member) {
 		var list []string
 		for _, m := range m {
 			list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m2","cell":3,"state":%q,"weight":1.0,"started_ms":0}`,
@@ -418,31 +420,31 @@
 		}
 		disco.lines <- fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(list, ","))
 	}
-	reaches := func(what string, h *testHost) {
+	untilUsed := func(what string, h *testHost) {
 		before, _, _ := h.counts()
 		until(t, what, func() bool {
-			g.ask("look", "/api/1", "")
+			g.request("look", "/api/1", "")
 			n, _, _ := h.counts()
 			return n > before
 		})
 	}
-	tell(42, false, Member{ID: "s-1", Addr: second.addr(), State: "ready"})
-	reaches("a host among the changes is used", second)
+	sendList(42, false, Member{ID: "s-1", Addr: second.addr(), State: "ready"})
+	untilUsed("a host among the changes is used", second)
 	disco.lines <- ""
-	tell(43, false, Member{ID: "s-1", Addr: second.addr(), State: "gone"})
-	reaches("the host that stays is used", first)
-	disco.lines <- garbled
-	tell(44, true, Member{ID: "s-1", Addr: second.addr(), State: "ready"})
-	reaches("the host of the whole list is used", second)
+	sendList(43, false, Member{ID: "s-1", Addr: second.addr(), State: "gone"})
+	untilUsed("the host that stays is used", first)
+	disco.lines <- malformedLine
+	sendList(44, true, Member{ID: "s-1", Addr: second.addr(), State: "ready"})
+	untilUsed("the host of the whole list is used", second)
 	disco.mu.Lock()
 	defer disco.mu.Unlock()
-	if got, want := strings.Join(disco.index, ", "), pathMembers+" 1 41, "+pathMembers+" 1 42, "+pathMembers+" 1 0"; got != want {
+	if got, want := strings.Join(disco.calls, ", "), pathMembers+" 1 41, "+pathMembers+" 1 42, "+pathMembers+" 1 0"; got != want {
 		t.Errorf("watches of %s, want %s", got, want)
 	}
 }
 
-// A watch on which nothing comes, not even an empty line, is begun anew: discovery
-// may have gone without a word.
+// A watch on which nothing arrives, not even an empty line, is reopened: its connection may be
+// dead.
 func TestSilentWatch(t *testing.T) {
 	cfg := testConfig()
 	disco := newWatchServer(t)
@@ -456,23 +458,23 @@
 	until(t, "a second watch", func() bool {
 		disco.mu.Lock()
 		defer disco.mu.Unlock()
-		return len(disco.index) > 1
+		return len(disco.calls) > 1
 	})
 }
 
-// Where the list must be asked for, too: what a silent watch missed counts as notified while the
-// module would still wait for its turn to ask, so it is begun anew at once, once asked for.
-// That holds as well for one that never said more than that it is open.
-func TestSilentWatchIsNotWaitedFor(t *testing.T) {
+// A silent watch that the module has requested is reopened at once, without a new request: what it
+// has missed would count as notified while the module waits for its next call. That also holds for
+// a watch that was opened and never sent anything.
+func TestSilentWatchIsReopenedAtOnce(t *testing.T) {
 	for name, lines := range map[string][]string{
 		"after a line":   {`{"version":50,"full":false,"servers":[]}`},
 		"from its start": nil,
 	} {
-		t.Run(name, func(t *testing.T) { silentWatch(t, lines) })
+		t.Run(name, func(t *testing.T) { testSilentWatch(t, lines) })
 	}
 }
 
-func silentWatch(t *testing.T, lines []string) {
+func testSilentWatch(t *testing.T, lines []string) {
 	cfg := testConfig()
 	cfg.Settings.WatchHosts = true
 	disco := newWatchServer(t)
@@ -481,25 +483,25 @@
 	d.silenceTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	told := make(lists, 8)
-	go d.Run(ctx, told)
+	received := make(listRecorder, 8)
+	go d.Run(ctx, received)
 	d.Watch()
 	for _, line := range lines {
 		disco.lines <- line
 	}
-	until(t, "a second watch, asked for once", func() bool {
+	until(t, "a second watch after one request for it", func() bool {
 		disco.mu.Lock()
 		defer disco.mu.Unlock()
-		return len(disco.index) > 1
+		return len(disco.calls) > 1
 	})
-	for len(told) > 0 {
-		if kind := <-told; kind == lynxspool.ListFailed {
-			t.Error("the module was told of a failure that it would wait for")
+	for len(received) > 0 {
+		if kind := <-received; kind == lynxspool.ListFailed {
+			t.Error("a failure was reported to the module, which would wait")
 		}
 	}
 }
 
-// Where the list must be asked for, the module decides when, and hears of failures.
+// If the module asks for watches, it decides when one begins, and failures are reported to it.
 func TestWatchOnlyWhenAsked(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.WatchHosts = true
@@ -514,17 +516,17 @@
 		d.Watch()
 		disco.lines <- ""
 		disco.mu.Lock()
-		if len(disco.index) != n {
-			t.Errorf("%d watches after asking %d times", len(disco.index), n)
+		if len(disco.calls) != n {
+			t.Errorf("%d watches after %d requests for one", len(disco.calls), n)
 		}
 		disco.mu.Unlock()
 	}
 }
 
-// Idle clients' connections make room for those that bring requests.
-func TestIdleClientsMakeRoom(t *testing.T) {
-	server := newHost(t, says(good))
-	cfg := testConfig(server)
+// Idle connections of clients are closed to make room for new ones with requests.
+func TestIdleClientsAreEvicted(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
+	cfg := testConfig(host)
 	cfg.Sockets = 64
 	g := startGateway(t, cfg)
 	budget := g.server.connBudget
@@ -544,7 +546,7 @@
 		if text, err := io.ReadAll(resp.Body); string(text) != "good" {
 			t.Fatalf("connection %d: %q, %v", i, text, err)
 		}
-		// The answer may be here before the server has noted that its connection is idle.
+		// The answer may arrive before the server has recorded that the connection is idle.
 		until(t, "the connection is idle", func() bool {
 			g.server.mu.Lock()
 			defer g.server.mu.Unlock()
@@ -562,9 +564,9 @@
 		defer g.server.mu.Unlock()
 		return len(g.server.conns) <= budget
 	})
-	idle[0].SetReadDeadline(time.Now().Add(patience))
+	idle[0].SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection idle longest: %v, want its end", err)
+		t.Errorf("the connection that was idle for longest: %v, want it closed", err)
 	}
 }
 
@@ -578,38 +580,38 @@
 	}
 }
 
-// After a change of the settings requests come under the new classes, on connections and
-// hosts that stay as they are; a class that is no more is answered 400.
-func TestRetune(t *testing.T) {
-	server := newHost(t, says(errored))
-	g := startGateway(t, testConfig(server))
+// After a change of the settings, requests are handled by the new classes on the same connections
+// and hosts. A class that was removed is answered with 400.
+func TestUpdateRules(t *testing.T) {
+	host := newHost(t, answerWith(errorAnswer))
+	g := startGateway(t, testConfig(host))
 	next := g.cfg.Rules
 	next.Settings.Classes = []lynxspool.Class{
 		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.AtMostOnce},
 		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.AtMostOnce},
 	}
 	next.Classes = map[string]int{"look": 0, "haul": 1}
-	if resp, _ := g.ask("haul", "/api/1", "b"); resp.StatusCode != 400 {
-		t.Errorf("status %d for a class yet to come", resp.StatusCode)
+	if resp, _ := g.request("haul", "/api/1", "b"); resp.StatusCode != 400 {
+		t.Errorf("status %d for a class that does not exist yet", resp.StatusCode)
 	}
 	g.loop.UpdateRules(&next)
 	g.loop.Sync()
-	if resp, _ := g.ask("book", "/api/1", "b"); resp.StatusCode != 400 {
-		t.Errorf("status %d for a class that is gone", resp.StatusCode)
+	if resp, _ := g.request("book", "/api/1", "b"); resp.StatusCode != 400 {
+		t.Errorf("status %d for a class that was removed", resp.StatusCode)
 	}
-	if resp, _ := g.ask("haul", "/api/1", "b"); resp.StatusCode != 502 {
+	if resp, _ := g.request("haul", "/api/1", "b"); resp.StatusCode != 502 {
 		t.Errorf("status %d for a new class", resp.StatusCode)
 	}
-	g.ask("look", "/api/1", "") // it was safe to repeat
-	if requests, _, _ := server.counts(); requests != 2 {
+	g.request("look", "/api/1", "") // it was safe to retry under the old rules
+	if requests, _, _ := host.counts(); requests != 2 {
 		t.Errorf("the host got %d requests, want each once", requests)
 	}
 }
 
-// The rules may change between the head of a request and its last byte: it is told to
-// the module by what it is under those in force then.
-func TestRetuneUnderARequest(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good))))
+// The rules may change between the head of a request and its last byte. The request is passed to
+// the module by the rules that are then in force.
+func TestUpdateRulesDuringRequest(t *testing.T) {
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	next := g.cfg.Rules
 	next.Settings.Classes = []lynxspool.Class{g.cfg.Settings.Classes[1]}
 	next.Classes = map[string]int{"book": 0}
@@ -626,17 +628,17 @@
 			if a.kind != want {
 				t.Errorf("%s: answer %v, want %v", class, a.kind, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatalf("%s: no answer", class)
 		}
 	}
 }
 
-// A process that shares its listener accepts once discovery has spoken; what it knew
-// before may be old.
-func TestListedOnceDiscoveryHasSpoken(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good))))
-	heard := func() bool {
+// A process that shares its listener accepts connections once discovery has sent a list: what it
+// knew before may be old.
+func TestListedAfterListFromDiscovery(t *testing.T) {
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
+	listed := func() bool {
 		g.loop.Sync()
 		select {
 		case <-g.loop.Listed():
@@ -646,59 +648,59 @@
 		}
 	}
 	g.loop.HandleList(lynxspool.ListFailed, MemberList{})
-	if heard() {
-		t.Error("the list of the file, or a failed call, counts as heard")
+	if listed() {
+		t.Error("a saved list, or a failed call, counts as a list from discovery")
 	}
 	g.loop.HandleList(lynxspool.ListChanges, MemberList{})
 	g.loop.HandleList(lynxspool.ListChanges, MemberList{})
-	if !heard() {
-		t.Error("a list from discovery does not count as heard")
+	if !listed() {
+		t.Error("a list from discovery does not count")
 	}
 }
 
-// Gateways that lose discovery together come back to it spread out.
-func TestBackOffIsJittered(t *testing.T) {
+// Gateways that lose discovery together must return to it at different times.
+func TestBackoffIsJittered(t *testing.T) {
 	const d = time.Second
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 1000 {
 		j := jitter(d)
-		least, most = min(least, j), max(most, j)
+		shortest, longest = min(shortest, j), max(longest, j)
 	}
-	if least < 0 || most >= 2*d || most-least < d {
-		t.Errorf("waits from %v to %v for %v", least, most, d)
+	if shortest < 0 || longest >= 2*d || longest-shortest < d {
+		t.Errorf("waits from %v to %v for %v", shortest, longest, d)
 	}
 }
 
-// versions records the versions that discovery tells.
-type versions struct {
-	mu   sync.Mutex
-	told []uint64
+// versionRecorder is a ListHandler that records the versions it receives.
+type versionRecorder struct {
+	mu       sync.Mutex
+	received []uint64
 }
 
-func (v *versions) HandleList(kind lynxspool.ListKind, l MemberList) {
+func (v *versionRecorder) HandleList(kind lynxspool.ListKind, l MemberList) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told = append(v.told, l.Version)
+	v.received = append(v.received, l.Version)
 }
 
-func (v *versions) String() string {
+func (v *versionRecorder) String() string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return fmt.Sprint(v.told)
+	return fmt.Sprint(v.received)
 }
 
-// A watch that ends goes on at the next instance from the version it has; a list older
-// than that, from an instance that lags, is not taken, and the next one is asked.
-func TestOlderListRefusedAtTheNextInstance(t *testing.T) {
+// After a watch ends, the next instance is watched from the version received last. An older list,
+// from an instance that lags behind, is rejected, and the next instance is called.
+func TestOlderListOfNextInstanceIsRejected(t *testing.T) {
 	a, b := newWatchServer(t), newWatchServer(t)
 	cfg := testConfig()
 	cfg.Discovery = strings.TrimPrefix(a.URL, "http://") + "," + strings.TrimPrefix(b.URL, "http://")
 	d := NewDiscovery(cfg)
-	told := &versions{}
+	recorder := &versionRecorder{}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		d.Run(ctx, told)
+		d.Run(ctx, recorder)
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
@@ -706,13 +708,13 @@
 	a.lines <- ""
 	b.lines <- `{"version":7,"full":true,"servers":[]}`
 	a.lines <- `{"version":11,"full":false,"servers":[]}`
-	until(t, "version 11", func() bool { return strings.HasSuffix(told.String(), " 11]") })
-	if got := told.String(); got != "[10 11]" {
-		t.Errorf("told %s, want [10 11]", got)
+	until(t, "version 11", func() bool { return strings.HasSuffix(recorder.String(), " 11]") })
+	if got := recorder.String(); got != "[10 11]" {
+		t.Errorf("received the versions %s, want [10 11]", got)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.index) != 1 || !strings.HasSuffix(b.index[0], " 10") {
-		t.Errorf("watches at the second instance: %v, want one from 10", b.index)
+	if len(b.calls) != 1 || !strings.HasSuffix(b.calls[0], " 10") {
+		t.Errorf("watches at the second instance: %v, want one from 10", b.calls)
 	}
 }
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -13,9 +13,10 @@
 
 const lookHead = "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: look\r\n\r\n"
 
-// Clients that leave while their requests wait for a host are not sent on when one comes;
-// who stayed is served. So it is with a crowd that leaves at once, and in every way to leave.
-func TestWhoLeftWhileWaitingIsNotSentOn(t *testing.T) {
+// A client leaves while its request waits for a host: no attempt is made when a host becomes
+// available. Clients that stay are served. Tested with many clients that leave at once, and every
+// way to leave.
+func TestNoAttemptForClientGoneWhileQueued(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){
 		"by a close":      func(c net.Conn) { c.Close() },
 		"by a half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
@@ -24,35 +25,35 @@
 			c.Close()
 		},
 	} {
-		host := newHost(t, says(good))
+		host := newHost(t, answerWith(okAnswer))
 		cfg := testConfig(host)
-		cfg.Settings.Classes[0].LatencyTarget = cfg.Settings.Classes[0].Deadline // it waits for a share of that
+		cfg.Settings.Classes[0].LatencyTarget = cfg.Settings.Classes[0].Deadline // requests wait in the queue for a share of that
 		cfg.Known.Servers[0].State = "draining"
 		g := startGateway(t, cfg)
-		var crowd []net.Conn
+		var leaving []net.Conn
 		for range 40 {
-			crowd = append(crowd, g.openConn(lookHead))
+			leaving = append(leaving, g.openConn(lookHead))
 		}
-		stays := g.openConn(lookHead)
-		until(t, "all wait", func() bool { return g.openRequests() == len(crowd)+1 })
-		for _, c := range crowd {
+		remaining := g.openConn(lookHead)
+		until(t, "all wait", func() bool { return g.openRequests() == len(leaving)+1 })
+		for _, c := range leaving {
 			leave(c)
 		}
-		until(t, name+": those who left are forgotten", func() bool { return g.openRequests() == 1 })
+		until(t, name+": the requests of clients that left are released", func() bool { return g.openRequests() == 1 })
 		cfg.Known.Servers[0].State = "ready"
 		g.loop.HandleList(lynxspool.ListFull, cfg.Known)
-		if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != 200 {
-			t.Errorf("%s: who stayed got %v, %v", name, resp, err)
+		if resp, err := http.ReadResponse(bufio.NewReader(remaining), nil); err != nil || resp.StatusCode != 200 {
+			t.Errorf("%s: the client that stayed got %v, %v", name, resp, err)
 		}
 		if n, _, _ := host.counts(); n != 1 {
-			t.Errorf("%s: the host got %d requests, one client waits", name, n)
+			t.Errorf("%s: the host got %d requests for one client that waits", name, n)
 		}
 	}
 }
 
-// Nor is one sent on whose connection to a host comes up only after its client has left.
-func TestWhoLeftDuringASlowDialIsNotSentOn(t *testing.T) {
-	host := newHost(t, says(good))
+// A request whose client leaves during the dial to a host is not sent.
+func TestNoAttemptForClientGoneDuringDial(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	dialling, left := make(chan struct{}, 8), make(chan struct{})
 	g.loop.pool.dialer.Control = func(string, string, syscall.RawConn) error {
@@ -75,20 +76,20 @@
 		return <-x
 	})
 	close(left)
-	until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
+	until(t, "the request is released", func() bool { return g.openRequests() == 0 })
 	if n, _, _ := host.counts(); n != 0 {
 		t.Errorf("the host got %d requests", n)
 	}
-	until(t, "no connection is left over", func() bool {
+	until(t, "no connection is in use", func() bool {
 		open, idle := g.loop.pool.counts(g.loop.hosts[hostID("s-0")])
 		return open == idle
 	})
 }
 
-// A client that leaves while its answer is passed on ends the attempt at the host.
-func TestWhoLeftWhileAnsweredEndsTheAttempt(t *testing.T) {
+// A client that leaves while its answer is streamed ends the attempt at the host.
+func TestClientGoneDuringAnswerEndsAttempt(t *testing.T) {
 	host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+string(text(1000)))
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+string(testBytes(1000)))
 		return true
 	})
 	g := startGateway(t, testConfig(host))
@@ -101,20 +102,19 @@
 		_, accepted, ended := host.counts()
 		return accepted == 1 && ended == 1
 	})
-	until(t, "the request is forgotten", func() bool { return g.openRequests() == 0 })
+	until(t, "the request is released", func() bool { return g.openRequests() == 0 })
 }
 
-// Bytes that nobody has read hide the end of a connection from who reads it: those behind a
-// request, and a body that is sent on only once there is a host. Clients that leave like that
-// are not sent on either, be it that their requests wait for a host, one after the other or in
-// a crowd, or for a connection to it, or for a repeat; those who stay are.
-func TestWhoLeftBehindUnreadBytesIsNotSentOn(t *testing.T) {
-	const long = 150_000 // more than is kept, less than the receive buffer takes
+// Unread bytes hide the end of a connection from its reader: bytes behind a request, and a body
+// that is read only once there is a host. No attempt is made for clients that have left behind such
+// bytes, while clients that stay are served.
+func TestNoAttemptForClientGoneBehindUnreadBytes(t *testing.T) {
+	const long = 150_000 // longer than what is buffered, shorter than the receive buffer
 	heads := map[string]string{
 		"part of another request": lookHead + "GET /api/2 HTTP/1.1\r\nHost: a\r\nX-Req",
 		"another request":         lookHead + lookHead,
 		"a long body": "POST /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: book\r\n" +
-			"Content-Length: 150000\r\n\r\n" + string(text(long)),
+			"Content-Length: 150000\r\n\r\n" + string(testBytes(long)),
 	}
 	leaves := map[string]func(net.Conn){
 		"a close":      func(c net.Conn) { c.Close() },
@@ -127,31 +127,31 @@
 	for what, head := range heads {
 		for how, leave := range leaves {
 			t.Run(what+", "+how, func(t *testing.T) {
-				whoLeft(t, head, leave)
+				testGoneClients(t, head, leave)
 			})
 		}
 	}
 }
 
-func whoLeft(t *testing.T, head string, leave func(net.Conn)) {
-	host := newHost(t, says(good))
+func testGoneClients(t *testing.T, head string, leave func(net.Conn)) {
+	host := newHost(t, answerWith(okAnswer))
 	cfg := testConfig(host)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].LatencyTarget = cfg.Settings.Classes[i].Deadline // they wait for a share of that
+		cfg.Settings.Classes[i].LatencyTarget = cfg.Settings.Classes[i].Deadline // requests wait in the queue for a share of that
 	}
 	cfg.Known.Servers[0].State = "draining"
 	g := startGateway(t, cfg)
-	const crowd = 20
+	const leavingCount = 20
 	var conns []net.Conn
-	for range crowd {
+	for range leavingCount {
 		conns = append(conns, g.openConn(head))
 	}
-	stays := g.openConn(head)
-	until(t, "all wait", func() bool { return g.openRequests() == crowd+1 })
+	remaining := g.openConn(head)
+	until(t, "all wait", func() bool { return g.openRequests() == leavingCount+1 })
 	for _, c := range conns {
 		leave(c)
 	}
-	until(t, "their ends have come", func() bool {
+	until(t, "the ends of their connections have arrived", func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
 		there := 0
@@ -164,12 +164,12 @@
 	})
 	cfg.Known.Servers[0].State = "ready"
 	g.loop.HandleList(lynxspool.ListFull, cfg.Known)
-	if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("who stayed got %v, %v", resp, err)
+	if resp, err := http.ReadResponse(bufio.NewReader(remaining), nil); err != nil || resp.StatusCode != 200 {
+		t.Errorf("the client that stayed got %v, %v", resp, err)
 	}
-	stays.Close()
-	until(t, "all are forgotten", func() bool { return g.openRequests() == 0 })
-	if n, _, _ := host.counts(); n > 2 { // who stays may have asked for two
+	remaining.Close()
+	until(t, "all are released", func() bool { return g.openRequests() == 0 })
+	if n, _, _ := host.counts(); n > 2 { // the client that stays may have sent two
 		t.Errorf("the host got %d requests, one client stayed", n)
 	}
 }
--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	patience  = 20 * time.Second // for a condition: long, as machines are noisy
-	pollEvery = 2 * time.Millisecond
+	waitTimeout  = 20 * time.Second // long, as the machine may be busy
+	pollInterval = 2 * time.Millisecond
 )
 
 // until waits for a condition.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("gave up waiting: %s", what)
 		}
@@ -42,8 +42,9 @@
 	bodies   []string
 }
 
-// newHost starts a host. For each request, counted from 0 over all connections, the
-// script writes to the connection and says whether it stays open.
+// newHost starts a host. The script is called for each request with its number, counted from 0 over
+// all connections. It writes the answer to the connection and returns whether the connection stays
+// open.
 func newHost(t *testing.T, script func(c net.Conn, r *http.Request, n int) bool) *testHost {
 	t.Helper()
 	return newHostOn(t, listen(t, "127.0.0.1:0", nil), script)
@@ -88,7 +89,7 @@
 			return
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil { // it did not come whole
+		if err != nil { // the body is incomplete
 			h.mu.Lock()
 			h.ended++
 			h.mu.Unlock()
@@ -107,16 +108,16 @@
 
 func (h *testHost) addr() string { return h.Listener.Addr().String() }
 
-// counts returns the requests that came whole, the connections accepted and those
-// that the gateway has ended.
+// counts returns the numbers of complete requests, of accepted connections and of connections that
+// the gateway has closed.
 func (h *testHost) counts() (requests, accepted, ended int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.requests), h.accepted, h.ended
 }
 
-// says is a script that writes the same answer each time.
-func says(text string) func(net.Conn, *http.Request, int) bool {
+// answerWith returns a script that always writes the same answer.
+func answerWith(text string) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(c, text)
 		return true
@@ -124,51 +125,52 @@
 }
 
 const (
-	good       = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
-	errored    = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
-	turnedAway = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+	okAnswer           = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+	errorAnswer        = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+	notProcessedAnswer = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// hang answers nothing; the host goes on reading, and so sees the connection end.
-func hang(net.Conn, *http.Request, int) bool { return true }
+// neverAnswer is a script that sends no answer. The host keeps reading, so that it sees the
+// connection end.
+func neverAnswer(net.Conn, *http.Request, int) bool { return true }
 
-// breakOff resets the connection.
-func breakOff(c net.Conn, _ *http.Request, _ int) bool {
+// resetConn is a script that resets the connection.
+func resetConn(c net.Conn, _ *http.Request, _ int) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
 func newTestPool() *Pool {
-	return NewPool(&Config{ConnIdle: time.Minute, DialTimeout: patience, Sockets: 1024})
+	return NewPool(&Config{ConnIdle: time.Minute, DialTimeout: waitTimeout, Sockets: 1024})
 }
 
-// pooled is a host as the loop keeps it.
-func pooled(p *Pool, addr string) *host {
+// newPoolHost returns a host as the loop would create it.
+func newPoolHost(p *Pool, addr string) *host {
 	h := &host{id: "s-1"}
 	p.updateHost(h, addr, 0, true)
 	return h
 }
 
-// newTry is an attempt that no loop follows.
-func newTry() *attempt {
+// newAttempt returns an attempt without a loop.
+func newAttempt() *attempt {
 	return &attempt{cancel: func(error) {}, onUploadComplete: func() {}, onResponseStarted: func() {}, chargedFrom: time.Now()}
 }
 
 func newExchange(body string) *exchange {
 	x := &exchange{
 		method: http.MethodPost, uri: "/api/1", host: "service.internal", header: http.Header{},
-		body: []byte(body), timeout: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1),
+		body: []byte(body), timeout: waitTimeout, deadline: time.Now().Add(waitTimeout), answer: make(chan answer, 1),
 		capDeadline: func(t time.Time) time.Time { return t },
 	}
 	return x
 }
 
-// tryOnce makes one attempt with plenty of time.
-func tryOnce(t *testing.T, p *Pool, h *host, x *exchange) (lynxspool.Result, answer) {
+// attemptOnce runs one attempt with plenty of time.
+func attemptOnce(t *testing.T, p *Pool, h *host, x *exchange) (lynxspool.Result, answer) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	return p.runAttempt(ctx, h, x, newTry())
+	return p.runAttempt(ctx, h, x, newAttempt())
 }
 
 func (p *Pool) counts(h *host) (open, idle int) {
@@ -177,23 +179,23 @@
 	return p.openConns, len(p.idle[h])
 }
 
-// What a host answers decides whether the request may have run: a wrong result here
-// would let an unsafe request run twice.
+// The answer of a host decides whether the request may have run: a wrong result here would let an
+// unsafe request run twice.
 func TestAnswersAndTheirResults(t *testing.T) {
 	tests := []struct {
 		name, answer string
 		want         lynxspool.Result
-		kept         int // connections kept for the next attempt
+		wantConns    int // connections kept for the next attempt
 	}{
-		{"good", good, lynxspool.OK, 1},
-		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + good, lynxspool.OK, 1},
+		{"good", okAnswer, lynxspool.OK, 1},
+		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, lynxspool.OK, 1},
 		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.OK, 1},
 		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", lynxspool.OK, 0},
-		{"error", errored, lynxspool.Failed, 1},
+		{"error", errorAnswer, lynxspool.Failed, 1},
 		{"request at fault", "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", lynxspool.Rejected, 1},
 		{"request without an id", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", lynxspool.Rejected, 1},
 		{"no answer of a host's", "HTTP/1.1 302 Elsewhere\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"turned away", turnedAway, lynxspool.Full, 1},
+		{"turned away", notProcessedAnswer, lynxspool.Full, 1},
 		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", lynxspool.Full, 1},
 		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
 		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
@@ -216,32 +218,32 @@
 		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ngood", lynxspool.Failed, 0},
 		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: 4x\r\n\r\ngood", lynxspool.Failed, 0},
 		{"an encoding that is none", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chonked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.Failed, 0},
-		{"many ahead of the answer", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 4000) + good, lynxspool.Failed, 0},
+		{"many ahead of the answer", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 4000) + okAnswer, lynxspool.Failed, 0},
 		{"no body by its status", "HTTP/1.1 204 None\r\n\r\n", lynxspool.Failed, 1},
 		{"no HTTP", "\x8f\x00\r\n\r\n", lynxspool.Failed, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, server := newTestPool(), newHost(t, says(tt.answer))
-			h := pooled(p, server.addr())
-			got, a := tryOnce(t, p, h, newExchange("b"))
+			p, host := newTestPool(), newHost(t, answerWith(tt.answer))
+			h := newPoolHost(p, host.addr())
+			got, a := attemptOnce(t, p, h, newExchange("b"))
 			if got != tt.want {
 				t.Errorf("result %v, want %v", got, tt.want)
 			}
 			if body := string(a.body); (got == lynxspool.OK) != (body == "good") {
 				t.Errorf("result %v with the body %q", got, body)
 			}
-			if open, idle := p.counts(h); open != tt.kept || idle != tt.kept {
-				t.Errorf("%d connections open and %d idle, want %d", open, idle, tt.kept)
+			if open, idle := p.counts(h); open != tt.wantConns || idle != tt.wantConns {
+				t.Errorf("%d connections open and %d idle, want %d", open, idle, tt.wantConns)
 			}
-			if requests, _, _ := server.counts(); requests != 1 {
+			if requests, _, _ := host.counts(); requests != 1 {
 				t.Errorf("the host got %d requests", requests)
 			}
 		})
 	}
 }
 
-// A body that ends early is not served.
+// An answer whose body ends early is not served.
 func TestCutShortBody(t *testing.T) {
 	for name, text := range map[string]string{
 		"announced": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood",
@@ -249,12 +251,12 @@
 		"no answer": "",
 	} {
 		p := newTestPool()
-		server := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, text)
 			return false
 		})
-		h := pooled(p, server.addr())
-		if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.Reset {
+		h := newPoolHost(p, host.addr())
+		if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.Reset {
 			t.Errorf("%s: result %v, want Reset", name, got)
 		}
 		if open, _ := p.counts(h); open != 0 {
@@ -266,9 +268,9 @@
 func TestConnectionRefused(t *testing.T) {
 	p := newTestPool()
 	ln := listen(t, "127.0.0.1:0", nil)
-	h := pooled(p, ln.Addr().String())
+	h := newPoolHost(p, ln.Addr().String())
 	ln.Close()
-	if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.ConnectFailed {
+	if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	if open, _ := p.counts(h); open != 0 {
@@ -276,7 +278,7 @@
 	}
 }
 
-// silentAddr is an address that answers no dial, as a machine that has vanished.
+// silentAddr returns an address that does not answer a dial, like a machine that has vanished.
 func silentAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -295,7 +297,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}).String()
-	// Nobody accepts, so once one connection is up the backlog is full.
+	// No connection is accepted, so the backlog is full as soon as one connection is established.
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	up := make(chan struct{}, 8)
@@ -312,9 +314,9 @@
 	return addr
 }
 
-// A machine that has vanished does not answer a dial: it must end by the dial's own time-out
-// or with the time of its request, whichever comes first, as proof that nothing ran. Nothing
-// of it is left over.
+// A machine that has vanished does not answer a dial. The dial must end by its own time-out or by
+// the deadline of its request, whichever is earlier, as a proof that nothing ran, and must leave no
+// connection behind.
 func TestSilentConnect(t *testing.T) {
 	addr := silentAddr(t)
 	for name, c := range map[string]struct {
@@ -322,19 +324,19 @@
 		cause         error
 		want          lynxspool.Result
 	}{
-		"the dial's time":      {100 * time.Millisecond, patience, nil, lynxspool.ConnectFailed},
-		"the request's time":   {patience, 100 * time.Millisecond, context.DeadlineExceeded, lynxspool.ConnectFailed},
-		"no longer wanted":     {patience, 100 * time.Millisecond, context.Canceled, lynxspool.Canceled},
-		"hardly any time left": {patience, patience, context.DeadlineExceeded, lynxspool.NotSent},
+		"the dial's time":                       {100 * time.Millisecond, waitTimeout, nil, lynxspool.ConnectFailed},
+		"the request's time":                    {waitTimeout, 100 * time.Millisecond, context.DeadlineExceeded, lynxspool.ConnectFailed},
+		"canceled":                              {waitTimeout, 100 * time.Millisecond, context.Canceled, lynxspool.Canceled},
+		"deadline shortly after the dial began": {waitTimeout, waitTimeout, context.DeadlineExceeded, lynxspool.NotSent},
 	} {
 		p, x := newTestPool(), newExchange("b")
 		p.dialer.Timeout, x.timeout = c.dial, c.request
-		h := pooled(p, addr)
+		h := newPoolHost(p, addr)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		if c.cause != nil {
-			time.AfterFunc(min(c.request, patience/100), func() { cancel(c.cause) })
+			time.AfterFunc(min(c.request, waitTimeout/100), func() { cancel(c.cause) })
 		}
-		if got, _ := p.runAttempt(ctx, h, x, newTry()); got != c.want {
+		if got, _ := p.runAttempt(ctx, h, x, newAttempt()); got != c.want {
 			t.Errorf("%s: result %v, want %v", name, got, c.want)
 		}
 		cancel(nil)
@@ -344,8 +346,8 @@
 	}
 }
 
-// small makes a socket's buffer so small that a long request does not fit.
-func small(option int) func(string, string, syscall.RawConn) error {
+// smallBuffer returns a control function that makes a socket's buffer too small for a long request.
+func smallBuffer(option int) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) (err error) {
 		cerr := raw.Control(func(fd uintptr) {
 			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, option, 4096)
@@ -358,7 +360,7 @@
 }
 
 func TestResetBeforeTheLastByte(t *testing.T) {
-	ln := listen(t, "127.0.0.1:0", small(syscall.SO_RCVBUF))
+	ln := listen(t, "127.0.0.1:0", smallBuffer(syscall.SO_RCVBUF))
 	defer ln.Close()
 	go func() {
 		for {
@@ -367,38 +369,38 @@
 				return
 			}
 			c.Read(make([]byte, 1))
-			breakOff(c, nil, 0)
+			resetConn(c, nil, 0)
 			c.Close()
 		}
 	}()
 	p := newTestPool()
-	p.dialer.Control = small(syscall.SO_SNDBUF)
-	h := pooled(p, ln.Addr().String())
-	if got, _ := tryOnce(t, p, h, newExchange(strings.Repeat("x", 4*maxBufferedBytes))); got != lynxspool.ConnectFailed {
+	p.dialer.Control = smallBuffer(syscall.SO_SNDBUF)
+	h := newPoolHost(p, ln.Addr().String())
+	if got, _ := attemptOnce(t, p, h, newExchange(strings.Repeat("x", 4*maxBufferedBytes))); got != lynxspool.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 }
 
 func TestResetAfterTheLastByte(t *testing.T) {
-	p, server := newTestPool(), newHost(t, breakOff)
-	if got, _ := tryOnce(t, p, pooled(p, server.addr()), newExchange("b")); got != lynxspool.Reset {
+	p, host := newTestPool(), newHost(t, resetConn)
+	if got, _ := attemptOnce(t, p, newPoolHost(p, host.addr()), newExchange("b")); got != lynxspool.Reset {
 		t.Errorf("result %v, want Reset", got)
 	}
-	if requests, _, _ := server.counts(); requests != 1 {
+	if requests, _, _ := host.counts(); requests != 1 {
 		t.Errorf("the host got %d requests", requests)
 	}
 }
 
-// A connection that the host closed while it was idle must not cost a request.
+// A connection that the host closed while it was idle must not make a request fail.
 func TestStaleIdleConnection(t *testing.T) {
 	p := newTestPool()
-	server := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		io.WriteString(c, good)
+	host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
+		io.WriteString(c, okAnswer)
 		return false
 	})
-	h := pooled(p, server.addr())
+	h := newPoolHost(p, host.addr())
 	for i := range 3 {
-		if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+		if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
 			t.Fatalf("attempt %d: result %v", i, got)
 		}
 		p.mu.Lock()
@@ -412,16 +414,16 @@
 	}
 }
 
-// An idle connection on which the host has said something carries no request: the
-// answer would be taken for another's.
-func TestUnaskedAnswerIsNotTakenForAnothers(t *testing.T) {
+// An idle connection on which the host has sent something must not carry a request: that data would
+// be taken for the answer.
+func TestUnrequestedAnswerIsNotUsed(t *testing.T) {
 	p := newTestPool()
-	server := newHost(t, func(c net.Conn, _ *http.Request, n int) bool {
-		io.WriteString(c, good)
+	host := newHost(t, func(c net.Conn, _ *http.Request, n int) bool {
+		io.WriteString(c, okAnswer)
 		return true
 	})
-	h := pooled(p, server.addr())
-	tryOnce(t, p, h, newExchange("b"))
+	h := newPoolHost(p, host.addr())
+	attemptOnce(t, p, h, newExchange("b"))
 	p.mu.Lock()
 	c := p.idle[h][0]
 	p.mu.Unlock()
@@ -429,21 +431,19 @@
 	if err != nil || raw == nil {
 		t.Fatal(err)
 	}
-	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // brings an answer that nobody reads
+	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // causes an answer that nobody reads
 	until(t, "the answer is there", func() bool { return !c.quiet() })
-	if got, _ := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+	if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
 		t.Errorf("result %v", got)
 	}
-	if _, accepted, _ := server.counts(); accepted != 2 {
+	if _, accepted, _ := host.counts(); accepted != 2 {
 		t.Errorf("%d connections, want a new one", accepted)
 	}
 }
 
-// Handshakes cost hosts work: the warmest idle connection is used again, and the
-// coldest is left to be closed.
-// So it is with a second answer that comes late, with half a line and with a single byte: what
-// a host says on a resting connection spoils neither the last answer nor the next.
-func TestWhatComesLateSpoilsNoOtherAnswer(t *testing.T) {
+// A second answer, part of a line or a single byte that a host sends late on an idle connection
+// must affect neither the last answer nor the next.
+func TestLateDataAffectsNoOtherAnswer(t *testing.T) {
 	for name, more := range map[string]string{
 		"a second answer": "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate",
 		"half a line":     "HTTP/1.1 200 O",
@@ -451,7 +451,7 @@
 	} {
 		late := make(chan struct{})
 		host := newHost(t, func(c net.Conn, _ *http.Request, n int) bool {
-			io.WriteString(c, good)
+			io.WriteString(c, okAnswer)
 			if n == 0 {
 				<-late
 				io.WriteString(c, more)
@@ -459,8 +459,8 @@
 			return true
 		})
 		p := newTestPool()
-		h := pooled(p, host.addr())
-		if got, a := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK || string(a.body) != "good" {
+		h := newPoolHost(p, host.addr())
+		if got, a := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK || string(a.body) != "good" {
 			t.Errorf("%s: result %v, %q", name, got, a.body)
 		}
 		p.mu.Lock()
@@ -468,7 +468,7 @@
 		p.mu.Unlock()
 		close(late)
 		until(t, name+" is there", func() bool { return !c.quiet() })
-		if got, a := tryOnce(t, p, h, newExchange("b")); got != lynxspool.OK || string(a.body) != "good" {
+		if got, a := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK || string(a.body) != "good" {
 			t.Errorf("%s: the next has result %v, %q", name, got, a.body)
 		}
 		if open, idle := p.counts(h); open != 1 || idle != 1 {
@@ -477,9 +477,11 @@
 	}
 }
 
+// Handshakes cost hosts work: the connection that was used last is used again, and the one that has
+// been idle for longest is left to be closed.
 func TestWarmestConnectionIsReused(t *testing.T) {
-	p, server := newTestPool(), newHost(t, says(good))
-	h := pooled(p, server.addr())
+	p, host := newTestPool(), newHost(t, answerWith(okAnswer))
+	h := newPoolHost(p, host.addr())
 	ctx := context.Background()
 	a, errA := p.get(ctx, h)
 	b, errB := p.get(ctx, h)
@@ -489,14 +491,14 @@
 	p.put(a)
 	p.put(b)
 	if c, _ := p.get(ctx, h); c != b {
-		t.Error("not the warmest connection was used")
+		t.Error("the connection that was used last was not used again")
 	} else {
 		p.put(c)
 	}
-	tryOnce(t, p, h, newExchange("b"))
-	tryOnce(t, p, h, newExchange("b"))
+	attemptOnce(t, p, h, newExchange("b"))
+	attemptOnce(t, p, h, newExchange("b"))
 	until(t, "both dials are accepted", func() bool {
-		_, accepted, _ := server.counts()
+		_, accepted, _ := host.counts()
 		return accepted == 2
 	})
 	if open, idle := p.counts(h); open != 2 || idle != 2 {
@@ -505,34 +507,34 @@
 	p.maxIdleTime = 0
 	p.sweep()
 	if open, _ := p.counts(h); open != 0 {
-		t.Errorf("%d connections open, all had been idle too long", open)
+		t.Errorf("%d connections open, although all were idle for too long", open)
 	}
 }
 
-// A restarted, moved or drained host gets none of its old connections' requests.
+// Old connections to a host that is restarted, moved or draining carry no more requests.
 func TestIdleConnectionsEndWithTheHost(t *testing.T) {
 	for name, change := range map[string]func(p *Pool, h *host){
 		"restarted": func(p *Pool, h *host) { p.updateHost(h, h.addr, 1, true) },
 		"moved":     func(p *Pool, h *host) { p.updateHost(h, "127.0.0.1:1", 0, true) },
 		"draining":  func(p *Pool, h *host) { p.updateHost(h, h.addr, 0, false) },
 	} {
-		p, server := newTestPool(), newHost(t, says(good))
-		h := pooled(p, server.addr())
-		tryOnce(t, p, h, newExchange("b"))
+		p, host := newTestPool(), newHost(t, answerWith(okAnswer))
+		h := newPoolHost(p, host.addr())
+		attemptOnce(t, p, h, newExchange("b"))
 		change(p, h)
 		if open, idle := p.counts(h); open != 0 || idle != 0 {
 			t.Errorf("%s: %d connections open and %d idle", name, open, idle)
 		}
 		until(t, name+": the host sees its connection end", func() bool {
-			_, _, ended := server.counts()
+			_, _, ended := host.counts()
 			return ended == 1
 		})
 	}
 }
 
-// Giving up closes the connection, so that the host can stop, and nothing else is
-// sent on it.
-func TestHangIsGivenUp(t *testing.T) {
+// Giving up an attempt closes its connection, so that the host can stop working on it, and nothing
+// else is sent on it.
+func TestUnansweredAttemptIsGivenUp(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		ctx  func() (context.Context, context.CancelFunc)
@@ -541,33 +543,33 @@
 		{"deadline", func() (context.Context, context.CancelFunc) {
 			return context.WithTimeout(context.Background(), 300*time.Millisecond)
 		}, lynxspool.TimedOut},
-		{"called off", func() (context.Context, context.CancelFunc) {
+		{"canceled", func() (context.Context, context.CancelFunc) {
 			return context.WithCancel(context.Background())
 		}, lynxspool.Canceled},
 	} {
-		p, server := newTestPool(), newHost(t, hang)
-		h := pooled(p, server.addr())
+		p, host := newTestPool(), newHost(t, neverAnswer)
+		h := newPoolHost(p, host.addr())
 		ctx, cancel := tt.ctx()
 		if tt.want == lynxspool.Canceled {
 			go func() {
-				for requests := 0; requests == 0; requests, _, _ = server.counts() {
-					time.Sleep(pollEvery)
+				for requests := 0; requests == 0; requests, _, _ = host.counts() {
+					time.Sleep(pollInterval)
 				}
 				cancel()
 			}()
 		}
-		got, _ := p.runAttempt(ctx, h, newExchange("b"), newTry())
-		requests, _, _ := server.counts()
+		got, _ := p.runAttempt(ctx, h, newExchange("b"), newAttempt())
+		requests, _, _ := host.counts()
 		want := tt.want
 		if requests == 0 {
-			want = lynxspool.NotSent // the machine was so slow that nothing went out
+			want = lynxspool.NotSent // the machine was so slow that nothing was sent
 		}
 		if got != want {
 			t.Errorf("%s: result %v, want %v", tt.name, got, want)
 		}
 		cancel()
 		until(t, tt.name+": the host sees the connection end", func() bool {
-			_, accepted, ended := server.counts()
+			_, accepted, ended := host.counts()
 			return accepted == ended
 		})
 		if open, idle := p.counts(h); open != 0 || idle != 0 {
@@ -576,19 +578,19 @@
 	}
 }
 
-// A machine that vanished leaves its connections open and silent. Once an attempt was
-// given up and nothing heard since, its idle ones carry no request any more; where
-// others were answered meanwhile they do.
-func TestHalfDeadIdleConnections(t *testing.T) {
+// A machine that has vanished leaves its connections open and silent. Once an attempt has been
+// given up and the host has answered nothing since, its idle connections carry no more requests. If
+// it has answered another request meanwhile, they do.
+func TestHalfOpenIdleConnections(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		p := newTestPool()
-		server := newHost(t, func(c net.Conn, r *http.Request, _ int) bool {
+		host := newHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 			if r.URL.Path != "/hang" {
-				io.WriteString(c, good)
+				io.WriteString(c, okAnswer)
 			}
 			return true
 		})
-		h := pooled(p, server.addr())
+		h := newPoolHost(p, host.addr())
 		a, errA := p.get(context.Background(), h)
 		b, errB := p.get(context.Background(), h)
 		if errA != nil || errB != nil {
@@ -601,15 +603,15 @@
 		go func() {
 			x := newExchange("b")
 			x.uri = "/hang"
-			got, _ := p.runAttempt(ctx, h, x, newTry())
+			got, _ := p.runAttempt(ctx, h, x, newAttempt())
 			done <- got
 		}()
 		until(t, "the host has the request", func() bool {
-			requests, _, _ := server.counts()
+			requests, _, _ := host.counts()
 			return requests == 1
 		})
 		if answers {
-			tryOnce(t, p, h, newExchange("b"))
+			attemptOnce(t, p, h, newExchange("b"))
 		}
 		cancel()
 		if got := <-done; got != lynxspool.Canceled {
@@ -625,42 +627,42 @@
 	}
 }
 
-// The list may change, or the request end, while a dial is on: nothing goes out then.
-func TestLookAgainBeforeTheWrite(t *testing.T) {
+// The list may change, or the request end, during a dial: the request is not sent then.
+func TestAttemptIsCheckedAgainAfterDial(t *testing.T) {
 	for name, change := range map[string]func(p *Pool, h *host, x *exchange){
-		"drain during a dial": func(p *Pool, h *host, _ *exchange) { p.updateHost(h, h.addr, 0, false) },
-		"over during a dial":  func(_ *Pool, _ *host, x *exchange) { x.claimAnswer() },
+		"drain during a dial":    func(p *Pool, h *host, _ *exchange) { p.updateHost(h, h.addr, 0, false) },
+		"answered during a dial": func(_ *Pool, _ *host, x *exchange) { x.claimAnswer() },
 	} {
-		p, server := newTestPool(), newHost(t, says(good))
-		h, x := pooled(p, server.addr()), newExchange("b")
+		p, host := newTestPool(), newHost(t, answerWith(okAnswer))
+		h, x := newPoolHost(p, host.addr()), newExchange("b")
 		p.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 			change(p, h, x)
 			return nil
 		}
-		if got, _ := tryOnce(t, p, h, x); got != lynxspool.NotSent {
+		if got, _ := attemptOnce(t, p, h, x); got != lynxspool.NotSent {
 			t.Errorf("%s: result %v, want NotSent", name, got)
 		}
 		p.closeIdle(h)
 		until(t, name+": the connection ends", func() bool {
-			_, accepted, ended := server.counts()
+			_, accepted, ended := host.counts()
 			return accepted == 1 && ended == 1
 		})
-		if requests, _, _ := server.counts(); requests != 0 {
+		if requests, _, _ := host.counts(); requests != 0 {
 			t.Errorf("%s: the host got %d requests", name, requests)
 		}
 	}
 }
 
-// A repeat goes out within its window or not at all, however long its connection takes to
-// come up: the host would not know it for a repeat any more.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	over := make(chan struct{})
+// A retry is sent within the deduplication window or not at all, however long its dial takes: after
+// the window the host would no longer recognize it as a duplicate.
+func TestRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
+	windowOver := make(chan struct{})
 	cfg := testConfig()
 	window := 300 * time.Millisecond
 	cfg.Settings.Classes[2].DedupWindow = window
 	first := func(c net.Conn, r *http.Request, n int) bool {
-		time.AfterFunc(window, func() { close(over) })
-		return breakOff(c, r, n)
+		time.AfterFunc(window, func() { close(windowOver) })
+		return resetConn(c, r, n)
 	}
 	host := newHost(t, first)
 	cfg.Known.Servers = testConfig(host).Known.Servers
@@ -668,53 +670,53 @@
 	dials := 0
 	g.loop.pool.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		if dials++; dials > 1 {
-			<-over
+			<-windowOver
 		}
 		return nil
 	}
-	resp, _ := g.ask("report", "/api/1", "b", "Idempotency-Key", "k")
+	resp, _ := g.request("report", "/api/1", "b", "Idempotency-Key", "k")
 	if resp.StatusCode == 200 {
 		t.Errorf("answer %d", resp.StatusCode)
 	}
-	until(t, "the request is over", func() bool { return g.openRequests() == 0 })
+	until(t, "the request is released", func() bool { return g.openRequests() == 0 })
 	if n, _, _ := host.counts(); n != 1 {
 		t.Errorf("the host got the request %d times", n)
 	}
 }
 
-// Connections stay within the budget: an idle one makes room, and with none the
-// attempt is not sent, which proves that it did not run.
+// The connections stay within the budget: an idle one is closed to make room, and if there is none,
+// the attempt is not sent, which proves that it did not run.
 func TestConnectionBudget(t *testing.T) {
-	p, first, second := newTestPool(), newHost(t, says(good)), newHost(t, hang)
+	p, first, second := newTestPool(), newHost(t, answerWith(okAnswer)), newHost(t, neverAnswer)
 	p.connBudget = 1
-	a, b := pooled(p, first.addr()), pooled(p, second.addr())
-	tryOnce(t, p, a, newExchange("b"))
+	a, b := newPoolHost(p, first.addr()), newPoolHost(p, second.addr())
+	attemptOnce(t, p, a, newExchange("b"))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan lynxspool.Result, 1)
 	go func() {
-		got, _ := p.runAttempt(ctx, b, newExchange("b"), newTry())
+		got, _ := p.runAttempt(ctx, b, newExchange("b"), newAttempt())
 		done <- got
 	}()
 	until(t, "the second host gets its request", func() bool {
 		requests, _, _ := second.counts()
 		return requests == 1
 	})
-	if got, _ := tryOnce(t, p, a, newExchange("b")); got != lynxspool.NotSent {
+	if got, _ := attemptOnce(t, p, a, newExchange("b")); got != lynxspool.NotSent {
 		t.Errorf("beyond the budget: result %v, want NotSent", got)
 	}
 	cancel()
 	<-done
-	if got, _ := tryOnce(t, p, a, newExchange("b")); got != lynxspool.OK {
-		t.Errorf("with room again: result %v", got)
+	if got, _ := attemptOnce(t, p, a, newExchange("b")); got != lynxspool.OK {
+		t.Errorf("within the budget again: result %v", got)
 	}
 }
 
-// Two processes that serve beside each other have the descriptors together: what is idle
-// beyond the smaller part is closed.
+// Two processes that serve at the same time share the descriptors: idle connections beyond the
+// smaller share are closed.
 func TestConnectionsWhileProcessesOverlap(t *testing.T) {
-	p, server := newTestPool(), newHost(t, says(good))
+	p, host := newTestPool(), newHost(t, answerWith(okAnswer))
 	p.maxConns, p.connBudget = 4, 4
-	h := pooled(p, server.addr())
+	h := newPoolHost(p, host.addr())
 	var conns []*conn
 	get := func() (err error) {
 		c, err := p.get(context.Background(), h)
@@ -741,6 +743,6 @@
 	}
 	p.SetOverlap(false)
 	if err := get(); err != nil {
-		t.Errorf("alone again: %v", err)
+		t.Errorf("without the other process: %v", err)
 	}
 }
--- a/internal/gateway/local_test.go
+++ b/internal/gateway/local_test.go
@@ -37,17 +37,16 @@
 	return c.Conn.Write(p)
 }
 
-// What fails on the gateway's own machine is not the server's doing: the attempt was not sent,
-// or, once its last byte was written, may have run; either way nothing is held against the
-// server, and no connection is kept or counted.
-func TestLocalFailuresAreNotTheServers(t *testing.T) {
+// A failure of the gateway's own machine is not charged to the host: the attempt was not sent or,
+// after its last byte was written, may have run. No connection is kept or counted.
+func TestLocalFailuresAreNotChargedToHost(t *testing.T) {
 	for _, errno := range localErrors {
 		for step, want := range map[string]lynxspool.Result{
 			"socket": lynxspool.NotSent, "connect": lynxspool.NotSent, "write": lynxspool.NotSent, "read": lynxspool.Canceled,
 		} {
 			failed := os.NewSyscallError(step, errno)
 			p := newTestPool()
-			h := pooled(p, "127.0.0.1:1")
+			h := newPoolHost(p, "127.0.0.1:1")
 			p.dial = func(context.Context, string, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				go io.Copy(io.Discard, far)
@@ -59,7 +58,7 @@
 				}
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: failed}
 			}
-			if got, _ := tryOnce(t, p, h, newExchange("b")); got != want {
+			if got, _ := attemptOnce(t, p, h, newExchange("b")); got != want {
 				t.Errorf("%s fails with %v: result %v, want %v", step, errno, got, want)
 			}
 			if open, idle := p.counts(h); open != 0 || idle != 0 {
--- a/internal/gateway/notification_clock_test.go
+++ b/internal/gateway/notification_clock_test.go
@@ -18,39 +18,39 @@
 	"lynxspool"
 )
 
-// These tests run on a fake clock, over pipes: how late a change is heard of is what they
-// are about, so nothing in them may depend on the machine.
+// These tests check how late changes of the list take effect. They run on a fake clock, over pipes,
+// so that nothing in them depends on the machine.
 
-// drainGrace is how long after a change counts as notified a send may still go out.
+// drainGrace is how long after a change counts as notified a request may still be sent.
 const drainGrace = time.Second
 
-// bubbleNet leads dials to who serves an address in the bubble.
+// bubbleNet connects dials in the bubble to the handler of an address.
 type bubbleNet struct {
-	mu    sync.Mutex
-	serve map[string]func(net.Conn) // nil: the connection is refused
-	hang  map[string]time.Duration  // a connection comes up only after this long
+	mu         sync.Mutex
+	handlers   map[string]func(net.Conn) // a connection to an address without a handler is refused
+	dialDelays map[string]time.Duration  // time that a connection to an address takes
 }
 
 func newBubbleNet() *bubbleNet {
-	return &bubbleNet{serve: map[string]func(net.Conn){}, hang: map[string]time.Duration{}}
+	return &bubbleNet{handlers: map[string]func(net.Conn){}, dialDelays: map[string]time.Duration{}}
 }
 
-func (n *bubbleNet) set(addr string, serve func(net.Conn)) {
+func (n *bubbleNet) setHandler(addr string, serve func(net.Conn)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.serve[addr] = serve
+	n.handlers[addr] = serve
 }
 
-// delay lets connections to an address come up only after so long.
-func (n *bubbleNet) delay(addr string, d time.Duration) {
+// setDialDelay sets how long connections to an address take.
+func (n *bubbleNet) setDialDelay(addr string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.hang[addr] = d
+	n.dialDelays[addr] = d
 }
 
 func (n *bubbleNet) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
-	serve, hang := n.serve[addr], n.hang[addr]
+	serve, hang := n.handlers[addr], n.dialDelays[addr]
 	n.mu.Unlock()
 	if hang > 0 {
 		select {
@@ -67,19 +67,19 @@
 	return ours, nil
 }
 
-// bubbleHost answers what comes, and remembers when it came.
+// bubbleHost answers requests and records when they arrive.
 type bubbleHost struct {
-	id, addr string
-	answer   string
-	work     time.Duration
+	id, addr    string
+	answer      string
+	serviceTime time.Duration
 
-	mu   sync.Mutex
-	sent []time.Time // the first byte of each request
+	mu           sync.Mutex
+	requestTimes []time.Time // arrival of the first byte of each request
 }
 
 func (h *bubbleHost) handle(c net.Conn) {
 	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(20 * time.Second)) // some are opened and bring nothing
+	c.SetReadDeadline(time.Now().Add(20 * time.Second)) // some connections carry no request
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		return
@@ -89,17 +89,17 @@
 		return
 	}
 	h.mu.Lock()
-	h.sent = append(h.sent, came)
+	h.requestTimes = append(h.requestTimes, came)
 	h.mu.Unlock()
-	time.Sleep(h.work)
+	time.Sleep(h.serviceTime)
 	io.WriteString(c, h.answer)
 }
 
-// between is how many requests came from one instant to another.
-func (h *bubbleHost) between(from, to time.Time) (n int) {
+// requestsBetween returns how many requests arrived between two times.
+func (h *bubbleHost) requestsBetween(from, to time.Time) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, at := range h.sent {
+	for _, at := range h.requestTimes {
 		if !at.Before(from) && at.Before(to) {
 			n++
 		}
@@ -107,11 +107,11 @@
 	return n
 }
 
-// last is when the last request came.
-func (h *bubbleHost) last() (at time.Time) {
+// lastRequestAt returns when the last request arrived.
+func (h *bubbleHost) lastRequestAt() (at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range h.sent {
+	for _, s := range h.requestTimes {
 		if s.After(at) {
 			at = s
 		}
@@ -124,33 +124,34 @@
 
 const (
 	callServed     bubbleCall = iota
-	callBusy                  // 503
-	callRest                  // 503, not to be called for long
-	callUnanswered            // taken and never answered
-	callMute                  // answered, and no line follows
+	callBusy                  // answered with 503
+	callRetryAfter            // answered with 503 and a long Retry-After
+	callUnanswered            // accepted and never answered
+	callSilent                // answered, with no line after the head
 )
 
-// bubbleDiscovery is a discovery service that serves calls in turn, each in some time.
+// bubbleDiscovery is a discovery service that serves calls one after the other, each in
+// serviceTime.
 type bubbleDiscovery struct {
-	addr string
-	net  *bubbleNet
-	work time.Duration
-
-	mu      sync.Mutex
-	free    time.Time // when it comes to the next call
-	version int
-	omits   bool              // a whole list leaves out what drains
-	states  map[string]string // of hosts, by id
-	hosts   []*bubbleHost
-	next    []bubbleCall // of the calls that come next; then they are served
-	calls   []time.Time
-	watches map[net.Conn]chan string // lines for those that are told of changes
-	open    map[net.Conn]bool        // all of them, the silent ones too
+	addr        string
+	net         *bubbleNet
+	serviceTime time.Duration
+
+	mu           sync.Mutex
+	freeAt       time.Time // when it can serve the next call
+	version      int
+	omitDraining bool              // a full list omits draining hosts
+	states       map[string]string // of the hosts, by id
+	hosts        []*bubbleHost
+	nextCalls    []bubbleCall // how the next calls are handled; later ones are served
+	calls        []time.Time
+	watches      map[net.Conn]chan string // lines for the watches that receive changes
+	openConns    map[net.Conn]bool        // connections of all watches, including the silent ones
 }
 
 func newBubbleDiscovery(n *bubbleNet, addr string, hosts []*bubbleHost) *bubbleDiscovery {
 	d := &bubbleDiscovery{addr: addr, net: n, version: 50, hosts: hosts, states: map[string]string{},
-		watches: map[net.Conn]chan string{}, open: map[net.Conn]bool{}}
+		watches: map[net.Conn]chan string{}, openConns: map[net.Conn]bool{}}
 	for _, h := range hosts {
 		d.states[h.id] = "ready"
 	}
@@ -158,11 +159,11 @@
 	return d
 }
 
-func (d *bubbleDiscovery) up() { d.net.set(d.addr, d.handle) }
+func (d *bubbleDiscovery) up() { d.net.setHandler(d.addr, d.handle) }
 
 func (d *bubbleDiscovery) down() {
-	d.net.set(d.addr, nil)
-	d.end()
+	d.net.setHandler(d.addr, nil)
+	d.resetWatches()
 }
 
 // handle serves one call.
@@ -174,14 +175,14 @@
 	d.mu.Lock()
 	d.calls = append(d.calls, time.Now())
 	do := callServed
-	if len(d.next) > 0 {
-		do, d.next = d.next[0], d.next[1:]
+	if len(d.nextCalls) > 0 {
+		do, d.nextCalls = d.nextCalls[0], d.nextCalls[1:]
 	}
 	switch do {
-	case callBusy, callRest:
+	case callBusy, callRetryAfter:
 		d.mu.Unlock()
 		rest := ""
-		if do == callRest {
+		if do == callRetryAfter {
 			rest = "Retry-After: 30\r\n"
 		}
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\n"+rest+"Content-Length: 0\r\n\r\n")
@@ -191,16 +192,16 @@
 		io.Copy(io.Discard, c) // until the gateway gives up
 		return
 	}
-	if now := time.Now(); d.free.Before(now) {
-		d.free = now
+	if now := time.Now(); d.freeAt.Before(now) {
+		d.freeAt = now
 	}
-	d.free = d.free.Add(d.work)
-	wait := time.Until(d.free)
+	d.freeAt = d.freeAt.Add(d.serviceTime)
+	wait := time.Until(d.freeAt)
 	d.mu.Unlock()
 	time.Sleep(wait)
 	d.mu.Lock()
 	lines := make(chan string, 100)
-	d.open[c] = true
+	d.openConns[c] = true
 	if do == callServed {
 		d.watches[c] = lines
 		lines <- d.list(true)
@@ -239,12 +240,12 @@
 	}
 }
 
-// list is the list as it is, or just what drains; d.mu is held.
+// list returns the full list, or the changes: the hosts that are draining. The caller holds d.mu.
 func (d *bubbleDiscovery) list(full bool) string {
 	var entries []string
 	for _, h := range d.hosts {
 		state := d.states[h.id]
-		if full && d.omits && state != "ready" || !full && state == "ready" {
+		if full && d.omitDraining && state != "ready" || !full && state == "ready" {
 			continue
 		}
 		entries = append(entries, fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q}`, h.id, h.addr, state))
@@ -252,7 +253,7 @@
 	return fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`+"\n", d.version, full, strings.Join(entries, ","))
 }
 
-// drain lets a host begin to drain, and tells those who are told of changes.
+// drain sets a host to draining and sends the change to the watches.
 func (d *bubbleDiscovery) drain(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -263,8 +264,9 @@
 	}
 }
 
-// line tells an empty list of changes, so that all watches have said something just now.
-func (d *bubbleDiscovery) line() {
+// sendBlankLine sends a blank line on every watch, so that all of them have just received
+// something.
+func (d *bubbleDiscovery) sendBlankLine() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, lines := range d.watches {
@@ -272,15 +274,15 @@
 	}
 }
 
-// silence leaves the open watches open and untold from now on.
-func (d *bubbleDiscovery) silence() {
+// silenceWatches sends nothing more on the open watches, and leaves them open.
+func (d *bubbleDiscovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.watches)
 }
 
-// finish ends the open watches in order, end breaks them off.
-func (d *bubbleDiscovery) finish() {
+// endWatches ends the open watches in order.
+func (d *bubbleDiscovery) endWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, lines := range d.watches {
@@ -289,31 +291,32 @@
 	clear(d.watches)
 }
 
-func (d *bubbleDiscovery) end() {
+// resetWatches closes the connections of all watches without an end of their responses.
+func (d *bubbleDiscovery) resetWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.open {
+	for c := range d.openConns {
 		c.Close()
 	}
 	clear(d.watches)
-	clear(d.open)
+	clear(d.openConns)
 }
 
-// will says what happens to the calls that come next.
-func (d *bubbleDiscovery) will(next ...bubbleCall) {
+// setNextCalls sets how the next calls are handled.
+func (d *bubbleDiscovery) setNextCalls(next ...bubbleCall) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.next = next
+	d.nextCalls = next
 }
 
-// bubbleGateway is a gateway in the bubble, without its side of the clients.
+// bubbleGateway is a gateway in the bubble without a server for clients.
 type bubbleGateway struct {
 	cfg  *Config
 	loop *Loop
 	d    *Discovery
 }
 
-// startBubble starts a gateway of a bank.
+// startBubble starts a gateway of a fleet.
 func startBubble(t *testing.T, ctx context.Context, n *bubbleNet, cfg *Config) *bubbleGateway {
 	pool := NewPool(cfg)
 	pool.dial = n.dial
@@ -334,11 +337,11 @@
 	return &bubbleGateway{cfg, loop, d}
 }
 
-func bubbleConfig(ask bool, instances, rank int, discovery string, hosts []*bubbleHost) *Config {
+func bubbleConfig(onDemand bool, instances, rank int, discovery string, hosts []*bubbleHost) *Config {
 	cfg := testConfig()
 	cfg.Seed, cfg.Discovery = uint64(rank), discovery
 	cfg.DialTimeout = 2 * time.Second
-	cfg.Settings.WatchHosts, cfg.Settings.Instances, cfg.Settings.Rank = ask, instances, rank
+	cfg.Settings.WatchHosts, cfg.Settings.Instances, cfg.Settings.Rank = onDemand, instances, rank
 	cfg.Settings.Classes = []lynxspool.Class{{LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second}}
 	cfg.Classes = map[string]int{"look": 0}
 	for _, h := range hosts {
@@ -347,7 +350,7 @@
 	return cfg
 }
 
-// usable says whether a gateway would send to a host.
+// usable returns whether a gateway would send requests to a host.
 func (g *bubbleGateway) usable(id string) bool {
 	known := make(chan bool, 1)
 	g.loop.post(func(lynxspool.Time) {
@@ -357,7 +360,7 @@
 	return <-known
 }
 
-// send submits a request as it comes from a client that waits for it.
+// send submits a request of a client that waits for the answer.
 func (g *bubbleGateway) send(n int) *exchange {
 	x := &exchange{
 		method: "GET", uri: "/api/" + strconv.Itoa(n), host: "service", answer: make(chan answer, 1),
@@ -372,15 +375,15 @@
 func bubbleHosts(n *bubbleNet, count int) (hosts []*bubbleHost) {
 	for i := range count {
 		h := &bubbleHost{id: "s-" + strconv.Itoa(i), addr: "host-" + strconv.Itoa(i) + ":80",
-			answer: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", work: 20 * time.Millisecond}
-		n.set(h.addr, h.handle)
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", serviceTime: 20 * time.Millisecond}
+		n.setHandler(h.addr, h.handle)
 		hosts = append(hosts, h)
 	}
 	return hosts
 }
 
-// settle lets all that goes on in the bubble come to its end.
-func settle(cancel func(), discos ...*bubbleDiscovery) {
+// endBubble ends everything that runs in the bubble.
+func endBubble(cancel func(), discos ...*bubbleDiscovery) {
 	cancel()
 	for _, d := range discos {
 		d.down()
@@ -388,252 +391,268 @@
 	time.Sleep(time.Minute)
 }
 
-// All watches fall silent right after a line, and a host begins to drain: the six gateways
-// come back to discovery together, and it takes 450 ms for each call, in turn. The
-// last one is told in time, too. So it is where the first of the calls is refused, and where
-// one goes unanswered.
+// All watches fall silent right after a line, and a host begins to drain: the six gateways call
+// discovery together, which serves one call at a time in 450 ms. Also the last gateway must be
+// notified in time, and also if the first call is rejected or one goes unanswered.
 func TestSilenceLeavesTimeForCallsInTurn(t *testing.T) {
 	for name, next := range map[string][]bubbleCall{
 		"in turn": nil, "one refused": {callBusy}, "one unanswered": {callUnanswered},
 	} {
 		for _, ask := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, asked for %t", name, ask), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { silentBank(t, ask, next) })
+			t.Run(fmt.Sprintf("%s, on demand %t", name, ask), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { testSilentFleet(t, ask, next) })
 			})
 		}
 	}
 }
 
-func silentBank(t *testing.T, ask bool, next []bubbleCall) {
-	const bank = 6
+func testSilentFleet(t *testing.T, onDemand bool, next []bubbleCall) {
+	const fleet = 6
 	n := newBubbleNet()
 	hosts := bubbleHosts(n, 4)
 	disco := newBubbleDiscovery(n, "discovery:80", hosts)
-	disco.work = 450 * time.Millisecond
+	disco.serviceTime = 450 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
-	defer settle(cancel, disco)
-	var gws []*bubbleGateway
-	for rank := range bank {
-		gws = append(gws, startBubble(t, ctx, n, bubbleConfig(ask, bank, rank, disco.addr, hosts)))
+	defer endBubble(cancel, disco)
+	var gateways []*bubbleGateway
+	for rank := range fleet {
+		gateways = append(gateways, startBubble(t, ctx, n, bubbleConfig(onDemand, fleet, rank, disco.addr, hosts)))
 	}
 	time.Sleep(10 * time.Second)
-	for rank, g := range gws {
+	for rank, g := range gateways {
 		select {
 		case <-g.loop.Listed():
 		default:
 			t.Fatalf("gateway %d has no list", rank)
 		}
 	}
-	disco.line()
+	disco.sendBlankLine()
 	synctest.Wait()
-	disco.silence()
-	disco.will(next...)
+	disco.silenceWatches()
+	disco.setNextCalls(next...)
 	disco.drain("s-0")
 	time.Sleep(lynxspool.NotifiedAfter + drainGrace)
-	for rank, g := range gws {
+	for rank, g := range gateways {
 		if g.usable("s-0") {
-			t.Errorf("gateway %d would send to a host that drains, %v after its watch fell silent", rank,
+			t.Errorf("gateway %d would send to a draining host %v after its watch fell silent", rank,
 				lynxspool.NotifiedAfter+drainGrace)
 		}
 		if !g.usable("s-1") {
-			t.Errorf("gateway %d does not send to one that is ready", rank)
+			t.Errorf("gateway %d does not send to a ready host", rank)
 		}
 	}
 }
 
-// fault is what goes wrong with discovery at an instant, at which the host also begins to
-// drain; back is from when on the change could be had there.
-type fault struct {
-	name string
-	do   func(g *bubbleGateway, d *bubbleDiscovery) (now *bubbleDiscovery)
-	back time.Duration
-	// When the change counts as notified, after back, with a list that is asked for and with one
-	// that is pushed. It is pushed by the gateway's own agent, so there a change counts at once
-	// unless a call failed or a watch is silent.
-	asked, pushed time.Duration
+// discoveryFault is a fault of discovery that begins at the same moment as the drain of a host.
+type discoveryFault struct {
+	name           string
+	do             func(g *bubbleGateway, d *bubbleDiscovery) (now *bubbleDiscovery)
+	availableAfter time.Duration // time after which the change is available from discovery
+	// Time after availableAfter from which on the change counts as notified, with a list that is
+	// requested and with one that is pushed. A pushed list comes from the gateway's own agent, so
+	// there a change counts at once unless a call failed or a watch is silent.
+	notifiedOnDemand, notifiedPushed time.Duration
 }
 
 const atOnce = 0
 
-var faults = []fault{
-	{name: "silent after a line", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
+var discoveryFaults = []discoveryFault{
+	{name: "silent after a line", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
-			d.line()
+			d.sendBlankLine()
 			synctest.Wait()
-			d.silence()
+			d.silenceWatches()
 			return d
 		}},
-	{name: "silent before the first line", back: 4 * time.Second, asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
+	{name: "silent before the first line", availableAfter: 4 * time.Second, notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
-			d.will(callMute) // the call that is mute opens within 4 s, and its silence begins then
-			d.end()
+			d.setNextCalls(callSilent) // the silent call is made within 4 s, and its silence begins then
+			d.resetWatches()
 			return d
 		}},
-	{name: "reset", asked: lynxspool.NotifiedAfter, pushed: atOnce,
-		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.end(); return d }},
-	{name: "ended", asked: lynxspool.NotifiedAfter, pushed: atOnce,
-		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.finish(); return d }},
-	{name: "503", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
-		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.will(callBusy); d.end(); return d }},
-	{name: "Retry-After", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
-		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.will(callRest); d.end(); return d }},
-	{name: "unanswered", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
-		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.will(callUnanswered); d.end(); return d }},
-	{name: "a dial that hangs", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
+	{name: "reset", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.resetWatches(); return d }},
+	{name: "ended", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.endWatches(); return d }},
+	{name: "503", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
-			d.net.delay(d.addr, time.Hour)
-			d.end()
-			time.AfterFunc(time.Second, func() { d.net.delay(d.addr, 0) })
+			d.setNextCalls(callBusy)
+			d.resetWatches()
 			return d
 		}},
-	{name: "outage and return", back: 8 * time.Second, asked: lynxspool.NotifiedAfter, pushed: atOnce,
+	{name: "Retry-After", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
+			d.setNextCalls(callRetryAfter)
+			d.resetWatches()
+			return d
+		}},
+	{name: "unanswered", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
+			d.setNextCalls(callUnanswered)
+			d.resetWatches()
+			return d
+		}},
+	{name: "a slow dial", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
+			d.net.setDialDelay(d.addr, time.Hour)
+			d.resetWatches()
+			time.AfterFunc(time.Second, func() { d.net.setDialDelay(d.addr, 0) })
+			return d
+		}},
+	{name: "outage and return", availableAfter: 8 * time.Second, notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.down()
 			time.AfterFunc(8*time.Second, d.up)
 			return d
 		}},
-	{name: "moved by SIGHUP", asked: 4 * time.Second, pushed: 4 * time.Second,
+	{name: "moved by SIGHUP", notifiedOnDemand: 4 * time.Second, notifiedPushed: 4 * time.Second,
 		do: func(g *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
-			d.silence() // the old address says no more
+			d.silenceWatches() // the old address sends nothing more
 			moved := newBubbleDiscovery(d.net, "elsewhere:80", d.hosts)
-			moved.version = 7 // it counts by itself
-			moved.will(callUnanswered)
+			moved.version = 7 // its versions are its own
+			moved.setNextCalls(callUnanswered)
 			g.d.SetAddrs(moved.addr)
 			return moved
 		}},
-	{name: "version counted anew", asked: lynxspool.NotifiedAfter, pushed: lynxspool.NotifiedAfter,
+	{name: "versions started anew", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.mu.Lock()
 			d.version = 1
 			d.mu.Unlock()
-			d.end()
+			d.resetWatches()
+			return d
+		}},
+	{name: "a full list without the host", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
+			d.omitDraining = true
+			d.resetWatches()
 			return d
 		}},
-	{name: "a whole list without the host", asked: lynxspool.NotifiedAfter, pushed: atOnce,
-		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.omits = true; d.end(); return d }},
 }
 
-// traffic is how requests come to the hosts while that happens.
-type traffic struct {
+// trafficPattern is how requests reach the hosts during a fault.
+type trafficPattern struct {
 	name  string
-	shape func(n *bubbleNet, hosts []*bubbleHost)
+	setUp func(n *bubbleNet, hosts []*bubbleHost)
 }
 
-var traffics = []traffic{
+var trafficPatterns = []trafficPattern{
 	{"idle hosts", func(*bubbleNet, []*bubbleHost) {}},
 	{"requests that wait for hosts", func(_ *bubbleNet, hosts []*bubbleHost) {
-		for _, h := range hosts { // each holds some from the first moment on, up to its limit
-			h.work = 600 * time.Millisecond
+		for _, h := range hosts { // each host has requests in flight from the start, up to its limit
+			h.serviceTime = 600 * time.Millisecond
 		}
 	}},
 	{"connections that come up late", func(n *bubbleNet, hosts []*bubbleHost) {
 		for _, h := range hosts {
-			n.delay(h.addr, 900*time.Millisecond)
+			n.setDialDelay(h.addr, 900*time.Millisecond)
 		}
 	}},
-	{"repeats", func(_ *bubbleNet, hosts []*bubbleHost) {
-		for _, h := range hosts[1:] { // what they fail comes to the first
+	{"retries", func(_ *bubbleNet, hosts []*bubbleHost) {
+		for _, h := range hosts[1:] { // requests that fail there are retried at the first host
 			h.answer = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 		}
 	}},
 }
 
-// Whatever goes wrong with discovery, and however a request comes to be sent, a host that has
-// begun to drain gets nothing new from the grace on after that counts as notified; the others are
-// used, and discovery gets few calls for it.
-func TestNothingIsSentOnceADrainCountsAsTold(t *testing.T) {
-	for _, f := range faults {
-		for _, l := range traffics {
+// For every fault of discovery and every way in which a request comes to be sent: a host that has
+// begun to drain receives no new request later than the grace after the drain counts as notified,
+// the other hosts are used, and discovery receives few calls.
+func TestNoRequestAfterDrainCountsAsNotified(t *testing.T) {
+	for _, f := range discoveryFaults {
+		for _, l := range trafficPatterns {
 			for _, ask := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, %s, asked for %t", f.name, l.name, ask), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { drainInTime(t, f, l, ask) })
+				t.Run(fmt.Sprintf("%s, %s, on demand %t", f.name, l.name, ask), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { testDrainDuringFault(t, f, l, ask) })
 				})
 			}
 		}
 	}
 }
 
-func drainInTime(t *testing.T, f fault, l traffic, ask bool) {
+func testDrainDuringFault(t *testing.T, fault discoveryFault, pattern trafficPattern, onDemand bool) {
 	n := newBubbleNet()
 	hosts := bubbleHosts(n, 3)
-	l.shape(n, hosts)
+	pattern.setUp(n, hosts)
 	disco := newBubbleDiscovery(n, "discovery:80", hosts)
 	ctx, cancel := context.WithCancel(t.Context())
-	g := startBubble(t, ctx, n, bubbleConfig(ask, 6, 3, disco.addr, hosts))
+	g := startBubble(t, ctx, n, bubbleConfig(onDemand, 6, 3, disco.addr, hosts))
 	discos := []*bubbleDiscovery{disco}
-	defer func() { settle(cancel, discos...) }()
+	defer func() { endBubble(cancel, discos...) }()
 	stop := make(chan struct{})
 	fleetTraffic([]*bubbleGateway{g}, stop)
 	defer close(stop)
 	time.Sleep(5 * time.Second)
 	began := time.Now()
-	if hosts[0].between(began.Add(-time.Second), began) == 0 {
-		t.Fatal("the host got nothing in the second before it began to drain")
+	if hosts[0].requestsBetween(began.Add(-time.Second), began) == 0 {
+		t.Fatal("the host got no request in the second before it began to drain")
 	}
 	before := len(disco.calls)
-	now := f.do(g, disco)
+	now := fault.do(g, disco)
 	if now != disco {
 		discos = append(discos, now)
 		before = 0
 	}
 	now.drain("s-0")
-	told := f.back + f.pushed
-	if ask {
-		told = f.back + f.asked
+	notifiedAfter := fault.availableAfter + fault.notifiedPushed
+	if onDemand {
+		notifiedAfter = fault.availableAfter + fault.notifiedOnDemand
 	}
-	time.Sleep(told + 10*time.Second)
-	if last := hosts[0].last().Sub(began); last > told+drainGrace {
-		t.Errorf("the last request goes to the host %v after it began to drain, which counts as notified after %v", last, told)
+	time.Sleep(notifiedAfter + 10*time.Second)
+	if last := hosts[0].lastRequestAt().Sub(began); last > notifiedAfter+drainGrace {
+		t.Errorf("the host gets its last request %v after it began to drain, which counts as notified after %v", last, notifiedAfter)
 	}
-	if end := time.Now(); hosts[1].between(end.Add(-2*time.Second), end)+hosts[2].between(end.Add(-2*time.Second), end) == 0 {
-		t.Error("the hosts that are ready get nothing")
+	if end := time.Now(); hosts[1].requestsBetween(end.Add(-2*time.Second), end)+hosts[2].requestsBetween(end.Add(-2*time.Second), end) == 0 {
+		t.Error("the ready hosts get no requests")
 	}
-	// While calls fail: two a second of a small bank that asks, three of one with agents.
-	most := 4 + int(2*f.back.Seconds())
-	if !ask {
-		most = 10 + int(3*f.back.Seconds())
+	// While calls fail, a small fleet makes two calls a second if lists are requested, and three if
+	// they are pushed by agents.
+	maxCalls := 4 + int(2*fault.availableAfter.Seconds())
+	if !onDemand {
+		maxCalls = 10 + int(3*fault.availableAfter.Seconds())
 	}
-	if calls := len(now.calls) - before; calls > most {
-		t.Errorf("%d calls at discovery, %d at the most", calls, most)
+	if calls := len(now.calls) - before; calls > maxCalls {
+		t.Errorf("%d calls at discovery, %d at the most", calls, maxCalls)
 	}
 }
 
-// A list that is pushed is the gateway's own agent's, which learns nothing while discovery is
-// down; what it gets at the return counts as notified at once. So however long it was down, the
-// gateway has it within the grace; and it does not call all the time meanwhile.
-func TestReturnOfAnAgentIsNoticedWithinTheGrace(t *testing.T) {
-	tries, without := 0, 0.0
+// A pushed list comes from the gateway's own agent, which receives nothing while discovery is down;
+// what it receives when discovery returns counts as notified at once. So however long discovery was
+// down, the gateway must have the change within the grace, and must not call all the time
+// meanwhile.
+func TestReturnOfAgentIsNoticedWithinGrace(t *testing.T) {
+	refusedCalls, outageSeconds := 0, 0.0
 	for down := 500 * time.Millisecond; down < 15*time.Second; down += 490 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, 2)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
 			ctx, cancel := context.WithCancel(t.Context())
-			defer settle(cancel, disco)
+			defer endBubble(cancel, disco)
 			g := startBubble(t, ctx, n, bubbleConfig(false, 1, 0, disco.addr, hosts))
 			time.Sleep(time.Second)
-			disco.net.set(disco.addr, func(c net.Conn) { tries++; c.Close() }) // resets each call
-			disco.end()
+			disco.net.setHandler(disco.addr, func(c net.Conn) { refusedCalls++; c.Close() }) // resets each call
+			disco.resetWatches()
 			disco.drain("s-0")
 			time.Sleep(down)
 			disco.up()
 			time.Sleep(drainGrace)
 			if g.usable("s-0") {
-				t.Errorf("after %v without discovery a drain is not heard of within the grace", down)
+				t.Errorf("after %v without discovery a drain is not in force within the grace", down)
 			}
-			without += down.Seconds()
+			outageSeconds += down.Seconds()
 		})
 	}
-	if a := float64(tries) / without; a > 3.5 {
+	if a := float64(refusedCalls) / outageSeconds; a > 3.5 {
 		t.Errorf("%.1f calls a second without discovery", a)
 	} else {
 		t.Logf("%.1f calls a second without discovery", a)
 	}
 }
 
-// Where most of the instances of discovery are cut off and say nothing, the one that is well
-// is come to in time: what waits at each is shared out.
-func TestSilentInstancesAreLeftInTime(t *testing.T) {
+// If most instances of discovery are cut off and silent, the available one is called in time: the
+// time is divided among the instances.
+func TestSilentInstancesAreSkippedInTime(t *testing.T) {
 	for _, ask := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newBubbleNet()
@@ -642,33 +661,33 @@
 			addrs := []string{disco.addr}
 			for i := range 4 {
 				addr := fmt.Sprintf("cut-%d:80", i)
-				n.set(addr, func(c net.Conn) { io.Copy(io.Discard, c) })
+				n.setHandler(addr, func(c net.Conn) { io.Copy(io.Discard, c) })
 				addrs = append(addrs, addr)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			defer settle(cancel, disco)
+			defer endBubble(cancel, disco)
 			g := startBubble(t, ctx, n, bubbleConfig(ask, 6, 3, strings.Join(addrs, ","), hosts))
 			time.Sleep(5 * time.Second)
-			disco.end()
+			disco.resetWatches()
 			disco.drain("s-0")
 			time.Sleep(lynxspool.NotifiedAfter + drainGrace)
 			if g.usable("s-0") {
-				t.Errorf("asked for %t: a drain is not heard of %v after it", ask, lynxspool.NotifiedAfter+drainGrace)
+				t.Errorf("on demand %t: a drain is not in force %v after it began", ask, lynxspool.NotifiedAfter+drainGrace)
 			}
 		})
 	}
 }
 
-// A discovery that takes 4 s for a call is slow, not silent: after a call that was given up the
-// next one is given the time.
-func TestSlowDiscoveryIsHeard(t *testing.T) {
+// A discovery that needs 4 s for a call is slow, not silent: after a call that was given up, the
+// next call gets more time.
+func TestSlowDiscoveryGetsTimeToAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newBubbleNet()
 		hosts := bubbleHosts(n, 2)
 		disco := newBubbleDiscovery(n, "discovery:80", hosts)
-		disco.work = 4 * time.Second
+		disco.serviceTime = 4 * time.Second
 		ctx, cancel := context.WithCancel(t.Context())
-		defer settle(cancel, disco)
+		defer endBubble(cancel, disco)
 		g := startBubble(t, ctx, n, bubbleConfig(true, 6, 0, disco.addr, hosts))
 		time.Sleep(20 * time.Second)
 		select {
@@ -679,8 +698,8 @@
 	})
 }
 
-// The rest that the old address asked for is not kept at the one that SIGHUP names.
-func TestMoveForgetsTheRest(t *testing.T) {
+// A Retry-After from the old address does not apply to the address that SIGHUP sets.
+func TestAddressChangeResetsRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newBubbleNet()
 		hosts := bubbleHosts(n, 2)
@@ -688,27 +707,28 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		g := startBubble(t, ctx, n, bubbleConfig(true, 6, 0, disco.addr, hosts))
 		time.Sleep(5 * time.Second)
-		disco.will(callRest)
-		disco.end()
-		time.Sleep(time.Second) // the call after the end has come by now: a rest of 3 s begins
+		disco.setNextCalls(callRetryAfter)
+		disco.resetWatches()
+		time.Sleep(time.Second) // the call after the end has been answered: a delay of 3 s begins
 		moved := newBubbleDiscovery(n, "elsewhere:80", hosts)
-		defer settle(cancel, disco, moved)
-		moved.will(callBusy)
+		defer endBubble(cancel, disco, moved)
+		moved.setNextCalls(callBusy)
 		moved.drain("s-0")
 		g.d.SetAddrs(moved.addr)
 		time.Sleep(1900 * time.Millisecond)
 		if g.usable("s-0") {
-			t.Errorf("not heard at the new address 1.9 s after the move, after %d calls", len(moved.calls))
+			t.Errorf("the list of the new address is not in force after 1.9 s and %d calls", len(moved.calls))
 		}
 	})
 }
 
-// Discovery is away, comes back for less than a second, and is away again for long. What it had at its
-// return counts as notified 6 s later, so every gateway of a small fleet has to hear of it within
-// that second: nobody at an address is no discovery that calls could crowd. A small fleet asked every
-// 2.5 s whatever had failed; in the log of soak seed 608, g09, refused calls at 13.5, 15.9, 18.5 and
-// 21.0 s had a return from 16.0 to 17.4 s between them.
-func TestShortReturnOfDiscoveryIsHeard(t *testing.T) {
+// Discovery is down, returns for less than a second, and is down again for long. A change that it
+// has at its return counts as notified 6 s later, so every gateway of a small fleet must receive it
+// within that second. Refused connections need no spacing, as there is no discovery that the calls
+// could overload. A small fleet used to call every 2.5 s whatever had failed: in the log of soak
+// seed 608, g09 had refused calls at 13.5, 15.9, 18.5 and 21.0 s, and a return lasted from 16.0 to
+// 17.4 s.
+func TestShortReturnOfDiscoveryIsUsed(t *testing.T) {
 	const fleet, returns = 6, 700 * time.Millisecond
 	for away := 4 * time.Second; away < 12*time.Second; away += 430 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -716,7 +736,7 @@
 			servers := bubbleHosts(n, 3)
 			disco := newBubbleDiscovery(n, "discovery:80", servers)
 			ctx, cancel := context.WithCancel(t.Context())
-			defer settle(cancel, disco)
+			defer endBubble(cancel, disco)
 			var gateways []*bubbleGateway
 			for rank := range fleet {
 				gateways = append(gateways, startBubble(t, ctx, n, bubbleConfig(true, fleet, rank, disco.addr, servers)))
@@ -731,7 +751,7 @@
 			time.Sleep(lynxspool.NotifiedAfter - returns)
 			for rank, g := range gateways {
 				if g.usable("s-0") {
-					t.Errorf("away for %v: gateway %d has not heard of a drain 6 s after the return", away, rank)
+					t.Errorf("down for %v: at gateway %d a drain is not in force 6 s after the return", away, rank)
 				}
 			}
 		})
--- a/internal/gateway/notified_test.go
+++ b/internal/gateway/notified_test.go
@@ -10,7 +10,7 @@
 	"lynxspool"
 )
 
-// fleetTraffic gives each gateway a request every 25 ms until stop is closed.
+// fleetTraffic sends each gateway a request every 25 ms until stop is closed.
 func fleetTraffic(gateways []*bubbleGateway, stop chan struct{}) {
 	for _, g := range gateways {
 		go func() {
@@ -28,7 +28,7 @@
 	}
 }
 
-// bubbleFleet starts gateways that ask for their list, and waits until each has one.
+// bubbleFleet starts gateways that request their list, and waits until each has one.
 func bubbleFleet(t *testing.T, ctx context.Context, n *bubbleNet, disco *bubbleDiscovery, count int) []*bubbleGateway {
 	var gateways []*bubbleGateway
 	for rank := range count {
@@ -45,69 +45,69 @@
 	return gateways
 }
 
-// All watches of a fleet end in order instead of telling that a server drains, and discovery
-// takes half a second for a call, in turn. What a watch kept back as it ended counts as
-// notified two seconds later, so no gateway may begin a request there after three. The first
-// two fleets can all be served by then; the last cannot, whatever its gateways do, so those
-// that come late send nothing until they are told, but not for long.
-func TestFleetWhoseWatchesEndSendsNothingToAServerThatDrains(t *testing.T) {
+// All watches of a fleet end in order instead of sending that a host drains, and discovery serves
+// one call at a time in half a second. What a watch held back when it ended counts as notified two
+// seconds later, so no gateway may begin an attempt at the host after three. In the first two
+// fleets all calls can be served by then. In the last they cannot, whatever the gateways do, so
+// those that are served late send nothing until they are notified, but not for long.
+func TestNoRequestToDrainingHostAfterWatchesEnd(t *testing.T) {
 	for _, c := range []struct {
-		gateways int
-		work     time.Duration
+		gateways    int
+		serviceTime time.Duration
 	}{{6, 450 * time.Millisecond}, {6, 560 * time.Millisecond}, {12, 500 * time.Millisecond}} {
-		t.Run(fmt.Sprintf("%d gateways, %v a call", c.gateways, c.work), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { endedFleet(t, c.gateways, c.work) })
+		t.Run(fmt.Sprintf("%d gateways, %v a call", c.gateways, c.serviceTime), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { testFleetAfterWatchesEnd(t, c.gateways, c.serviceTime) })
 		})
 	}
 }
 
-func endedFleet(t *testing.T, count int, work time.Duration) {
+func testFleetAfterWatchesEnd(t *testing.T, count int, serviceTime time.Duration) {
 	n := newBubbleNet()
 	hosts := bubbleHosts(n, 4)
 	disco := newBubbleDiscovery(n, "discovery:80", hosts)
-	disco.work = work
+	disco.serviceTime = serviceTime
 	ctx, cancel := context.WithCancel(t.Context())
-	defer settle(cancel, disco)
+	defer endBubble(cancel, disco)
 	gateways := bubbleFleet(t, ctx, n, disco, count)
 	stop := make(chan struct{})
 	defer close(stop)
 	fleetTraffic(gateways, stop)
 	time.Sleep(5 * time.Second)
 	ended := time.Now()
-	disco.finish()
+	disco.endWatches()
 	disco.drain("s-0")
 	time.Sleep(10 * time.Second)
-	if late := hosts[0].last().Sub(ended); late > 2*time.Second+drainGrace {
-		t.Errorf("a request goes to the server %v after the watches ended", late)
+	if late := hosts[0].lastRequestAt().Sub(ended); late > 2*time.Second+drainGrace {
+		t.Errorf("a request is sent to the host %v after the watches ended", late)
 	}
 	from := ended.Add(6 * time.Second)
-	if got := hosts[1].between(from, from.Add(time.Second)); got == 0 {
-		t.Error("nothing goes to a ready server 6 s after the watches ended")
+	if got := hosts[1].requestsBetween(from, from.Add(time.Second)); got == 0 {
+		t.Error("no request is sent to a ready host 6 s after the watches ended")
 	}
 }
 
-// called is how many calls came.
-func (d *bubbleDiscovery) called() int {
+// callCount returns how many calls have been made.
+func (d *bubbleDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.calls)
 }
 
-// A call that is given up keeps its place at a discovery that serves calls in turn, so one
-// that is made anew while it waits is work for nothing, and all behind it are told later.
-func TestCallThatWaitsItsTurnIsNotMadeAnew(t *testing.T) {
+// A call that is given up keeps its place at a discovery that serves calls one after the other.
+// Repeating it while it waits costs work for nothing, and delays all calls behind it.
+func TestQueuedCallIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways = 8
 		n := newBubbleNet()
 		disco := newBubbleDiscovery(n, "discovery:80", bubbleHosts(n, 4))
-		disco.work = 480 * time.Millisecond
+		disco.serviceTime = 480 * time.Millisecond
 		ctx, cancel := context.WithCancel(t.Context())
-		defer settle(cancel, disco)
+		defer endBubble(cancel, disco)
 		bubbleFleet(t, ctx, n, disco, gateways)
-		before := disco.called()
-		disco.end()
+		before := disco.callCount()
+		disco.resetWatches()
 		time.Sleep(lynxspool.NotifiedAfter)
-		if calls := disco.called() - before; calls != gateways {
+		if calls := disco.callCount() - before; calls != gateways {
 			t.Errorf("%d gateways made %d calls after their watches were reset", gateways, calls)
 		}
 	})
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	io.WriteString(c, text)
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -60,7 +60,7 @@
 }
 
 func TestOperatorCalls(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good)), newHost(t, says(good))))
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
 	addr := g.startOperator(t.TempDir(), false)
 	for _, tt := range []struct {
@@ -101,7 +101,7 @@
 
 // Callers that send nothing, or half a call, do not delay others and change nothing.
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good))))
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
 	bans, _ := NewMaintenanceStore("")
 	o := NewOperator(g.loop, g.server, bans, false)
@@ -130,7 +130,7 @@
 // No new attempt goes to a host once the operator has the confirmation, not even one that waits for
 // a connection to it, and whatever discovery reports.
 func TestMaintenanceAppliesToWaitingAttempts(t *testing.T) {
-	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good))}
+	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	g := startGateway(t, cfg)
 	g.loop.Sync()
@@ -140,13 +140,13 @@
 	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/maint")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if result, _ := tryOnce(t, g.loop.pool, h, newExchange("b")); result != lynxspool.NotSent {
+	if result, _ := attemptOnce(t, g.loop.pool, h, newExchange("b")); result != lynxspool.NotSent {
 		t.Errorf("an attempt ends with %v, want it not sent", result)
 	}
 	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
 	g.loop.HandleList(lynxspool.ListFull, cfg.Known)
 	for range 20 {
-		if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 200 {
+		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
@@ -157,7 +157,7 @@
 		t.Fatalf("status %d", status)
 	}
 	until(t, "the host is in use again", func() bool {
-		g.ask("look", "/api/1", "")
+		g.request("look", "/api/1", "")
 		requests, _, _ := hosts[0].counts()
 		return requests > 0
 	})
--- a/internal/gateway/resting_test.go
+++ b/internal/gateway/resting_test.go
@@ -18,7 +18,7 @@
 		g.Fatal(err)
 	}
 	g.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	in := bufio.NewReader(c)
 	wantServed(g, c, in, head("POST /api/first HTTP/1.1", "first", "Content-Length: 0\r\n"))
 	until(g.T, "the connection is idle", func() bool {
@@ -70,7 +70,7 @@
 	second := head("POST /api/second HTTP/1.1", "second", "Content-Length: 0\r\n")
 	for name, first := range map[string]int{"whole": len(second), "in part": 20} {
 		t.Run(name, func(t *testing.T) {
-			g := startGateway(t, testConfig(newHost(t, says(good))))
+			g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 			c, in := openIdleConn(g)
 			g.server.mu.Lock()
 			if _, err := io.WriteString(c, second[:first]); err != nil {
@@ -94,7 +94,7 @@
 
 // Bytes that have arrived on an idle connection and are not read yet also keep it open.
 func TestIdleConnectionWithUnreadBytesStays(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good))))
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	c, in := openIdleConn(g)
 	g.server.mu.Lock()
 	conn := g.framedConns()[0]
@@ -110,7 +110,7 @@
 
 // A body that has arrived whole keeps its connection open, even if its handler has yet to record it.
 func TestConnectionWithCompleteBodyStays(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good))))
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	c, in := openIdleConn(g)
 	if _, err := io.WriteString(c, head("POST /api/second HTTP/1.1", "second", "Content-Length: 4\r\n")+"bo"); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -9,15 +9,15 @@
 	"lynxspool"
 )
 
-type told struct {
+type receivedList struct {
 	kind lynxspool.ListKind
 	list MemberList
 }
 
-type tale []told
+type receivedLists []receivedList
 
-func (t *tale) HandleList(kind lynxspool.ListKind, list MemberList) {
-	*t = append(*t, told{kind, list})
+func (t *receivedLists) HandleList(kind lynxspool.ListKind, list MemberList) {
+	*t = append(*t, receivedList{kind, list})
 }
 
 func listOf(version uint64, ids ...string) []byte {
@@ -29,11 +29,11 @@
 	return text
 }
 
-// A gateway with no list serves on a peer's, and on a newer one from the next, until
-// discovery gives one; nothing that a peer says moves it after that, nor one that had a
-// list from its start. Garbage is refused with its reason.
-func TestPeersListIsAHint(t *testing.T) {
-	var loop tale
+// A gateway without a list uses one from a peer, and a newer one from another peer, until discovery
+// sends one. After that, or if it had a list from its start, lists from peers have no effect. An
+// invalid list is refused with the reason.
+func TestPeerListIsUsedUntilDiscoveryAnswers(t *testing.T) {
+	var loop receivedLists
 	r := NewRoster(MemberList{}, &loop)
 	for _, bad := range []struct {
 		text []byte
@@ -48,7 +48,7 @@
 		}
 	}
 	if len(loop) != 0 || !r.Empty() || r.Offer() != nil {
-		t.Fatal("garbage was passed on or offered")
+		t.Fatal("an invalid list was passed on or offered")
 	}
 	for _, offer := range [][]byte{listOf(7, "a", "b"), listOf(6, "old"), listOf(8, "a", "c")} {
 		if err := r.Take(offer); err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	if r.Take(listOf(8+maxVersionLead+1, "x")) != errVersionTooHigh {
-		t.Error("a version far ahead of the hint is believed")
+		t.Error("a version far ahead of the peer's list is accepted")
 	}
 	r.HandleList(lynxspool.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
 	r.HandleList(lynxspool.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
@@ -72,7 +72,7 @@
 	}
 	want := fmt.Sprint([]string{fmt.Sprint(lynxspool.ListSaved, 7), fmt.Sprint(lynxspool.ListSaved, 8), fmt.Sprint(lynxspool.ListFull, 5), fmt.Sprint(lynxspool.ListChanges, 6)})
 	if fmt.Sprint(kinds) != want {
-		t.Errorf("the loop was told %v, want %v", kinds, want)
+		t.Errorf("the loop received %v, want %v", kinds, want)
 	}
 	var offered MemberList
 	if err := json.Unmarshal(r.Offer(), &offered); err != nil || len(offered.Servers) != 1 || offered.Servers[0].ID != "e" || offered.Version != 6 {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -21,7 +21,7 @@
 		g.Fatal(err)
 	}
 	g.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	fmt.Fprint(c, text)
 	return c
 }
@@ -29,7 +29,7 @@
 // A request that was accepted before shutdown and is due after it is answered before the process
 // exits: the host hangs, and the client would wait for a minute.
 func TestInFlightRequestIsAnsweredBeforeExit(t *testing.T) {
-	host := newHost(t, hang)
+	host := newHost(t, neverAnswer)
 	g := startGateway(t, testConfig(host))
 	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "X-Priority-Class: book\r\nContent-Length: 0\r\n"))
 	until(t, "the host has the request", func() bool { n, _, _ := host.counts(); return n == 1 })
@@ -46,7 +46,7 @@
 // A request that arrives on a connection after the end of service is not accepted: nobody would
 // answer it, and its host would work in vain.
 func TestRequestAfterShutdownIsNotAccepted(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	c := g.openConn("")
 	until(t, "the connection is open", func() bool { return g.server.hasConns() })
@@ -63,13 +63,13 @@
 // A connection that was accepted just before the listener closed may bring its first request after
 // that. The request is answered.
 func TestNewConnectionIsServedDuringShutdown(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	c := g.openConn("")
 	until(t, "the connection is open", func() bool { return g.server.hasConns() })
 	g.server.mu.Lock()
 	for c, cs := range g.server.conns {
-		cs.since = time.Now().Add(patience) // counts as new for as long as this test may take
+		cs.since = time.Now().Add(waitTimeout) // counts as new for as long as this test may take
 		g.server.conns[c] = cs
 	}
 	g.server.mu.Unlock()
@@ -106,7 +106,7 @@
 		release := make(chan struct{})
 		host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
 			<-release
-			io.WriteString(c, good)
+			io.WriteString(c, okAnswer)
 			return true
 		})
 		g := startGateway(t, testConfig(host))
@@ -150,10 +150,10 @@
 // half received, received but for its last byte, or half answered.
 func TestEveryInFlightRequestGetsOneWholeAnswer(t *testing.T) {
 	more := make(chan struct{})
-	long := string(text(200_000))
+	long := string(testBytes(200_000))
 	host := newHost(t, func(c net.Conn, r *http.Request, _ int) bool {
 		if r.Header.Get("X-Request-ID") != "long" {
-			io.WriteString(c, good)
+			io.WriteString(c, okAnswer)
 			return true
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:70_000])
@@ -192,7 +192,7 @@
 
 // A request that waits for a host when shutdown begins is refused, as it was never sent to one.
 func TestQueuedRequestIsRefusedBeforeExit(t *testing.T) {
-	cfg := testConfig(newHost(t, says(good)))
+	cfg := testConfig(newHost(t, answerWith(okAnswer)))
 	cfg.Known.Servers[0].State = "draining"
 	g := startGateway(t, cfg)
 	c := g.openConn(head("POST /api/1 HTTP/1.1", "i", "Content-Length: 0\r\n"))
@@ -208,7 +208,7 @@
 // every connection that stays open, lose nothing: each request gets one whole answer, or its
 // connection ends without a byte and the host never saw the request.
 func TestKeptConnectionsDuringShutdown(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	idleConn := g.openConn(head("POST /api/1 HTTP/1.1", "first", "Content-Length: 0\r\n"))
 	idleIn := bufio.NewReader(idleConn)
@@ -271,7 +271,7 @@
 
 // A connection that was taken from the accept queue just as the listener closed is served too.
 func TestConnectionAcceptedAsListenerCloses(t *testing.T) {
-	host := newHost(t, says(good))
+	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	until(t, "the first listener accepts", func() bool { return g.server.accepting.Load() })
 	held := blockingListener{listen(t, "127.0.0.1:0", nil), make(chan struct{}), make(chan struct{})}
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -19,7 +19,7 @@
 			hosts := bubbleHosts(n, count)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
 			ctx, cancel := context.WithCancel(t.Context())
-			defer settle(cancel, disco)
+			defer endBubble(cancel, disco)
 			cfg := bubbleConfig(ask, count, count-1, disco.addr, nil) // no saved list: the list of discovery is all it has
 			g := startBubble(t, ctx, n, cfg)
 			time.Sleep(5 * time.Second)
@@ -62,11 +62,11 @@
 			before := time.Now()
 			countServed(20)
 			for _, h := range hosts[1:] {
-				if h.between(before, time.Now()) > 0 {
+				if h.requestsBetween(before, time.Now()) > 0 {
 					t.Fatalf("asked for %t: %s got a request after it began to drain", ask, h.id)
 				}
 			}
-			if hosts[0].between(before, time.Now()) == 0 {
+			if hosts[0].requestsBetween(before, time.Now()) == 0 {
 				t.Errorf("asked for %t: the host that is left got nothing", ask)
 			}
 		})
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -28,14 +28,14 @@
 	n := newBubbleNet()
 	hosts := bubbleHosts(n, 2)
 	for _, h := range hosts {
-		h.work = 400 * time.Millisecond // a host serves 2.5 requests a second one after the other, so a cold one may get 5
+		h.serviceTime = 400 * time.Millisecond // a host serves 2.5 requests a second one after the other, so a cold one may get 5
 	}
 	cfg := bubbleConfig(false, 1, 0, "discovery:80", hosts)
 	cfg.Settings.ColdCapacity, cfg.Settings.WarmAfter = 0.1, warmAfter
 	cfg.Settings.OverloadFactor, cfg.Settings.OverloadWindow = 2, time.Second
 	ctx, cancel := context.WithCancel(t.Context())
 	g := startBubble(t, ctx, n, cfg)
-	defer settle(cancel)
+	defer endBubble(cancel)
 	stop := make(chan struct{})
 	defer close(stop)
 	fleetTraffic([]*bubbleGateway{g}, stop)
@@ -52,10 +52,10 @@
 		{ID: hosts[0].id, Addr: hosts[0].addr, State: "ready", StartedMS: started.UnixMilli()}}})
 	time.Sleep(warmAfter + 10*time.Second)
 	// At 40 requests a second a warm host gets half of them.
-	if got := hosts[0].between(began, began.Add(time.Second)); got > 6 {
+	if got := hosts[0].requestsBetween(began, began.Add(time.Second)); got > 6 {
 		t.Errorf("the host gets %d requests in the first second after its start", got)
 	}
-	if got := hosts[0].between(began.Add(warmAfter+5*time.Second), time.Now()); got < 50 {
+	if got := hosts[0].requestsBetween(began.Add(warmAfter+5*time.Second), time.Now()); got < 50 {
 		t.Errorf("once it is warm the host gets %d requests in 5 s", got)
 	}
 }
--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -67,7 +67,7 @@
 	time.Sleep(time.Second)
 	return l, func() {
 		server.http.Close()
-		settle(cancel, disco)
+		endBubble(cancel, disco)
 	}
 }
 
