--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -92,7 +92,7 @@
 				return lynxspool.ConnectFailed, answer{}
 			}
 			return unsentResult(ctx), answer{}
-		case err == errTooManyConns || localFailure(err):
+		case err == errTooManyConns || isLocalFailure(err):
 			return lynxspool.NotSent, answer{} // this machine lacks resources; it says nothing of the host
 		case err != nil:
 			return lynxspool.ConnectFailed, answer{}
@@ -126,11 +126,11 @@
 	return !x.finished.Load() && h.usable.Load()
 }
 
-// localFailure returns whether a system call failed because this machine lacked something:
+// isLocalFailure returns whether a system call failed because this machine lacked something:
 // descriptors, ports, buffers, memory, or its network as a whole. Such a failure says nothing of
 // the host. A network without a route to a host (ENETUNREACH, EHOSTUNREACH) counts as the host's
 // failure, as other hosts can be reached.
-func localFailure(err error) bool {
+func isLocalFailure(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
@@ -202,7 +202,7 @@
 		case ctx.Err() != nil:
 			return unsentResult(ctx), answer{}
 		}
-		if localFailure(err) {
+		if isLocalFailure(err) {
 			return lynxspool.NotSent, answer{}
 		}
 		if x.upload != nil {
@@ -236,7 +236,7 @@
 		return lynxspool.TimedOut, answer{}
 	case ctx.Err() != nil:
 		return lynxspool.Canceled, answer{}
-	case localFailure(err):
+	case isLocalFailure(err):
 		return lynxspool.Canceled, answer{} // it may have run, and the failure says nothing of the host
 	case early && isConnError(err):
 		return lynxspool.ConnectFailed, answer{}
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -72,8 +72,8 @@
 
 	block(endedPrefix + "s-other") // the earlier mark cannot be removed: the maintenance is stored all the same
 	err = store.Set(g.loop, "s-other", true)
-	if kept := persistedMaintenance(t, g.loop, tmp)["s-other"]; kept != (err == nil) || store.inMaintenance["s-other"] != kept {
-		t.Errorf("the call returns %v, the maintenance is stored: %t, and in force: %t", err, kept, store.inMaintenance["s-other"])
+	if stored := persistedMaintenance(t, g.loop, tmp)["s-other"]; stored != (err == nil) || store.inMaintenance["s-other"] != stored {
+		t.Errorf("the call returns %v, the maintenance is stored: %t, and in force: %t", err, stored, store.inMaintenance["s-other"])
 	}
 }
 
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -131,12 +131,12 @@
 			t.Errorf("%s: %v, %d bytes of %d", name, err, len(first)+len(rest), len(long))
 		}
 		until(t, name+": the request is released", func() bool { return g.openRequests() == 0 })
-		kept := 0
+		wantConns := 0
 		if name == "length" || name == "chunked" {
-			kept = 1
+			wantConns = 1
 		}
-		if open, _ := g.loop.pool.counts(g.loop.hosts[hostID("s-0")]); open != kept {
-			t.Errorf("%s: %d connections to the host, want %d", name, open, kept)
+		if open, _ := g.loop.pool.counts(g.loop.hosts[hostID("s-0")]); open != wantConns {
+			t.Errorf("%s: %d connections to the host, want %d", name, open, wantConns)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 	for name, head := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40000\r\n",
-		"spoilt":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n",
+		"corrupt": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n",
 	} {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			host := newHost(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -219,7 +219,7 @@
 			defer c.Close()
 			fmt.Fprintf(c, "GET /api %s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: look\r\n\r\n", proto)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-			if name == "spoilt" { // it is detected before the first byte is passed on
+			if name == "corrupt" { // it is detected before the first byte is passed on
 				if err != nil || resp.StatusCode == 200 {
 					t.Errorf("%s %s: answer %v, %v", name, proto, resp, err)
 				}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -226,11 +226,11 @@
 			case <-d.addrsChanged:
 			}
 		}
-		heard, err := d.watch(ctx, loop)
+		received, err := d.watch(ctx, loop)
 		if ctx.Err() != nil {
 			return
 		}
-		if heard {
+		if received {
 			if watchLost && time.Since(lostSince) > listAgeLogInterval {
 				slog.Info("discovery back", "after_s", time.Since(lostSince).Round(time.Millisecond).Seconds())
 			}
@@ -243,9 +243,9 @@
 		// at once, and a failure is reported to the module only if that fails, as the module waits
 		// before the next call. A call without an answer is also repeated at once, but only once:
 		// if no call is answered, the module spaces the calls of the fleet.
-		callAgain = errors.Is(err, errSilent) && (heard || !retriedUnanswered)
+		callAgain = errors.Is(err, errSilent) && (received || !retriedUnanswered)
 		switch {
-		case callAgain && heard:
+		case callAgain && received:
 			d.timeoutFactor = urgentTimeoutFactor
 			loop.HandleList(lynxspool.ListSilent, MemberList{})
 		case errors.Is(err, errEnded):
@@ -253,14 +253,14 @@
 		default:
 			d.timeoutFactor = usualTimeoutFactor
 		}
-		retriedUnanswered = callAgain && !heard
+		retriedUnanswered = callAgain && !received
 		d.mu.Lock()
 		d.addrIndex = (d.addrIndex + 1) % len(d.addrs)
 		instances := len(d.addrs)
 		d.mu.Unlock()
 		// Another instance may be available: each is tried once before a failure is reported, unless
 		// one has asked not to be called.
-		if failedInstances++; !heard && failedInstances < instances && time.Now().After(d.retryAt) {
+		if failedInstances++; !received && failedInstances < instances && time.Now().After(d.retryAt) {
 			callAgain = true
 		} else {
 			failedInstances = 0
@@ -292,7 +292,7 @@
 
 // watch holds one watch until it ends. It returns whether the watch received anything, or was open
 // when it fell silent.
-func (d *Discovery) watch(ctx context.Context, loop ListHandler) (heard bool, err error) {
+func (d *Discovery) watch(ctx context.Context, loop ListHandler) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	d.mu.Lock()
@@ -307,7 +307,7 @@
 	answered := false
 	defer func() {
 		if cause := context.Cause(ctx); cause == errSilent || cause == errAddrsChanged {
-			err, heard = cause, heard || answered
+			err, received = cause, received || answered
 		} else if answered && errors.Is(err, io.ErrUnexpectedEOF) {
 			err = fmt.Errorf("%w: %w", errEnded, err)
 		}
@@ -354,7 +354,7 @@
 	upToDate := d.haveList && index == d.version && index > 0 // otherwise the list is still to come
 	reader := &listReader{body: resp.Body, onData: func(blank bool) {
 		silenceTimer.Reset(d.silenceTimeout)
-		heard, d.lastHeardAt = true, time.Now()
+		received, d.lastHeardAt = true, time.Now()
 		if blank && upToDate { // the list has not changed since our version
 			loop.HandleList(lynxspool.ListChanges, MemberList{Version: index})
 		}
@@ -367,16 +367,16 @@
 		reader.bytesSinceList = 0
 		switch {
 		case errors.Is(err, errListTooLong):
-			return heard, fmt.Errorf("discovery's list is longer than %d MB, ours is kept", maxListBytes>>20)
+			return received, fmt.Errorf("discovery's list is longer than %d MB, ours is kept", maxListBytes>>20)
 		case reader.readErr != nil:
-			return heard, reader.readErr
+			return received, reader.readErr
 		case err == io.EOF:
-			return heard, io.ErrUnexpectedEOF // a watch never ends in order
+			return received, io.ErrUnexpectedEOF // a watch never ends in order
 		case isMalformedList(err):
 			d.needFullList = true // the changes in it are lost
 			return false, fmt.Errorf("discovery's list: %w", err)
 		case err != nil:
-			return heard, err
+			return received, err
 		}
 		if list.Version < d.version {
 			if d.olderListSince.IsZero() {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -57,9 +57,9 @@
 // failures and nothing else, and the calls state that there is a list.
 func TestEndlessListIsRejected(t *testing.T) {
 	calls := 0
-	have := make(chan string, 8)
+	statedVersions := make(chan string, 8)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		have <- r.Header.Get("X-Catalog-Have")
+		statedVersions <- r.Header.Get("X-Catalog-Have")
 		if calls++; calls == 1 {
 			w.Header().Set("Retry-After", "0.001")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -85,7 +85,7 @@
 		if kind := <-received; kind != lynxspool.ListFailed {
 			t.Fatalf("the loop received a list of kind %v", kind)
 		}
-		if h := <-have; h != "5" {
+		if h := <-statedVersions; h != "5" {
 			t.Errorf("the call states the version %q", h)
 		}
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -200,10 +200,10 @@
 	statuses := make(chan FleetStatus, 1)
 	l.post(func(now lynxspool.Time) {
 		l.balancer.UpdatePeers(now, peers)
-		var p FleetStatus
-		p.Live, p.SharedBy, p.Draws = l.balancer.FleetStatus()
-		p.Rate = l.balancer.RequestRate(now)
-		statuses <- p
+		var current FleetStatus
+		current.Live, current.SharedBy, current.Draws = l.balancer.FleetStatus()
+		current.Rate = l.balancer.RequestRate(now)
+		statuses <- current
 	})
 	select {
 	case status = <-statuses:
--- a/internal/gateway/notification_clock_test.go
+++ b/internal/gateway/notification_clock_test.go
@@ -181,11 +181,11 @@
 	switch do {
 	case callBusy, callRetryAfter:
 		d.mu.Unlock()
-		rest := ""
+		retryAfter := ""
 		if do == callRetryAfter {
-			rest = "Retry-After: 30\r\n"
+			retryAfter = "Retry-After: 30\r\n"
 		}
-		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\n"+rest+"Content-Length: 0\r\n\r\n")
+		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\n"+retryAfter+"Content-Length: 0\r\n\r\n")
 		return
 	case callUnanswered:
 		d.mu.Unlock()
@@ -398,9 +398,9 @@
 	for name, next := range map[string][]bubbleCall{
 		"in turn": nil, "one refused": {callBusy}, "one unanswered": {callUnanswered},
 	} {
-		for _, ask := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, on demand %t", name, ask), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testSilentFleet(t, ask, next) })
+		for _, onDemand := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, on demand %t", name, onDemand), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { testSilentFleet(t, onDemand, next) })
 			})
 		}
 	}
@@ -559,11 +559,11 @@
 // begun to drain receives no new request later than the grace after the drain counts as notified,
 // the other hosts are used, and discovery receives few calls.
 func TestNoRequestAfterDrainCountsAsNotified(t *testing.T) {
-	for _, f := range discoveryFaults {
-		for _, l := range trafficPatterns {
-			for _, ask := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, %s, on demand %t", f.name, l.name, ask), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { testDrainDuringFault(t, f, l, ask) })
+	for _, fault := range discoveryFaults {
+		for _, pattern := range trafficPatterns {
+			for _, onDemand := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%s, %s, on demand %t", fault.name, pattern.name, onDemand), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { testDrainDuringFault(t, fault, pattern, onDemand) })
 				})
 			}
 		}
@@ -653,7 +653,7 @@
 // If most instances of discovery are cut off and silent, the available one is called in time: the
 // time is divided among the instances.
 func TestSilentInstancesAreSkippedInTime(t *testing.T) {
-	for _, ask := range []bool{true, false} {
+	for _, onDemand := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, 2)
@@ -666,13 +666,13 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer endBubble(cancel, disco)
-			g := startBubble(t, ctx, n, bubbleConfig(ask, 6, 3, strings.Join(addrs, ","), hosts))
+			g := startBubble(t, ctx, n, bubbleConfig(onDemand, 6, 3, strings.Join(addrs, ","), hosts))
 			time.Sleep(5 * time.Second)
 			disco.resetWatches()
 			disco.drain("s-0")
 			time.Sleep(lynxspool.NotifiedAfter + drainGrace)
 			if g.usable("s-0") {
-				t.Errorf("on demand %t: a drain is not in force %v after it began", ask, lynxspool.NotifiedAfter+drainGrace)
+				t.Errorf("on demand %t: a drain is not in force %v after it began", onDemand, lynxspool.NotifiedAfter+drainGrace)
 			}
 		})
 	}
@@ -733,13 +733,13 @@
 	for away := 4 * time.Second; away < 12*time.Second; away += 430 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			n := newBubbleNet()
-			servers := bubbleHosts(n, 3)
-			disco := newBubbleDiscovery(n, "discovery:80", servers)
+			hosts := bubbleHosts(n, 3)
+			disco := newBubbleDiscovery(n, "discovery:80", hosts)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer endBubble(cancel, disco)
 			var gateways []*bubbleGateway
 			for rank := range fleet {
-				gateways = append(gateways, startBubble(t, ctx, n, bubbleConfig(true, fleet, rank, disco.addr, servers)))
+				gateways = append(gateways, startBubble(t, ctx, n, bubbleConfig(true, fleet, rank, disco.addr, hosts)))
 			}
 			time.Sleep(10 * time.Second)
 			disco.down()
