--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -32,7 +32,7 @@
 	go loop.Run(ctx)
 	go server.Serve(ln)
 	defer server.http.Close()
-	loop.Members(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(lynxspool.ListSaved, cfg.Known)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		b.Fatal(err)
@@ -70,7 +70,7 @@
 					if _, err := c.Read(buf); err != nil {
 						return
 					}
-					io.WriteString(c, good)
+					io.WriteString(c, okAnswer)
 				}
 			}()
 		}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -124,7 +124,7 @@
 			moved := &fakeDiscovery{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
 			moved.start("127.0.0.84:0")
 			r.t.Cleanup(moved.stop)
-			d.Move(moved.ln.Addr().String())
+			d.SetAddrs(moved.ln.Addr().String())
 			return moved
 		},
 	} {
@@ -138,15 +138,15 @@
 }
 
 func testDrainDespiteFault(t *testing.T, ask bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
-	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good)), newHost(t, says(good))}
+	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	r := newFakeDiscovery(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
 	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = ask, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
-	d.silence = 300 * time.Millisecond
-	g := startWatching(t, cfg, d.Watch)
+	d.silenceTimeout = 300 * time.Millisecond
+	g := startGatewayWithWatch(t, cfg, d.Watch)
 	loop := g.loop
 	done := make(chan struct{})
 	go func() {
@@ -178,7 +178,7 @@
 		until(t, id+" is known to drain", func() bool { return !usable(id) })
 		old, _, _ := hosts[n].counts()
 		for range 20 {
-			if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 {
+			if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != 200 {
 				t.Errorf("answer %d %q", resp.StatusCode, body)
 			}
 		}
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -9,14 +9,16 @@
 	"lynxspool"
 )
 
-type told struct {
+type receivedList struct {
 	kind lynxspool.ListKind
 	list MemberList
 }
 
-type tale []told
+type receivedLists []receivedList
 
-func (t *tale) Members(kind lynxspool.ListKind, list MemberList) { *t = append(*t, told{kind, list}) }
+func (t *receivedLists) HandleList(kind lynxspool.ListKind, list MemberList) {
+	*t = append(*t, receivedList{kind, list})
+}
 
 func listOf(version uint64, ids ...string) []byte {
 	l := MemberList{Version: version, Full: true}
@@ -27,11 +29,11 @@
 	return text
 }
 
-// A gateway with no list serves on a peer's, and on a newer one from the next, until
-// discovery gives one; nothing that a peer says moves it after that, nor one that had a
-// list from its start. Garbage is refused with its reason.
-func TestPeersListIsAHint(t *testing.T) {
-	var loop tale
+// A gateway without a list uses one from a peer, and a newer one from another peer, until discovery
+// sends one. After that, or if it had a list from its start, lists from peers have no effect. An
+// invalid list is refused with the reason.
+func TestPeerListIsUsedUntilDiscoveryAnswers(t *testing.T) {
+	var loop receivedLists
 	r := NewRoster(MemberList{}, &loop)
 	for _, bad := range []struct {
 		text []byte
@@ -39,29 +41,29 @@
 	}{
 		{[]byte("{"), "unexpected end"}, {listOf(3), "0 hosts"}, {listOf(3, ""), "no id"},
 		{[]byte(`{"version":3,"servers":[{"id":"a","addr":"here"}]}`), "host:port"},
-		{[]byte(`{"version":3,"servers":[` + strings.Repeat(`{},`, maxRoster) + `{}]}`), "not 1 to"},
+		{[]byte(`{"version":3,"servers":[` + strings.Repeat(`{},`, maxPeerListHosts) + `{}]}`), "not 1 to"},
 	} {
 		if err := r.Take(bad.text); err == nil || !strings.Contains(err.Error(), bad.want) {
 			t.Errorf("%.40s: %v, want %q", bad.text, err, bad.want)
 		}
 	}
 	if len(loop) != 0 || !r.Empty() || r.Offer() != nil {
-		t.Fatal("garbage was passed on or offered")
+		t.Fatal("an invalid list was passed on or offered")
 	}
 	for _, offer := range [][]byte{listOf(7, "a", "b"), listOf(6, "old"), listOf(8, "a", "c")} {
 		if err := r.Take(offer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if r.Take(listOf(8+farAhead+1, "x")) != errOwnList {
-		t.Error("a version far ahead of the hint is believed")
+	if r.Take(listOf(8+maxVersionLead+1, "x")) != errVersionTooHigh {
+		t.Error("a version far ahead of the peer's list is accepted")
 	}
-	r.Members(lynxspool.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
-	r.Members(lynxspool.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
+	r.HandleList(lynxspool.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
+	r.HandleList(lynxspool.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
 	if err := r.Take(listOf(9, "a")); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Take(listOf(1<<40, "a")); err != errOwnList {
+	if err := r.Take(listOf(1<<40, "a")); err != errVersionTooHigh {
 		t.Errorf("a version far ahead of discovery's: %v", err)
 	}
 	var kinds []string
@@ -70,7 +72,7 @@
 	}
 	want := fmt.Sprint([]string{fmt.Sprint(lynxspool.ListSaved, 7), fmt.Sprint(lynxspool.ListSaved, 8), fmt.Sprint(lynxspool.ListFull, 5), fmt.Sprint(lynxspool.ListChanges, 6)})
 	if fmt.Sprint(kinds) != want {
-		t.Errorf("the loop was told %v, want %v", kinds, want)
+		t.Errorf("the loop received %v, want %v", kinds, want)
 	}
 	var offered MemberList
 	if err := json.Unmarshal(r.Offer(), &offered); err != nil || len(offered.Servers) != 1 || offered.Servers[0].ID != "e" || offered.Version != 6 {
