--- a/cmd/dunemoor/bank.go
+++ b/cmd/dunemoor/bank.go
@@ -12,33 +12,35 @@
 	"lynxspool/internal/membership"
 )
 
-// bank brings the view of the other gateways to the module, and this one's traffic to them.
-type bank struct {
+// fleetSynchronizer passes the membership view to the decision module and announces this gateway's
+// rank and request rate to its peers.
+type fleetSynchronizer struct {
 	members *membership.Node
 	loop    *gateway.Loop
 	roster  *gateway.Roster
-	rank    atomic.Int64 // of the settings in force
-	state   atomic.Pointer[standing]
+	rank    atomic.Int64 // configured rank of this gateway, updated by a reload
+	status  atomic.Pointer[fleetStatus]
 }
 
-// standing is what GET /members says first: what decides, and why it last changed.
-type standing struct {
+// fleetStatus is the state of the fleet as the decision module uses it, with the reason for its last
+// change. It is part of the answer to GET /members.
+type fleetStatus struct {
 	Rank int `json:"rank"`
 	gateway.Place
-	Changed time.Time `json:"changed"`
-	Why     string    `json:"why"`
+	ChangedAt time.Time `json:"changed"`
+	Reason    string    `json:"why"`
 }
 
-// lookEvery is the time between two looks of the module at the view.
-const lookEvery = time.Second
+// peerUpdateInterval is the time between two updates of the decision module from the membership view.
+const peerUpdateInterval = time.Second
 
-// run looks until ctx ends.
-func (b *bank) run(ctx context.Context) {
-	go b.askPeers(ctx)
-	tick := time.NewTicker(lookEvery)
+// run requests an initial host list and updates the decision module periodically until ctx is done.
+func (f *fleetSynchronizer) run(ctx context.Context) {
+	go f.requestInitialList(ctx)
+	tick := time.NewTicker(peerUpdateInterval)
 	defer tick.Stop()
 	for {
-		b.look()
+		f.updatePeers()
 		select {
 		case <-ctx.Done():
 			return
@@ -47,45 +49,46 @@
 	}
 }
 
-// look tells the module who is there, alive or suspect, and logs its place when that changed.
-func (b *bank) look() {
-	rank := int(b.rank.Load())
+// updatePeers reports the peers that are alive or suspect to the decision module, announces this
+// gateway's load to them and logs the fleet status if it changed.
+func (f *fleetSynchronizer) updatePeers() {
+	rank := int(f.rank.Load())
 	var peers []lynxspool.Peer
-	for _, p := range b.members.View() {
+	for _, p := range f.members.View() {
 		if p.State == membership.Alive || p.State == membership.Suspect {
 			peers = append(peers, lynxspool.Peer{Rank: p.Rank, Rate: p.Rate})
 		}
 	}
-	place := b.loop.Peers(peers)
-	b.members.AnnounceLoad(rank, place.Rate)
-	old := b.state.Load()
-	now := &standing{Rank: rank, Place: place, Changed: time.Now(), Why: b.members.LastChange()}
-	if old != nil && old.Live == place.Live && old.Draws == place.Draws && old.Rank == rank {
-		now.Changed, now.Why = old.Changed, old.Why
+	place := f.loop.Peers(peers)
+	f.members.AnnounceLoad(rank, place.Rate)
+	previous := f.status.Load()
+	current := &fleetStatus{Rank: rank, Place: place, ChangedAt: time.Now(), Reason: f.members.LastChange()}
+	if previous != nil && previous.Live == place.Live && previous.Draws == place.Draws && previous.Rank == rank {
+		current.ChangedAt, current.Reason = previous.ChangedAt, previous.Reason
 	} else {
 		slog.Info("place in the bank", "rank", rank, "live", place.Live, "caps_shared_by", place.SharedBy,
-			"draws", place.Draws, "why", now.Why)
+			"draws", place.Draws, "why", current.Reason)
 	}
-	b.state.Store(now)
+	f.status.Store(current)
 }
 
-// view is the answer to GET /members.
-func (b *bank) view() any {
+// membersResponse returns the body of the answer to GET /members, to be encoded as JSON.
+func (f *fleetSynchronizer) membersResponse() any {
 	return struct {
-		Place *standing         `json:"place"`
+		Place *fleetStatus      `json:"place"`
 		Peers []membership.Peer `json:"peers"`
-	}{b.state.Load(), b.members.View()}
+	}{f.status.Load(), f.members.View()}
 }
 
-// askPeers asks for a list until there is one: a few peers at a time, more seldom as time
-// goes on.
-func (b *bank) askPeers(ctx context.Context) {
-	for wait := 200 * time.Millisecond; b.roster.Empty(); wait = min(wait*5/4, time.Second) {
-		b.members.RequestLists()
+// requestInitialList asks a few peers at a time for their host list until the roster has one. The
+// delay between requests grows by a quarter each time, up to 1 s, with jitter of ±50 %.
+func (f *fleetSynchronizer) requestInitialList(ctx context.Context) {
+	for retryDelay := 200 * time.Millisecond; f.roster.Empty(); retryDelay = min(retryDelay*5/4, time.Second) {
+		f.members.RequestLists()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(retryDelay/2 + rand.N(retryDelay)):
 		}
 	}
 }
--- a/cmd/dunemoor/heldup_test.go
+++ b/cmd/dunemoor/heldup_test.go
@@ -23,7 +23,7 @@
 func (p *program) stop(t *testing.T) {
 	t.Helper()
 	p.Process.Signal(syscall.SIGSTOP)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(waitTimeout))
 		fmt.Fprint(c, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
@@ -64,14 +64,14 @@
 	const clients = 300
 	for round := range 3 {
 		t.Run(fmt.Sprint("round_", round), func(t *testing.T) {
-			asked, addrs := twoHosts(t)
-			disco := newDiscovery(t)
-			p := start(t, strings.Replace(config(addrs...), "127.0.0.1:1", disco.addr(), 1), freeAddr(t))
-			p.ready(t)
+			asked, addrs := startTwoHosts(t)
+			disco := newFakeDiscovery(t)
+			p := startGateway(t, strings.Replace(configJSON(addrs...), "127.0.0.1:1", disco.addr(), 1), freeAddr(t))
+			p.waitReady(t)
 			<-disco.watched
 			list := `{"version":%d,"full":true,"servers":[{"id":"s-0","addr":%q,"state":%q},{"id":"s-1","addr":%q,"state":"ready"}]}`
 			disco.lines <- fmt.Sprintf(list, 2, addrs[0], "ready", addrs[1])
-			p.serve(t, 20)
+			p.sendUntilServed(t, 20)
 			conns := restingClients(t, p, clients)
 			p.stop(t)
 			before := asked[0].Load()
@@ -115,20 +115,20 @@
 		t.Cleanup(func() { once.Do(func() { close(stopped) }) })
 		addrs = append(addrs, strings.TrimPrefix(server.URL, "http://"))
 	}
-	p := start(t, config(addrs...), freeAddr(t))
-	p.ready(t)
-	p.serve(t, 40)
+	p := startGateway(t, configJSON(addrs...), freeAddr(t))
+	p.waitReady(t)
+	p.sendUntilServed(t, 40)
 	conns := restingClients(t, p, clients)
 	for _, c := range conns {
 		fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: held\r\nX-Priority-Class: book\r\nX-Timeout: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	for end := time.Now().Add(patience); out.Load() < clients; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); out.Load() < clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d requests are with a server\n%s", out.Load(), clients, p.out.String())
+			t.Fatalf("%d of %d requests are with a server\n%s", out.Load(), clients, p.output.String())
 		}
 	}
 	p.stop(t)
-	before := len(p.out.String()) // a server may be ejected ahead of the stop: it does not answer then
+	before := len(p.output.String()) // a server may be ejected ahead of the stop: it does not answer then
 	once.Do(func() { close(stopped) })
 	time.Sleep(heldUp)
 	p.Process.Signal(syscall.SIGCONT)
@@ -142,14 +142,14 @@
 	}
 	failed := 0
 	for range 40 {
-		if _, err := ask(p.url); err != nil {
+		if _, err := sendRequest(p.url); err != nil {
 			failed++
 		}
 	}
 	if failed > 0 {
 		t.Errorf("%d of 40 requests behind it are not served", failed)
 	}
-	if log := p.out.String()[before:]; strings.Contains(log, "ejected") {
+	if log := p.output.String()[before:]; strings.Contains(log, "ejected") {
 		t.Errorf("a server is ejected:\n%s", log)
 	}
 	t.Logf("what was out is answered with %v", statuses)
@@ -162,7 +162,7 @@
 func TestWatchThatWaitsUnreadIsNotSilent(t *testing.T) {
 	const stopped = 4 * time.Second
 	var calls atomic.Int64
-	_, addrs := twoHosts(t)
+	_, addrs := startTwoHosts(t)
 	ends := make(chan struct{})
 	disco := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
@@ -181,17 +181,17 @@
 	}))
 	defer disco.Close()
 	defer close(ends)
-	p := start(t, strings.Replace(config(addrs...), "127.0.0.1:1", strings.TrimPrefix(disco.URL, "http://"), 1), freeAddr(t))
-	p.ready(t)
-	p.serve(t, 1)
+	p := startGateway(t, strings.Replace(configJSON(addrs...), "127.0.0.1:1", strings.TrimPrefix(disco.URL, "http://"), 1), freeAddr(t))
+	p.waitReady(t)
+	p.sendUntilServed(t, 1)
 	before := calls.Load()
 	p.stop(t)
 	time.Sleep(stopped)
 	p.Process.Signal(syscall.SIGCONT)
-	p.serve(t, 1)
+	p.sendUntilServed(t, 1)
 	time.Sleep(time.Second)
 	if n := calls.Load() - before; n > 0 {
-		t.Errorf("%d more calls for the list, its watch brought a line every 200 ms\n%s", n, p.out.String())
+		t.Errorf("%d more calls for the list, its watch brought a line every 200 ms\n%s", n, p.output.String())
 	}
 }
 
@@ -201,10 +201,10 @@
 // returns that, whatever waits in the socket. What came before the deadline is now read behind it.
 func TestRequestThatComesWhileHeldUpIsAnswered(t *testing.T) {
 	const comesAfter, stopped = 500 * time.Millisecond, 3 * time.Second
-	_, addrs := twoHosts(t)
-	p := start(t, strings.Replace(config(addrs...), `"hard_limit":2000000`, `"hard_limit":10000000`, 1), freeAddr(t))
-	p.ready(t)
-	p.serve(t, 1)
+	_, addrs := startTwoHosts(t)
+	p := startGateway(t, strings.Replace(configJSON(addrs...), `"hard_limit":2000000`, `"hard_limit":10000000`, 1), freeAddr(t))
+	p.waitReady(t)
+	p.sendUntilServed(t, 1)
 	request := "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: book\r\nX-Timeout: 9\r\nContent-Length: 4\r\n\r\nbody"
 	var conns []net.Conn
 	parts := []string{"", request[:20], request[:len(request)-2]} // that have come before
@@ -214,7 +214,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(waitTimeout))
 		io.WriteString(c, part)
 		conns = append(conns, c)
 	}
--- a/cmd/dunemoor/inject_off.go
+++ b/cmd/dunemoor/inject_off.go
@@ -8,7 +8,7 @@
 	"lynxspool/internal/gateway"
 )
 
-// injectFaults does nothing in a program that is not built to fail on purpose.
+// injectFaults does nothing in a build without the tag faultinject.
 func injectFaults(*gateway.Pool) func(net.Listener) net.Listener {
 	return func(ln net.Listener) net.Listener { return ln }
 }
--- a/cmd/dunemoor/log_test.go
+++ b/cmd/dunemoor/log_test.go
@@ -12,31 +12,31 @@
 // logTo starts the program with its log going to a pipe.
 func logTo(t *testing.T, pipe *os.File) *program {
 	t.Helper()
-	_, addrs := twoHosts(t)
+	_, addrs := startTwoHosts(t)
 	listen := freeAddr(t)
-	p := prepare(t, config(addrs...), "http://"+listen, nil, "GW_LISTEN="+listen)
+	p := newProgram(t, configJSON(addrs...), "http://"+listen, nil, "GW_LISTEN="+listen)
 	p.Stdout, p.Stderr = pipe, pipe
-	p.begin(t)
+	p.startProcess(t)
 	return p
 }
 
 // servesReloadsAndEnds checks that the program does all that without a reader of its log.
 func (p *program) servesReloadsAndEnds(t *testing.T) {
 	t.Helper()
-	p.ready(t)
-	p.serve(t, 3)
-	text, err := os.ReadFile(p.config)
+	p.waitReady(t)
+	p.sendUntilServed(t, 3)
+	text, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.config, []byte(strings.Replace(string(text), `"book"`, `"other"`, 1)), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, []byte(strings.Replace(string(text), `"book"`, `"other"`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(waitTimeout); ; {
 		if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		_, err := ask(p.url)
+		_, err := sendRequest(p.url)
 		if err != nil && strings.Contains(err.Error(), "answer 400") {
 			break
 		}
@@ -48,7 +48,7 @@
 	p.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the program does not end")
 	}
 	if code := p.ProcessState.ExitCode(); code != 0 {
--- a/cmd/dunemoor/main.go
+++ b/cmd/dunemoor/main.go
@@ -1,5 +1,5 @@
-// Command dunemoor is one gateway: it takes clients' requests and passes them on to
-// hosts as the decision module says. It is configured by the GW_ variables.
+// Command dunemoor runs one gateway process. It accepts client requests and forwards them to hosts
+// as the decision module directs. It is configured by environment variables with the prefix GW_.
 package main
 
 import (
@@ -21,24 +21,24 @@
 	"lynxspool/internal/membership"
 )
 
-// listTime is how long a process that shares its listener waits for a list from discovery
-// before it takes anything from clients; it is due to be ready 6 s after its start.
-const listTime = 4 * time.Second
+// initialListTimeout limits how long a process that inherits its listener waits for a host list from
+// discovery before it accepts clients. Such a process must be ready 6 s after its start.
+const initialListTimeout = 4 * time.Second
 
-// overlapTime is how long another process may serve beside one that has just started: the
-// time it is given to get ready, and the other to end.
-const overlapTime = 10 * time.Second
+// upgradeOverlap is how long a new process and the one it replaces may serve side by side. It covers
+// the time until the new process is ready and the old one has exited.
+const upgradeOverlap = 10 * time.Second
 
-// flushTime is what the last log lines have to get out, which is less than the process has left
-// between its last answers and a SIGKILL.
-const flushTime = 30 * time.Millisecond
+// logFlushTimeout limits the writing of the last log lines. It is shorter than the time between the
+// last answers of a stopping process and the SIGKILL that may follow.
+const logFlushTimeout = 30 * time.Millisecond
 
-// memoryShare is the part of the memory limit at which the collector works harder;
-// the rest is for stacks, the binary and what the kernel holds for us.
-const memoryShare = 0.7
+// memoryLimitFraction is the fraction of the configured memory that is set as the soft limit of the
+// Go runtime. The rest is for stacks, the binary and memory that the kernel holds for the process.
+const memoryLimitFraction = 0.7
 
 func main() {
-	log := logwriter.Install(level(os.Getenv("GW_LOG")))
+	log := logwriter.Install(logLevel(os.Getenv("GW_LOG")))
 	cfg, err := gateway.Load(os.Getenv)
 	if err == nil {
 		err = run(cfg)
@@ -46,40 +46,41 @@
 	if err != nil {
 		fmt.Fprintf(log, "dunemoor: %v\n", err)
 	}
-	log.Flush(flushTime)
+	log.Flush(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
 }
 
-// level is how much is logged: "debug" adds two lines for each attempt.
-func level(name string) slog.Level {
+// logLevel returns the log level for the value of GW_LOG. The level "debug" adds two lines for each
+// attempt.
+func logLevel(name string) slog.Level {
 	if name == "debug" {
 		return slog.LevelDebug
 	}
 	return slog.LevelInfo
 }
 
-// run serves until SIGTERM or SIGINT, and then ends in order. SIGHUP makes it read the
-// configuration file anew.
+// run serves until SIGTERM or SIGINT and then shuts down gracefully. On SIGHUP it reloads the
+// configuration file.
 func run(cfg *gateway.Config) error {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	}
 	if cfg.MemoryMB > 0 {
-		limit := memoryShare * float64(cfg.MemoryMB) * (1 << 20)
+		limit := memoryLimitFraction * float64(cfg.MemoryMB) * (1 << 20)
 		if cfg.AcceptFD != 0 {
-			limit /= 2 // two processes share it during an upgrade
+			limit /= 2 // two processes share the memory during an upgrade
 		}
 		debug.SetMemoryLimit(int64(limit))
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	reloads := make(chan os.Signal, 1) // its own, so that neither kind crowds out the other
+	reloads := make(chan os.Signal, 1) // separate, so that a pending signal of one kind does not drop one of the other
 	signal.Notify(reloads, syscall.SIGHUP)
 
 	pool := gateway.NewPool(cfg)
-	injectInto := injectFaults(pool)
+	wrapListener := injectFaults(pool)
 	discovery := gateway.NewDiscovery(cfg)
 	loop, err := gateway.NewLoop(cfg, pool, discovery.Watch)
 	if err != nil {
@@ -91,117 +92,118 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	ln = injectInto(ln)
+	ln = wrapListener(ln)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go pool.Run(ctx)
 	go loop.Run(ctx)
 	server := gateway.NewServer(cfg, loop)
-	broken := make(chan error, 2)
-	serveOperators := func(*bank) {}
+	serveErrors := make(chan error, 2)
+	serveOperators := func(*fleetSynchronizer) {}
 	if cfg.Operator != "" {
 		bans, err := gateway.NewBans(os.Getenv("TMPDIR"))
 		if err != nil {
 			return err
 		}
-		// Ahead of the hosts: nothing is sent to one that is out.
+		// Restored before the host list is applied, so that nothing is sent to a host in maintenance.
 		if err := bans.Look(loop); err != nil {
 			return err
 		}
-		operators, err := net.Listen("tcp", cfg.Operator)
+		operatorListener, err := net.Listen("tcp", cfg.Operator)
 		if err != nil {
-			return fmt.Errorf("operator: %w", err)
+			return fmt.Errorf("listen for operators: %w", err)
 		}
-		shared := cfg.AcceptFD != 0
-		if shared {
+		sharesListener := cfg.AcceptFD != 0
+		if sharesListener {
 			go bans.Watch(loop, ctx.Done())
 		}
-		operator := gateway.NewOperator(loop, server, bans, shared)
-		serveOperators = func(others *bank) {
-			if others != nil {
-				operator.Members = others.view
+		operator := gateway.NewOperator(loop, server, bans, sharesListener)
+		serveOperators = func(synchronizer *fleetSynchronizer) {
+			if synchronizer != nil {
+				operator.Members = synchronizer.membersResponse
 			}
-			go func() { broken <- operator.Serve(operators) }()
+			go func() { serveErrors <- operator.Serve(operatorListener) }()
 		}
 	}
 	if cfg.AcceptFD != 0 {
 		pool.Overlap(true)
-		time.AfterFunc(overlapTime, func() {
-			if server.Healthy() == nil { // else it stops, and another is beside it again
+		time.AfterFunc(upgradeOverlap, func() {
+			if server.Healthy() == nil { // while this process stops, its successor still overlaps with it
 				pool.Overlap(false)
 			}
 		})
 	}
 	loop.Members(lynxspool.ListSaved, cfg.Known)
 	roster := gateway.NewRoster(cfg.Known, loop)
-	var others *bank
-	if m := cfg.Membership; m.Bind != "" {
-		// After what was known: a peer's list that comes with the join goes before that.
-		members, err := membership.Start(membership.Options{Name: cfg.Name, Bind: m.Bind, Peers: m.Peers, Local: m.Local, Lists: roster})
+	var synchronizer *fleetSynchronizer
+	if options := cfg.Membership; options.Bind != "" {
+		// Started after the configured list is applied: a list that a peer sends during the join
+		// takes precedence over that one.
+		node, err := membership.Start(membership.Options{Name: cfg.Name, Bind: options.Bind, Peers: options.Peers, Local: options.Local, Lists: roster})
 		if err != nil {
 			return err
 		}
-		others = &bank{members: members, loop: loop, roster: roster}
-		others.rank.Store(int64(cfg.Settings.Rank))
-		go others.run(ctx)
+		synchronizer = &fleetSynchronizer{members: node, loop: loop, roster: roster}
+		synchronizer.rank.Store(int64(cfg.Settings.Rank))
+		go synchronizer.run(ctx)
 	}
-	serveOperators(others)
+	serveOperators(synchronizer)
 	go discovery.Run(ctx, roster)
 	go func() {
 		if cfg.AcceptFD != 0 {
 			select {
 			case <-loop.Listed():
-			case <-time.After(listTime):
+			case <-time.After(initialListTimeout):
 			}
 		}
 		slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen)
-		broken <- server.Serve(ln)
+		serveErrors <- server.Serve(ln)
 	}()
 	for {
 		select {
-		case err := <-broken:
-			return fmt.Errorf("listen: %w", err)
+		case err := <-serveErrors:
+			return fmt.Errorf("serve: %w", err)
 		case <-reloads:
-			if cfg = reload(cfg, loop, discovery); others != nil {
-				others.rank.Store(int64(cfg.Settings.Rank))
+			if cfg = reload(cfg, loop, discovery); synchronizer != nil {
+				synchronizer.rank.Store(int64(cfg.Settings.Rank))
 			}
-		case s := <-signals:
-			slog.Info("stopping", "signal", s.String())
-			left := make(chan struct{})
+		case sig := <-signals:
+			slog.Info("stopping", "signal", sig.String())
+			leaveDone := make(chan struct{})
 			go func() {
-				if others != nil {
-					if err := others.members.Leave(time.Second); err != nil { // peers mark it left at once
+				if synchronizer != nil {
+					if err := synchronizer.members.Leave(time.Second); err != nil { // peers mark this gateway as left without waiting to detect a failure
 						slog.Warn("membership: goodbye not sent in time", "err", err)
 					}
 				}
-				close(left)
+				close(leaveDone)
 			}()
 			server.Shutdown()
-			<-left
+			<-leaveDone
 			loop.Audit.Log("stopped")
 			return nil
 		}
 	}
 }
 
-// listen returns the clients' listener: the one that the platform holds, if it says so.
+// listen returns the listener for clients: the one inherited from the platform if GW_ACCEPT_FD is set,
+// otherwise a new one.
 func listen(cfg *gateway.Config) (net.Listener, error) {
 	if cfg.AcceptFD == 0 {
 		return net.Listen("tcp", cfg.Listen)
 	}
-	f := os.NewFile(uintptr(cfg.AcceptFD), "GW_ACCEPT_FD")
-	defer f.Close() // the listener has a descriptor of its own
-	return net.FileListener(f)
+	file := os.NewFile(uintptr(cfg.AcceptFD), "GW_ACCEPT_FD")
+	defer file.Close() // net.FileListener duplicates the descriptor
+	return net.FileListener(file)
 }
 
-// reload puts the settings of the configuration file into force and follows discovery to
-// where it now says that is. A file with any fault changes nothing: better all of the old
-// than a part of the new.
-func reload(inForce *gateway.Config, loop *gateway.Loop, discovery *gateway.Discovery) *gateway.Config {
-	cfg, err := gateway.Reload(os.Getenv, inForce)
+// reload applies the configuration file and switches to the discovery address that it gives. A file
+// with any error changes nothing, so that settings are never applied in part.
+func reload(current *gateway.Config, loop *gateway.Loop, discovery *gateway.Discovery) *gateway.Config {
+	cfg, err := gateway.Reload(os.Getenv, current)
 	if err != nil {
 		slog.Error("configuration not read anew, the old one stands", "err", err)
-		return inForce
+		return current
 	}
 	loop.Retune(&cfg.Rules)
 	discovery.Move(cfg.Discovery)
--- a/cmd/dunemoor/membership_test.go
+++ b/cmd/dunemoor/membership_test.go
@@ -15,16 +15,16 @@
 	"lynxspool/internal/membership"
 )
 
-// fleet starts n gateways with membership on, each joining through the first three.
-func fleet(t *testing.T, n int) (procs []*faultnet.Proc, ops []string) {
+// startFleet starts n gateways with membership on, each joining through the first three.
+func startFleet(t *testing.T, n int) (procs []*faultnet.Proc, operatorAddrs []string) {
 	dir := t.TempDir()
 	// Listen and operator addresses are drawn in one call: two calls on one address
 	// could draw one port twice, and a gateway then ends at its start.
-	binds, tcp := distinct(t, "127.0.0.84", n), distinct(t, "127.0.0.83", 2*n)
+	binds, tcp := freeAddrs(t, "127.0.0.84", n), freeAddrs(t, "127.0.0.83", 2*n)
 	listens, opers := tcp[:n], tcp[n:]
 	for i := 0; i < n; i++ {
 		var cfg map[string]any
-		json.Unmarshal([]byte(config()), &cfg)
+		json.Unmarshal([]byte(configJSON()), &cfg)
 		name := fmt.Sprintf("g%02d", i)
 		cfg["name"] = name
 		cfg["membership"] = map[string]any{"bind": binds[i], "peers": binds[:min(3, n)], "local": true}
@@ -38,14 +38,14 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Kill)
-		procs, ops = append(procs, p), append(ops, op)
+		procs, operatorAddrs = append(procs, p), append(operatorAddrs, op)
 	}
-	return procs, ops
+	return procs, operatorAddrs
 }
 
-// distinct returns n addresses of ip whose ports were free at once: each is held
+// freeAddrs returns n addresses of ip whose ports were free at once: each is held
 // until all are picked, so none is drawn twice.
-func distinct(t *testing.T, ip string, n int) []string {
+func freeAddrs(t *testing.T, ip string, n int) []string {
 	var out []string
 	for i := 0; i < n; i++ {
 		ln, err := net.Listen("tcp", ip+":0")
@@ -58,15 +58,15 @@
 	return out
 }
 
-func view(op string) map[string]membership.Peer {
+func fetchView(operatorAddr string) map[string]membership.Peer {
 	cl := http.Client{Timeout: 2 * time.Second}
-	resp, err := cl.Get("http://" + op + "/members")
+	resp, err := cl.Get("http://" + operatorAddr + "/members")
 	if err != nil {
 		return nil
 	}
 	defer resp.Body.Close()
 	var said struct {
-		Place standing
+		Place fleetStatus
 		Peers []membership.Peer
 	}
 	json.NewDecoder(resp.Body).Decode(&said)
@@ -77,17 +77,17 @@
 	return out
 }
 
-var lastBad string // the view that did not hold, at the last poll
+var lastFailingView string // the view that did not hold, at the last poll
 
 // waitViews polls every gateway in ops until ok holds for all. It gives up after two minutes,
 // which is for a test that would hang, not a bound on the views.
-func waitViews(ops []string, ok func(map[string]membership.Peer) bool) (time.Duration, bool) {
+func waitViews(operatorAddrs []string, ok func(map[string]membership.Peer) bool) (time.Duration, bool) {
 	start := time.Now()
 	for time.Since(start) < 2*time.Minute {
 		all := true
-		for _, op := range ops {
-			if v := view(op); !ok(v) {
-				all, lastBad = false, fmt.Sprint(op, " ", v)
+		for _, op := range operatorAddrs {
+			if v := fetchView(op); !ok(v) {
+				all, lastFailingView = false, fmt.Sprint(op, " ", v)
 				break
 			}
 		}
@@ -108,7 +108,7 @@
 		t.Skip("starts 12 processes")
 	}
 	const n, killed = 12, 3
-	procs, ops := fleet(t, n)
+	procs, ops := startFleet(t, n)
 	joined, ok := waitViews(ops, func(v map[string]membership.Peer) bool {
 		alive := 0
 		for _, p := range v {
@@ -125,7 +125,7 @@
 				t.Logf("%s ended: %v\n%s", p.Name, err, b)
 			}
 		}
-		t.Fatalf("not all %d gateways see each other alive after %v: %s\n%s", n, joined, lastBad, missing(procs, ops))
+		t.Fatalf("not all %d gateways see each other alive after %v: %s\n%s", n, joined, lastFailingView, describeMissingPeers(procs, ops))
 	}
 	for _, p := range procs[n-killed:] {
 		p.Kill()
@@ -150,7 +150,7 @@
 	if !ok {
 		b, _ := os.ReadFile(leaver.Log)
 		c, _ := os.ReadFile(procs[0].Log)
-		t.Fatalf("the gateway that ended at SIGTERM is not left at its peers after %v: %+v\n%s\n%s", gone, view(ops[0])[leaver.Name], b[max(0, len(b)-1500):], c[max(0, len(c)-1500):])
+		t.Fatalf("the gateway that ended at SIGTERM is not left at its peers after %v: %+v\n%s\n%s", gone, fetchView(ops[0])[leaver.Name], b[max(0, len(b)-1500):], c[max(0, len(c)-1500):])
 	}
 	t.Logf("%d joined in %v; %d killed seen dead by all in %v; one SIGTERMed seen left in %v", n, joined, killed, detect, gone)
 	for _, p := range procs[:n-killed-1] {
@@ -164,12 +164,12 @@
 	}
 }
 
-// missing tells, for each view that lacks a peer or holds one not alive, which, with
+// describeMissingPeers tells, for each view that lacks a peer or holds one not alive, which, with
 // the lines of both logs that name the other.
-func missing(procs []*faultnet.Proc, ops []string) string {
+func describeMissingPeers(procs []*faultnet.Proc, operatorAddrs []string) string {
 	var out strings.Builder
-	for i, op := range ops {
-		v := view(op)
+	for i, op := range operatorAddrs {
+		v := fetchView(op)
 		for _, q := range procs {
 			if v[q.Name].State == membership.Alive {
 				continue
@@ -196,7 +196,7 @@
 		t.Skip("starts 8 processes")
 	}
 	const n = 8
-	procs, ops := fleet(t, n)
+	procs, ops := startFleet(t, n)
 	all := func(v map[string]membership.Peer) bool {
 		for _, p := range procs {
 			if v[p.Name].State != membership.Alive {
@@ -206,13 +206,13 @@
 		return true
 	}
 	if took, ok := waitViews(ops, all); !ok {
-		t.Fatalf("not all alive after %v: %s", took, missing(procs, ops))
+		t.Fatalf("not all alive after %v: %s", took, describeMissingPeers(procs, ops))
 	}
 	stopped := procs[n-1]
 	stopped.Stop()
 	suspected := func() bool {
 		for _, op := range ops[:n-1] {
-			if v := view(op); v[stopped.Name].State != membership.Alive {
+			if v := fetchView(op); v[stopped.Name].State != membership.Alive {
 				return true
 			}
 		}
@@ -226,12 +226,12 @@
 	stopped.Cont()
 	back, ok := waitViews(ops, all)
 	if !ok || after >= 2*time.Minute {
-		t.Fatalf("stopped, suspected after %v; not alive again at all: %s", after, missing(procs, ops))
+		t.Fatalf("stopped, suspected after %v; not alive again at all: %s", after, describeMissingPeers(procs, ops))
 	}
 	t.Logf("stopped: suspected after %v, alive again at all %v after the resume", after, back)
 
 	// Garbage: random bytes, truncated headers and a stream of junk, at the stopped one.
-	bind := view(ops[0])[stopped.Name].Addr
+	bind := fetchView(ops[0])[stopped.Name].Addr
 	udp, err := net.Dial("udp", bind)
 	if err != nil {
 		t.Fatal(err)
@@ -262,6 +262,6 @@
 		t.Fatalf("%s ended under garbage: %v", stopped.Name, err)
 	}
 	if _, ok := waitViews(ops, all); !ok {
-		t.Fatalf("a view lost a peer after the garbage: %s", missing(procs, ops))
+		t.Fatalf("a view lost a peer after the garbage: %s", describeMissingPeers(procs, ops))
 	}
 }
