--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,6 +1,7 @@
-// Command fleetlab runs experiments on a fleet of gateways: a scenario file is played in
-// one process on a virtual clock, by an oracle, or with real processes on loopback, and
-// each play gives the same figures. docs/fleetlab.md shows how.
+// Command fleetlab runs experiments on a fleet of gateways. It runs a scenario file in one process on a
+// virtual clock, with an oracle that knows the state of every host in place of the gateways, or with
+// real processes on loopback. All three engines report the same figures. See docs/fleetlab.md for its
+// use.
 package main
 
 import (
@@ -24,7 +25,7 @@
 	root := &cobra.Command{Use: "fleetlab", Short: "Experiments on a fleet of gateways",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(checkCmd(), runCmd(), tableCmd(), compareCmd(), plotCmd(), catalogCmd(), soakCmd())
-	// Ctrl-C ends a play in order: every process that it started has ended at its return.
+	// On an interrupt a run stops gracefully: all processes that it started have exited when it returns.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root.ExecuteContext(ctx); err != nil {
@@ -34,7 +35,7 @@
 }
 
 func checkCmd() *cobra.Command {
-	return &cobra.Command{Use: "check SCENARIO...", Short: "Check scenario files and play nothing", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "check SCENARIO...", Short: "Check scenario files without running them", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, path := range args {
 				if _, err := fleetlab.LoadScenario(path); err != nil {
@@ -46,16 +47,16 @@
 }
 
 func runCmd() *cobra.Command {
-	var engine, out, plot string
+	var engine, resultPath, plotPath string
 	var seeds int
-	var real fleetlab.RealOptions
-	c := &cobra.Command{Use: "run SCENARIO", Short: "Play a scenario and print its figures", Args: cobra.ExactArgs(1),
+	var realOptions fleetlab.RealOptions
+	cmd := &cobra.Command{Use: "run SCENARIO", Short: "Run a scenario and print its figures", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := fleetlab.LoadScenario(args[0])
+			scenario, err := fleetlab.LoadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			play, err := player(cmd.Context(), engine, real)
+			runScenario, err := newRunner(cmd.Context(), engine, realOptions)
 			if err != nil {
 				return err
 			}
@@ -64,40 +65,41 @@
 			}
 			var plays fleetlab.Plays
 			for i := range seeds {
-				one := *s
-				one.Seed += uint64(i)
-				began := time.Now()
-				r, err := play(&one)
+				seeded := *scenario
+				seeded.Seed += uint64(i)
+				start := time.Now()
+				result, err := runScenario(&seeded)
 				if err != nil {
 					return err
 				}
-				plays.Plays = append(plays.Plays, r)
-				fmt.Fprintf(os.Stderr, "seed %d: %.1f s of real time, %d of %d served in time, %d hosts fell\n",
-					one.Seed, time.Since(began).Seconds(), r.Requests.Served, r.Requests.Sent, r.Falls.Hosts)
+				plays.Plays = append(plays.Plays, result)
+				fmt.Fprintf(os.Stderr, "seed %d: %.1f s of real time, %d of %d served in time, %d cold hosts overloaded\n",
+					seeded.Seed, time.Since(start).Seconds(), result.Requests.Served, result.Requests.Sent, result.Falls.Hosts)
 			}
-			if out != "" {
-				if err := plays.Save(out); err != nil {
+			if resultPath != "" {
+				if err := plays.Save(resultPath); err != nil {
 					return err
 				}
 			}
-			if plot != "" {
-				if err := plays.Plays[0].Plot(plot); err != nil {
+			if plotPath != "" {
+				if err := plays.Plays[0].Plot(plotPath); err != nil {
 					return err
 				}
 			}
 			return plays.Table(os.Stdout)
 		}}
-	c.Flags().StringVar(&engine, "engine", "virtual", "virtual, oracle or real")
-	real.Says = os.Stderr
-	c.Flags().StringVar(&real.Bin, "bin", here(), "real: folder with the binaries dunemoor and catalog")
-	c.Flags().StringVar(&real.Dir, "dir", "", "real: keep logs and data in this folder, which exists")
-	c.Flags().IntVar(&seeds, "seeds", 1, "plays, each with the next seed")
-	c.Flags().StringVar(&out, "json", "", "write the result here")
-	c.Flags().StringVar(&plot, "plot", "", "draw the first play here (.svg or .png)")
-	return c
+	cmd.Flags().StringVar(&engine, "engine", "virtual", "engine: virtual, oracle or real")
+	realOptions.Says = os.Stderr
+	cmd.Flags().StringVar(&realOptions.Bin, "bin", executableDir(), "engine real: folder with the binaries dunemoor and catalog")
+	cmd.Flags().StringVar(&realOptions.Dir, "dir", "", "engine real: existing folder in which to keep logs and data")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
+	cmd.Flags().StringVar(&resultPath, "json", "", "file for the result")
+	cmd.Flags().StringVar(&plotPath, "plot", "", "file for a plot of the first run (.svg or .png)")
+	return cmd
 }
 
-func player(ctx context.Context, engine string, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
+// newRunner returns the function that runs a scenario with the given engine.
+func newRunner(ctx context.Context, engine string, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
 	switch engine {
 	case "virtual":
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Virtual(s), nil }, nil
@@ -112,16 +114,16 @@
 func tableCmd() *cobra.Command {
 	return &cobra.Command{Use: "table RESULT", Short: "Print the figures of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := fleetlab.LoadPlays(args[0])
+			plays, err := fleetlab.LoadPlays(args[0])
 			if err != nil {
 				return err
 			}
-			return p.Table(os.Stdout)
+			return plays.Table(os.Stdout)
 		}}
 }
 
 func compareCmd() *cobra.Command {
-	return &cobra.Command{Use: "compare A B", Short: "Set two result files side by side", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "compare A B", Short: "Print two result files side by side", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			a, err := fleetlab.LoadPlays(args[0])
 			if err != nil {
@@ -136,87 +138,87 @@
 }
 
 func plotCmd() *cobra.Command {
-	var out string
-	c := &cobra.Command{Use: "plot RESULT", Short: "Draw the first play of a result file", Args: cobra.ExactArgs(1),
+	var plotPath string
+	cmd := &cobra.Command{Use: "plot RESULT", Short: "Plot the first run of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			p, err := fleetlab.LoadPlays(args[0])
 			if err != nil {
 				return err
 			}
-			return p.Plays[0].Plot(out)
+			return p.Plays[0].Plot(plotPath)
 		}}
-	c.Flags().StringVarP(&out, "out", "o", "fleet.svg", "where to (.svg or .png)")
-	return c
+	cmd.Flags().StringVarP(&plotPath, "out", "o", "fleet.svg", "output file (.svg or .png)")
+	return cmd
 }
 
 func catalogCmd() *cobra.Command {
 	var bin, dir string
 	var watchers, writes, kills int
-	c := &cobra.Command{Use: "catalog", Short: "Measure real catalogs: fan-out, memory of watches, failover", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "catalog", Short: "Measure real catalogs: fan-out latency, memory per watch and failover time", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if watchers < 1 || writes < 1 || kills < 0 {
-				return errors.New("--watchers and --writes must be above 0, --kills not below")
+				return errors.New("--watchers and --writes must be at least 1, --kills at least 0")
 			}
-			tmp, err := os.MkdirTemp(dir, "fleetlab-catalog")
+			dataDir, err := os.MkdirTemp(dir, "fleetlab-catalog")
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(tmp)
-			f, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), tmp, watchers, writes, kills)
+			defer os.RemoveAll(dataDir)
+			figures, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
 			if err != nil {
 				return err
 			}
-			text, err := json.MarshalIndent(f, "", "  ")
+			text, err := json.MarshalIndent(figures, "", "  ")
 			if err != nil {
 				return err
 			}
 			fmt.Println(string(text))
 			return nil
 		}}
-	c.Flags().StringVar(&bin, "bin", here(), "folder with the binary catalog")
-	c.Flags().StringVar(&dir, "dir", "", "folder for data, removed at the end")
-	c.Flags().IntVar(&watchers, "watchers", 300, "open watches")
-	c.Flags().IntVar(&writes, "writes", 100, "writes timed for the fan-out")
-	c.Flags().IntVar(&kills, "kills", 20, "leaders killed; 0: none")
-	return c
+	cmd.Flags().StringVar(&bin, "bin", executableDir(), "folder with the catalog binary")
+	cmd.Flags().StringVar(&dir, "dir", "", "parent folder of the temporary data, which is removed at the end")
+	cmd.Flags().IntVar(&watchers, "watchers", 300, "number of open watches")
+	cmd.Flags().IntVar(&writes, "writes", 100, "number of writes whose fan-out is timed")
+	cmd.Flags().IntVar(&kills, "kills", 20, "number of leaders to kill; 0 for none")
+	return cmd
 }
 
 func soakCmd() *cobra.Command {
 	opt := fleetlab.SoakDefaults()
 	opt.Says = os.Stderr
 	var seeds int
-	c := &cobra.Command{Use: "soak", Short: "Run real processes under troubles that overlap, and judge them by the rules", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "soak", Short: "Run real processes under overlapping faults and check the rules", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			broken := 0
+			violations := 0
 			for first := opt.Seed; opt.Seed < first+uint64(seeds); opt.Seed++ {
-				r, err := fleetlab.Soak(cmd.Context(), opt)
+				report, err := fleetlab.Soak(cmd.Context(), opt)
 				if err != nil {
 					return err
 				}
-				r.Print(os.Stdout)
-				broken += len(r.Violations)
+				report.Print(os.Stdout)
+				violations += len(report.Violations)
 			}
-			if broken > 0 {
-				return fmt.Errorf("%d violations", broken)
+			if violations > 0 {
+				return fmt.Errorf("%d rule violations", violations)
 			}
 			return nil
 		}}
-	f := c.Flags()
-	f.StringVar(&opt.Bin, "bin", here(), "folder with the binaries dunemoor and catalog")
-	f.StringVar(&opt.Dir, "dir", "", "keep logs and data below this folder, which exists")
-	f.Uint64Var(&opt.Seed, "seed", opt.Seed, "first seed")
-	f.IntVar(&seeds, "seeds", 1, "runs, each with the next seed")
-	f.DurationVar(&opt.Length, "length", opt.Length, "of the load of a run")
-	f.IntVar(&opt.Gateways, "gateways", opt.Gateways, "gateway processes")
-	f.IntVar(&opt.Servers, "servers", opt.Servers, "servers")
-	f.IntVar(&opt.Catalogs, "catalogs", opt.Catalogs, "catalog processes")
-	f.Float64Var(&opt.Rate, "rate", opt.Rate, "requests a second over all gateways")
-	f.IntVar(&opt.Overlap, "overlap", opt.Overlap, "troubles under way at a time, about")
-	return c
+	flags := cmd.Flags()
+	flags.StringVar(&opt.Bin, "bin", executableDir(), "folder with the binaries dunemoor and catalog")
+	flags.StringVar(&opt.Dir, "dir", "", "existing folder below which to keep logs and data")
+	flags.Uint64Var(&opt.Seed, "seed", opt.Seed, "first seed")
+	flags.IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
+	flags.DurationVar(&opt.Length, "length", opt.Length, "duration of the load in each run")
+	flags.IntVar(&opt.Gateways, "gateways", opt.Gateways, "number of gateway processes")
+	flags.IntVar(&opt.Servers, "servers", opt.Servers, "number of hosts")
+	flags.IntVar(&opt.Catalogs, "catalogs", opt.Catalogs, "number of catalog processes")
+	flags.Float64Var(&opt.Rate, "rate", opt.Rate, "requests per second over all gateways")
+	flags.IntVar(&opt.Overlap, "overlap", opt.Overlap, "approximate number of concurrent faults")
+	return cmd
 }
 
-// here is the folder of this program, where the others are built too.
-func here() string {
+// executableDir returns the folder of this program, in which the other binaries are built by default.
+func executableDir() string {
 	path, err := os.Executable()
 	if err != nil {
 		return "."
