--- a/cmd/dunemoor/arrival_test.go
+++ b/cmd/dunemoor/arrival_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// A process is held up (stopped, or starved of its core) while a request comes in: on a connection
-// that it has, or on a new one that waits to be accepted. The request's time was counted from when
-// the process read it, so its server was told a second more than its client would still wait: 1.895 s
-// where 0.897 s were left, on both kinds of connection. The kernel had its bytes all that time, and
-// says so (TCP_INFO); the time now runs from there.
+// A request arrives while the process is stopped or starved of CPU, either on an open connection or on a
+// new one that waits to be accepted. The timeout of the request must run from the arrival of its bytes,
+// which the kernel reports (TCP_INFO), not from the time at which the process reads them. With the
+// latter, a process stopped for 1 s forwarded a timeout of 1.895 s where 0.897 s were left, on both kinds
+// of connection.
 func TestRequestTimeoutRunsWhileProcessIsStopped(t *testing.T) {
 	const stopDuration, timeout, slack = time.Second, 1900 * time.Millisecond, 150 * time.Millisecond
 	for _, idle := range []bool{false, true} {
-		t.Run(map[bool]string{false: "a new connection", true: "a resting connection"}[idle], func(t *testing.T) {
+		t.Run(map[bool]string{false: "new connection", true: "idle connection"}[idle], func(t *testing.T) {
 			type arrival struct {
 				at      time.Time
 				timeout float64
@@ -35,7 +35,7 @@
 			defer host.Close()
 			p := startGateway(t, configJSON(strings.TrimPrefix(host.URL, "http://")), freeAddr(t))
 			p.waitReady(t)
-			p.sendUntilServed(t, 1) // a connection to the server is there
+			p.sendUntilServed(t, 1) // opens a connection to the host
 			<-arrivals
 			addr := strings.TrimPrefix(p.url, "http://")
 			dial := func() net.Conn {
@@ -49,9 +49,9 @@
 			var conn net.Conn
 			if idle {
 				conn = dial()
-				time.Sleep(100 * time.Millisecond) // it is accepted
+				time.Sleep(100 * time.Millisecond) // lets the process accept the connection
 			}
-			p.stop(t)
+			p.suspend(t)
 			if !idle {
 				conn = dial()
 			}
@@ -64,10 +64,10 @@
 			case received := <-arrivals:
 				forwarded := time.Duration(received.timeout * float64(time.Second))
 				if left := timeout - received.at.Sub(sent); forwarded > left+slack {
-					t.Errorf("the server is told %v where %v are left", forwarded, left)
+					t.Errorf("the forwarded timeout is %v, but the client waits for only %v more", forwarded, left)
 				}
 			case <-time.After(waitTimeout):
-				t.Fatal("the request does not come to the server")
+				t.Fatal("the host did not get the request")
 			}
 		})
 	}
--- a/cmd/dunemoor/crowd_test.go
+++ b/cmd/dunemoor/crowd_test.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// Idle clients take all the descriptors that they can get of a process that may hold 128, while
-// discovery is down. Requests are served meanwhile; when discovery is back, the process has a
-// descriptor for it and hears of a drain; and when the crowd has gone, nothing is left of it.
+// Idle clients take all the descriptors that they can get in a process limited to 128 descriptors,
+// while discovery is down. The process must keep serving requests, have a descriptor for discovery when
+// that is back, apply a drain from it, and release the clients' descriptors when they disconnect.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
 	const descriptorLimit, idleClients = 128, 200
 	requestCounts, addrs := startTwoHosts(t)
-	ln, err := net.Listen("tcp", "127.0.0.85:0") // nobody dials from there, so the port stays free
+	ln, err := net.Listen("tcp", "127.0.0.85:0") // no test dials from this address, so the port stays free
 	if err != nil {
 		t.Fatal(err)
 	}
 	discoveryAddr := ln.Addr().String()
-	ln.Close() // it is down
+	ln.Close() // discovery is down
 	free := freeAddrs(t, "127.0.0.83", 2)
 	operator, listen := free[0], free[1]
 	text := strings.Replace(configJSON(addrs...), "127.0.0.1:1", discoveryAddr, 1)
@@ -59,17 +59,17 @@
 		t.Helper()
 		for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("gave up waiting: %s\n%s", what, p.output.String())
+				t.Fatalf("timed out waiting until %s\n%s", what, p.output.String())
 			}
 		}
 	}
-	waitFor("the crowd has taken its share", func() bool { return openDescriptors() >= descriptorLimit/2 })
+	waitFor("the idle clients hold their share of the descriptors", func() bool { return openDescriptors() >= descriptorLimit/2 })
 	p.sendUntilServed(t, 10)
 	if requestCounts[0].Load()+requestCounts[1].Load() != 10 {
-		t.Errorf("%d of 10 requests are served beside the crowd", requestCounts[0].Load()+requestCounts[1].Load())
+		t.Errorf("hosts got %d requests beside the idle clients, want 10", requestCounts[0].Load()+requestCounts[1].Load())
 	}
 	if resp, err := http.Get("http://" + operator + "/healthcheck"); err != nil || resp.StatusCode != 200 {
-		t.Errorf("the operator gets %v, %v", resp, err)
+		t.Errorf("the health check for operators returned %v, %v", resp, err)
 	}
 	ln, err = net.Listen("tcp", discoveryAddr)
 	if err != nil {
@@ -89,16 +89,16 @@
 	go srv.Serve(ln)
 	defer srv.Close()
 	defer close(endWatches)
-	waitFor("discovery is called at its return", drainSent.Load)
-	time.Sleep(time.Second) // the grace
+	waitFor("discovery is called after its return", drainSent.Load)
+	time.Sleep(time.Second) // drain grace period
 	countBefore := requestCounts[0].Load()
 	p.sendUntilServed(t, 10)
 	if count := requestCounts[0].Load(); count != countBefore {
-		t.Errorf("the host got %d requests after it was told to drain", count-countBefore)
+		t.Errorf("the host got %d requests after the drain grace period", count-countBefore)
 	}
 	for _, c := range idleConns {
 		c.Close()
 	}
-	waitFor("nothing is left of the crowd", func() bool { return openDescriptors() <= descriptorsBefore+8 }) // a watch, idle connections to hosts
+	waitFor("the descriptors of the idle clients are released", func() bool { return openDescriptors() <= descriptorsBefore+8 }) // allows for a watch and idle connections to hosts
 	p.sendUntilServed(t, 10)
 }
--- a/cmd/dunemoor/drain_test.go
+++ b/cmd/dunemoor/drain_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Four processes lose their watches at once without a word, and a host begins to drain. Each
-// comes back by itself, though discovery takes their calls in turn and refuses the first of
-// them; from the grace on after the last was told, the host gets nothing from any.
+// The watches of four gateways go silent at the same time, and a host begins to drain. Each gateway must
+// reconnect by itself although discovery answers one call at a time and rejects the first of them. Once
+// the drain grace period after the last notification has passed, the host must get no more requests.
 func TestFleetLearnsOfDrainAfterSilentWatchLoss(t *testing.T) {
 	const gatewayCount = 4
 	requestCounts, addrs := startTwoHosts(t)
@@ -39,7 +39,7 @@
 		if n > gatewayCount {
 			notified.Add(1)
 		}
-		for { // the first ones say nothing more
+		for { // the first watches stay open but send nothing more
 			select {
 			case <-endWatches:
 				return
@@ -79,24 +79,24 @@
 			for rank, p := range gateways {
 				t.Logf("gateway %d:\n%s", rank, p.output.String())
 			}
-			t.Fatalf("%d of %d are told, %d calls", notified.Load(), gatewayCount, calls.Load())
+			t.Fatalf("%d of %d gateways are notified after %d calls", notified.Load(), gatewayCount, calls.Load())
 		}
 	}
 	if requestCounts[0].Load() == 0 {
-		t.Error("the host got nothing before it began to drain")
+		t.Error("the host got no requests before it began to drain")
 	}
-	time.Sleep(time.Second) // the grace
+	time.Sleep(time.Second) // drain grace period
 	drainingBefore, readyBefore := requestCounts[0].Load(), requestCounts[1].Load()
 	for range 8 {
 		sendToAll()
 	}
 	if count := requestCounts[0].Load(); count != drainingBefore {
-		t.Errorf("the host got %d requests more than the grace after the last gateway was told", count-drainingBefore)
+		t.Errorf("the host got %d requests after the drain grace period of the last notified gateway", count-drainingBefore)
 	}
 	if requestCounts[1].Load() == readyBefore {
-		t.Error("the host that is ready got nothing")
+		t.Error("the ready host got no requests")
 	}
 	if n := calls.Load(); refused.Load() != 1 || n > 3*gatewayCount {
-		t.Errorf("%d calls, %d refused; want %d and one refused at best", n, refused.Load(), 2*gatewayCount+1)
+		t.Errorf("%d calls, %d rejected; want one rejected and ideally %d calls", n, refused.Load(), 2*gatewayCount+1)
 	}
 }
--- a/cmd/dunemoor/heldup_test.go
+++ b/cmd/dunemoor/heldup_test.go
@@ -16,11 +16,13 @@
 	"time"
 )
 
-// heldUp is how long tests stop a process: longer than any slack, as a starved machine may.
-const heldUp = 1500 * time.Millisecond
+// stopDuration is how long tests stop a process. It exceeds every tolerance of the gateway, as a stall
+// on an overloaded machine may.
+const stopDuration = 1500 * time.Millisecond
 
-// stop holds the process up, and returns once it has stopped: what is sent then waits unread.
-func (p *program) stop(t *testing.T) {
+// suspend stops the process with SIGSTOP and waits until it has stopped. Data sent to it afterwards
+// stays unread until SIGCONT.
+func (p *program) suspend(t *testing.T) {
 	t.Helper()
 	p.Process.Signal(syscall.SIGSTOP)
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -32,105 +34,106 @@
 			return
 		}
 	}
-	t.Fatal("the process does not stop")
+	t.Fatal("the process did not stop")
 }
 
-// restingClients opens connections to the program and waits until it has them all.
-func restingClients(t *testing.T, p *program, n int) (conns []net.Conn) {
+// openIdleConns opens n connections to the program and waits until it has accepted all of them.
+func openIdleConns(t *testing.T, p *program, n int) (conns []net.Conn) {
 	t.Helper()
 	for range n {
-		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(waitTimeout))
-		fmt.Fprint(c, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(waitTimeout))
+		fmt.Fprint(conn, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		conns = append(conns, c)
+		conns = append(conns, conn)
 	}
 	return conns
 }
 
-// A process is held up while its watch brings a drain and its clients go on asking. What is notified
-// counts from when discovery wrote it: once the process runs again, 1.5 s after that, nothing new may
-// go to the server that drains. One request of 60 went there in 4 of 6 rounds: sockets become ready in
-// the order in which bytes came, and the first requests had come ahead of the drain.
-func TestDrainThatWaitsUnreadHoldsSends(t *testing.T) {
+// A process is stopped while its watch receives a drain and its clients keep sending. A notification
+// counts from when discovery wrote it, so once the process resumes 1.5 s later, no new request may go to
+// the draining host. Sockets become ready in the order in which their bytes arrived, and the first
+// requests arrive before the drain: one request of 60 went to the host in 4 of 6 rounds.
+func TestUnreadDrainBlocksNewAttempts(t *testing.T) {
 	const clients = 300
 	for round := range 3 {
 		t.Run(fmt.Sprint("round_", round), func(t *testing.T) {
-			asked, addrs := startTwoHosts(t)
-			disco := newFakeDiscovery(t)
-			p := startGateway(t, strings.Replace(configJSON(addrs...), "127.0.0.1:1", disco.addr(), 1), freeAddr(t))
+			requestCounts, addrs := startTwoHosts(t)
+			discovery := newFakeDiscovery(t)
+			p := startGateway(t, strings.Replace(configJSON(addrs...), "127.0.0.1:1", discovery.addr(), 1), freeAddr(t))
 			p.waitReady(t)
-			<-disco.watched
+			<-discovery.watched
 			list := `{"version":%d,"full":true,"servers":[{"id":"s-0","addr":%q,"state":%q},{"id":"s-1","addr":%q,"state":"ready"}]}`
-			disco.lines <- fmt.Sprintf(list, 2, addrs[0], "ready", addrs[1])
+			discovery.lines <- fmt.Sprintf(list, 2, addrs[0], "ready", addrs[1])
 			p.sendUntilServed(t, 20)
-			conns := restingClients(t, p, clients)
-			p.stop(t)
-			before := asked[0].Load()
-			for i, c := range conns {
-				fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i%d\r\nX-Priority-Class: book\r\nContent-Length: 0\r\n\r\n", i)
+			conns := openIdleConns(t, p, clients)
+			p.suspend(t)
+			before := requestCounts[0].Load()
+			for i, conn := range conns {
+				fmt.Fprintf(conn, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i%d\r\nX-Priority-Class: book\r\nContent-Length: 0\r\n\r\n", i)
 			}
-			disco.lines <- fmt.Sprintf(list, 3, addrs[0], "draining", addrs[1])
-			time.Sleep(heldUp)
+			discovery.lines <- fmt.Sprintf(list, 3, addrs[0], "draining", addrs[1])
+			time.Sleep(stopDuration)
 			p.Process.Signal(syscall.SIGCONT)
 			for _, c := range conns {
 				if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if n := asked[0].Load() - before; n > 0 {
-				t.Errorf("%d of %d requests went to a server that drains, %v after discovery said so", n, clients, heldUp)
+			if n := requestCounts[0].Load() - before; n > 0 {
+				t.Errorf("%d of %d requests went to a draining host, %v after the notification", n, clients, stopDuration)
 			}
 		})
 	}
 }
 
-// A process is held up while all its servers answer in time. That their answers waited unread tells
-// nothing of the servers: none is ejected or taken for slow, and what comes next is served. One was
-// ejected (log: "host ... ejected: silent", at its end "2 of 2 hosts are ejected"): the sweep for silent
-// servers rang before any answer was read, and deadlines closed connections with the answer in them.
-func TestAnswersThatWaitUnreadAreNotTheServersFault(t *testing.T) {
+// A process is stopped while all its hosts answer in time. Answers that wait unread must not count
+// against the hosts: no host may be ejected or considered slow, and later requests must be served. Hosts
+// were ejected (log: "host ... ejected: silent", finally "2 of 2 hosts are ejected") because the sweep
+// for silent hosts ran before any answer was read, and because deadlines closed connections that had an
+// unread answer.
+func TestUnreadAnswersDoNotEjectHosts(t *testing.T) {
 	const clients = 6
-	var out atomic.Int64
-	stopped := make(chan struct{})
-	var once sync.Once
+	var inFlight atomic.Int64
+	release := make(chan struct{})
+	var releaseOnce sync.Once
 	var addrs []string
 	for range 2 {
-		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("X-Request-ID") == "held" {
-				out.Add(1)
-				<-stopped
+				inFlight.Add(1)
+				<-release
 			}
 			io.WriteString(w, "done")
 		}))
-		t.Cleanup(server.Close)
-		t.Cleanup(func() { once.Do(func() { close(stopped) }) })
-		addrs = append(addrs, strings.TrimPrefix(server.URL, "http://"))
+		t.Cleanup(host.Close)
+		t.Cleanup(func() { releaseOnce.Do(func() { close(release) }) })
+		addrs = append(addrs, strings.TrimPrefix(host.URL, "http://"))
 	}
 	p := startGateway(t, configJSON(addrs...), freeAddr(t))
 	p.waitReady(t)
 	p.sendUntilServed(t, 40)
-	conns := restingClients(t, p, clients)
+	conns := openIdleConns(t, p, clients)
 	for _, c := range conns {
 		fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: held\r\nX-Priority-Class: book\r\nX-Timeout: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	for end := time.Now().Add(waitTimeout); out.Load() < clients; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); inFlight.Load() < clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d requests are with a server\n%s", out.Load(), clients, p.output.String())
+			t.Fatalf("%d of %d requests are in flight at a host\n%s", inFlight.Load(), clients, p.output.String())
 		}
 	}
-	p.stop(t)
-	before := len(p.output.String()) // a server may be ejected ahead of the stop: it does not answer then
-	once.Do(func() { close(stopped) })
-	time.Sleep(heldUp)
+	p.suspend(t)
+	logLengthBefore := len(p.output.String()) // a host may be ejected before the stop, because it does not answer yet
+	releaseOnce.Do(func() { close(release) })
+	time.Sleep(stopDuration)
 	p.Process.Signal(syscall.SIGCONT)
 	statuses := map[int]int{}
 	for _, c := range conns {
@@ -147,24 +150,24 @@
 		}
 	}
 	if failed > 0 {
-		t.Errorf("%d of 40 requests behind it are not served", failed)
+		t.Errorf("%d of 40 later requests were not served", failed)
 	}
-	if log := p.output.String()[before:]; strings.Contains(log, "ejected") {
-		t.Errorf("a server is ejected:\n%s", log)
+	if newLog := p.output.String()[logLengthBefore:]; strings.Contains(newLog, "ejected") {
+		t.Errorf("a host was ejected:\n%s", newLog)
 	}
-	t.Logf("what was out is answered with %v", statuses)
+	t.Logf("statuses of the requests in flight: %v", statuses)
 }
 
-// A process is held up for longer than a watch may be silent, while its watch goes on. The lines that
-// wait are read before the watch is judged: it is not opened anew, or a fleet on starved machines
-// would call its discovery all at once. It was opened anew (log: "watch of the host list lost ... discovery
-// is silent"): the timer for silence rang with the lines in the socket.
-func TestWatchThatWaitsUnreadIsNotSilent(t *testing.T) {
-	const stopped = 4 * time.Second
+// A process is stopped for longer than a watch may be silent, while discovery keeps writing to the watch.
+// The unread lines must be read before the watch counts as silent. Otherwise it is reopened, and a fleet
+// on overloaded machines calls discovery all at once. The watch was reopened (log: "watch of the host
+// list lost ... discovery is silent") because the silence timer fired while lines waited in the socket.
+func TestUnreadWatchIsNotSilent(t *testing.T) {
+	const stopDuration = 4 * time.Second
 	var calls atomic.Int64
 	_, addrs := startTwoHosts(t)
-	ends := make(chan struct{})
-	disco := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	endWatches := make(chan struct{})
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		fmt.Fprintf(w, `{"version":2,"full":true,"servers":[{"id":"s-0","addr":%q,"state":"ready"},{"id":"s-1","addr":%q,"state":"ready"}]}`+"\n", addrs[0], addrs[1])
 		for {
@@ -174,62 +177,63 @@
 				fmt.Fprintln(w)
 			case <-r.Context().Done():
 				return
-			case <-ends:
+			case <-endWatches:
 				return
 			}
 		}
 	}))
-	defer disco.Close()
-	defer close(ends)
-	p := startGateway(t, strings.Replace(configJSON(addrs...), "127.0.0.1:1", strings.TrimPrefix(disco.URL, "http://"), 1), freeAddr(t))
+	defer discovery.Close()
+	defer close(endWatches)
+	p := startGateway(t, strings.Replace(configJSON(addrs...), "127.0.0.1:1", strings.TrimPrefix(discovery.URL, "http://"), 1), freeAddr(t))
 	p.waitReady(t)
 	p.sendUntilServed(t, 1)
-	before := calls.Load()
-	p.stop(t)
-	time.Sleep(stopped)
+	callsBefore := calls.Load()
+	p.suspend(t)
+	time.Sleep(stopDuration)
 	p.Process.Signal(syscall.SIGCONT)
 	p.sendUntilServed(t, 1)
 	time.Sleep(time.Second)
-	if n := calls.Load() - before; n > 0 {
-		t.Errorf("%d more calls for the list, its watch brought a line every 200 ms\n%s", n, p.output.String())
+	if n := calls.Load() - callsBefore; n > 0 {
+		t.Errorf("%d more calls for the list, although the watch got a line every 200 ms\n%s", n, p.output.String())
 	}
 }
 
-// A process is held up for longer than a client has to bring its request, which comes meanwhile. It
-// was taken once its last byte was written, so it gets its answer though its time to come is over.
-// Two of three such connections were reset and one was answered 400: a read whose deadline has passed
-// returns that, whatever waits in the socket. What came before the deadline is now read behind it.
-func TestRequestThatComesWhileHeldUpIsAnswered(t *testing.T) {
-	const comesAfter, stopped = 500 * time.Millisecond, 3 * time.Second
+// A process is stopped for longer than the read timeout of a request, and the request arrives meanwhile.
+// A request counts as accepted once its last byte is written, so it must be answered although the read
+// deadline has passed. A read after its deadline fails even if data waits in the socket: two of three such
+// connections were reset and one was answered 400. Data that arrived before the deadline must still be
+// read after it.
+func TestRequestReceivedWhileStoppedIsAnswered(t *testing.T) {
+	const sendDelay, stopDuration = 500 * time.Millisecond, 3 * time.Second
 	_, addrs := startTwoHosts(t)
 	p := startGateway(t, strings.Replace(configJSON(addrs...), `"hard_limit":2000000`, `"hard_limit":10000000`, 1), freeAddr(t))
 	p.waitReady(t)
 	p.sendUntilServed(t, 1)
 	request := "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: book\r\nX-Timeout: 9\r\nContent-Length: 4\r\n\r\nbody"
 	var conns []net.Conn
-	parts := []string{"", request[:20], request[:len(request)-2]} // that have come before
-	for _, part := range parts {
-		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	sentBefore := []string{"", request[:20], request[:len(request)-2]} // parts of the request that are sent before the stop
+	for _, part := range sentBefore {
+		conn, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(waitTimeout))
-		io.WriteString(c, part)
-		conns = append(conns, c)
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(waitTimeout))
+		io.WriteString(conn, part)
+		conns = append(conns, conn)
 	}
-	time.Sleep(200 * time.Millisecond) // they are accepted, and what has come is read
-	p.stop(t)
-	time.Sleep(comesAfter)
+	time.Sleep(200 * time.Millisecond) // lets the process accept the connections and read the first parts
+	p.suspend(t)
+	time.Sleep(sendDelay)
 	for i, c := range conns {
-		io.WriteString(c, request[len(parts[i]):])
+		io.WriteString(c, request[len(sentBefore[i]):])
 	}
-	time.Sleep(stopped - comesAfter)
+	time.Sleep(stopDuration - sendDelay)
 	p.Process.Signal(syscall.SIGCONT)
 	for i, c := range conns {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("with %d bytes before the stop, the answer is %v, %v", len(parts[i]), resp, err)
+			t.Errorf("with %d bytes sent before the stop, the answer is %v, error %v", len(sentBefore[i]), resp, err)
 		}
 	}
 }
--- a/cmd/dunemoor/log_test.go
+++ b/cmd/dunemoor/log_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// logTo starts the program with its log going to a pipe.
-func logTo(t *testing.T, pipe *os.File) *program {
+// startWithLog starts the program with its log written to a pipe.
+func startWithLog(t *testing.T, pipe *os.File) *program {
 	t.Helper()
 	_, addrs := startTwoHosts(t)
 	listen := freeAddr(t)
@@ -20,8 +20,9 @@
 	return p
 }
 
-// servesReloadsAndEnds checks that the program does all that without a reader of its log.
-func (p *program) servesReloadsAndEnds(t *testing.T) {
+// checkServesReloadsAndExits checks that the program serves, reloads its configuration and exits although
+// nobody reads its log.
+func (p *program) checkServesReloadsAndExits(t *testing.T) {
 	t.Helper()
 	p.waitReady(t)
 	p.sendUntilServed(t, 3)
@@ -41,7 +42,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the settings are not read anew: %v", err)
+			t.Fatalf("the configuration was not reloaded: %v", err)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -49,52 +50,51 @@
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		t.Fatal("the program does not end")
+		t.Fatal("the program did not exit")
 	}
 	if code := p.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("the program ends with %v", p.ProcessState)
+		t.Errorf("the program exited with %v", p.ProcessState)
 	}
 }
 
-// Whoever reads the log may stop reading: a full pipe blocks no request, no signal and not
-// the end.
-func TestFullLogBlocksNothing(t *testing.T) {
+// The reader of the log may stop reading. A full pipe must not block requests, signals or the shutdown.
+func TestFullLogPipeDoesNotBlock(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
 	defer w.Close()
-	fill(t, w)
-	logTo(t, w).servesReloadsAndEnds(t)
+	fillPipe(t, w)
+	startWithLog(t, w).checkServesReloadsAndExits(t)
 }
 
-// ... and may end: a line that nobody reads does not end the program.
-func TestLogWithoutAReaderEndsNothing(t *testing.T) {
+// The reader of the log may exit. Writing to the closed pipe must not terminate the program.
+func TestClosedLogPipeDoesNotStopProcess(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Close()
 	defer w.Close()
-	logTo(t, w).servesReloadsAndEnds(t)
+	startWithLog(t, w).checkServesReloadsAndExits(t)
 }
 
-// fill writes to a pipe until it takes no more.
-func fill(t *testing.T, w *os.File) {
+// fillPipe writes to a pipe until it is full.
+func fillPipe(t *testing.T, w *os.File) {
 	t.Helper()
 	raw, err := w.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var full error
+	var writeErr error
 	err = raw.Write(func(fd uintptr) bool {
-		for full == nil {
-			_, full = syscall.Write(int(fd), make([]byte, 512))
+		for writeErr == nil {
+			_, writeErr = syscall.Write(int(fd), make([]byte, 512))
 		}
 		return true
 	})
-	if err != nil || !errors.Is(full, syscall.EAGAIN) {
-		t.Fatal(err, full)
+	if err != nil || !errors.Is(writeErr, syscall.EAGAIN) {
+		t.Fatal(err, writeErr)
 	}
 }
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/dunemoor/main_test.go
@@ -20,13 +20,14 @@
 	"time"
 )
 
-const waitTimeout = 30 * time.Second // for a condition: long, as machines are noisy
+// waitTimeout limits the wait for a condition. It is long because test machines may be slow.
+const waitTimeout = 30 * time.Second
 
-// acceptAfterTerm is how long clients come after SIGTERM at the least.
+// acceptAfterTerm is the minimum time for which new clients still connect after SIGTERM.
 const acceptAfterTerm = 400 * time.Millisecond
 
-// TestMain lets the test binary stand in for the program, so that signals and exit
-// codes are those of a process.
+// TestMain runs the program itself if DUNEMOOR_AS_PROGRAM is set. Tests start the test binary in this
+// way, so that they can check signals and exit codes of a real process.
 func TestMain(m *testing.M) {
 	if os.Getenv("DUNEMOOR_AS_PROGRAM") != "" {
 		main()
@@ -35,15 +36,16 @@
 	os.Exit(m.Run())
 }
 
+// program is a gateway process under test.
 type program struct {
 	*exec.Cmd
 	url        string
-	configPath string // path of its configuration
+	configPath string // path of the configuration file
 	output     outputBuffer
 	exited     chan struct{}
 }
 
-// outputBuffer is what a program has written so far.
+// outputBuffer collects the output of a program. It is safe for concurrent use.
 type outputBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -61,13 +63,13 @@
 	return o.text.String()
 }
 
-// startGateway runs the program with a configuration.
+// startGateway runs the program with a configuration and a listen address.
 func startGateway(t *testing.T, config, listen string) *program {
 	t.Helper()
 	return launch(t, config, "http://"+listen, nil, "GW_LISTEN="+listen)
 }
 
-// launch runs the program with a configuration, further descriptors and variables.
+// launch runs the program with a configuration, inherited files and additional environment variables.
 func launch(t *testing.T, config, url string, files []*os.File, vars ...string) *program {
 	t.Helper()
 	p := newProgram(t, config, url, files, vars...)
@@ -76,7 +78,7 @@
 	return p
 }
 
-// newProgram is launch without the start; the program's output goes nowhere yet.
+// newProgram prepares the program like launch, but does not start it and leaves its output unset.
 func newProgram(t *testing.T, config, url string, files []*os.File, vars ...string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -89,7 +91,7 @@
 	return p
 }
 
-// startProcess starts the process, for as long as the test.
+// startProcess starts the process. It is killed at the end of the test.
 func (p *program) startProcess(t *testing.T) {
 	t.Helper()
 	if err := p.Start(); err != nil {
@@ -105,8 +107,8 @@
 	})
 }
 
-// sendUntilServed asks until n requests have been served. On a busy machine hosts look full for a
-// moment, and a request is refused; it is asked again.
+// sendUntilServed sends requests until n of them have been served. A request that is answered 503 is
+// sent again, because hosts may look full for a moment on a busy machine.
 func (p *program) sendUntilServed(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); n > 0; {
@@ -119,7 +121,7 @@
 	}
 }
 
-// startTwoHosts starts two hosts that serve all that comes and count it.
+// startTwoHosts starts two hosts that serve every request and count the requests.
 func startTwoHosts(t *testing.T) (requestCounts *[2]atomic.Int64, addrs []string) {
 	requestCounts = new([2]atomic.Int64)
 	for i := range requestCounts {
@@ -133,10 +135,10 @@
 	return requestCounts, addrs
 }
 
-// waitReady waits until the program reports that it can serve.
+// waitReady waits until the health check of the program succeeds.
 func (p *program) waitReady(t *testing.T) {
 	t.Helper()
-	client := http.Client{Timeout: waitTimeout} // what blocks the program must not block the test
+	client := http.Client{Timeout: waitTimeout} // a program that hangs must not block the test
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if resp, err := client.Get(p.url + "/_health"); err == nil {
 			resp.Body.Close()
@@ -145,11 +147,11 @@
 			}
 		}
 	}
-	t.Fatal("the program does not get ready")
+	t.Fatal("the program did not become ready")
 }
 
-// freeAddr is a loopback address that was free just now; nothing else here uses that
-// IP address, so that it stays free.
+// freeAddr returns a loopback address with a free port. Only these tests use that IP address, so the
+// port is unlikely to be taken before the program listens on it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.83:0")
@@ -160,6 +162,8 @@
 	return ln.Addr().String()
 }
 
+// configJSON returns a configuration that lists the given hosts as ready, with the IDs s-0, s-1 and so
+// on.
 func configJSON(hosts ...string) string {
 	type member map[string]any
 	list := []member{}
@@ -178,8 +182,8 @@
 	return string(text)
 }
 
-// sendRequest sends a request on a connection of its own. The error tells whether there was
-// a connection: one that is refused has taken nothing.
+// sendRequest sends a request on a new connection and reports whether the connection was established.
+// If it was not, the program has not accepted the request.
 func sendRequest(url string) (connected bool, err error) {
 	conn, err := net.DialTimeout("tcp", strings.TrimPrefix(url, "http://"), waitTimeout)
 	if err != nil {
@@ -206,19 +210,19 @@
 	return true, nil
 }
 
-// After SIGTERM clients still come for a while, and all that was taken is answered;
-// then the program ends by itself with exit code 0. It guards against closing the
-// listener at once, which loses what waits in its backlog.
+// After SIGTERM, clients still connect for a while. Every accepted request must be answered, and the
+// program must then exit with code 0. Closing the listener immediately would lose the connections in
+// its backlog.
 func TestStopUnderLoad(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(50 * time.Millisecond) // so that some are out at any time
+		time.Sleep(50 * time.Millisecond) // keeps some requests in flight at any time
 		io.WriteString(w, "done")
 	}))
 	defer host.Close()
 	p := startGateway(t, configJSON(strings.TrimPrefix(host.URL, "http://")), freeAddr(t))
 	p.waitReady(t)
 	var served, servedAfterTerm atomic.Int64
-	var termSentAt atomic.Int64 // Unix time in ns of the signal, 0 before it
+	var termSentAt atomic.Int64 // Unix time of the signal in ns, 0 before it is sent
 	var clients sync.WaitGroup
 	for range 2 {
 		clients.Add(1)
@@ -232,11 +236,11 @@
 				}
 				switch {
 				case termSent > 0 && time.Since(time.Unix(0, termSent)) > acceptAfterTerm:
-					return // the last one may have come too late
+					return // the last request may have been sent after the listener closed
 				case taken && err != nil:
-					t.Errorf("lost: %v", err)
+					t.Errorf("an accepted request failed: %v", err)
 				case err != nil:
-					t.Errorf("not taken, though clients still come: %v", err)
+					t.Errorf("a connection failed while clients may still connect: %v", err)
 				}
 				served.Add(1)
 			}
@@ -251,19 +255,19 @@
 	}
 	clients.Wait()
 	if servedAfterTerm.Load() == 0 {
-		t.Error("nothing was served after SIGTERM")
+		t.Error("no request was served after SIGTERM")
 	}
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		t.Fatal("the program does not end")
+		t.Fatal("the program did not exit")
 	}
 	if code := p.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("exit code %d: %s", code, p.output.String())
 	}
 }
 
-// What was taken just before the listener closed has its answer before the exit.
+// A request accepted just before the listener closes must be answered before the program exits.
 func TestStopFinishesInFlightRequests(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -286,17 +290,17 @@
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			break // the listener is closed, the request still out
+			break // the listener is closed and the request is still in flight
 		} else if err == nil {
 			conn.Close()
 		}
 		if time.Now().After(end) {
-			t.Fatal("the listener stays open")
+			t.Fatal("the listener was not closed")
 		}
 	}
 	close(release)
 	if err := <-result; err != nil {
-		t.Errorf("lost: %v", err)
+		t.Errorf("the request failed: %v", err)
 	}
 	<-p.exited
 	if code := p.ProcessState.ExitCode(); code != 0 {
@@ -304,8 +308,8 @@
 	}
 }
 
-// A gateway that was killed starts again from nothing under its address, and serves
-// from the list it last had, though discovery is down.
+// A gateway that was killed must be able to start again on the same address and serve from its
+// configured host list while discovery is down.
 func TestRestart(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "done")
@@ -323,8 +327,8 @@
 	}
 }
 
-// After SIGHUP the program follows discovery to the address that the file now gives, and
-// hears there what the old one never said.
+// After SIGHUP the program must switch to the discovery address in the changed file and use the list
+// that it gets there. A malformed file must change nothing.
 func TestReloadFollowsDiscovery(t *testing.T) {
 	old, moved := newFakeDiscovery(t), newFakeDiscovery(t)
 	hosts := make([]*httptest.Server, 2)
@@ -337,7 +341,7 @@
 		defer hosts[i].Close()
 	}
 	text := strings.Replace(configJSON(strings.TrimPrefix(hosts[0].URL, "http://")), "127.0.0.1:1", old.addr(), 1)
-	t.Setenv("GW_DISCOVERY", old.addr()) // it tells where discovery was at the start only
+	t.Setenv("GW_DISCOVERY", old.addr()) // must be used at the start only, not after the reload
 	p := startGateway(t, text, freeAddr(t))
 	p.waitReady(t)
 	<-old.watched
@@ -349,7 +353,7 @@
 			t.Fatal(err)
 		}
 		if text == "{" {
-			if _, err := sendRequest(p.url); err != nil { // it goes on with what it has
+			if _, err := sendRequest(p.url); err != nil { // it must keep its current configuration
 				t.Fatal(err)
 			}
 		}
@@ -359,12 +363,12 @@
 	case <-p.exited:
 		t.Fatalf("SIGHUP ended the program: %s", p.output.String())
 	case <-time.After(waitTimeout):
-		t.Fatal("discovery is not watched at its new address")
+		t.Fatal("the new discovery address is not watched")
 	}
 	select {
 	case <-old.watchEnded:
 	case <-time.After(waitTimeout):
-		t.Error("the old address is still watched")
+		t.Error("the old discovery address is still watched")
 	}
 	moved.lines <- fmt.Sprintf(`{"version":9,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"ready"}]}`,
 		strings.TrimPrefix(hosts[1].URL, "http://"))
@@ -377,11 +381,13 @@
 		}
 	}
 	if got := moved.lastIndex.Load(); got != "0" {
-		t.Errorf("the new address was asked for changes since %v, want the whole list", got)
+		t.Errorf("the first watch at the new address starts at index %v, want 0 for the whole list", got)
 	}
 }
 
-// fakeDiscovery sends a line to its watch for each one on lines.
+// fakeDiscovery is a discovery server that sends each string received on lines to an open watch. It
+// signals on watched when a watch opens and on watchEnded when one ends. lastIndex holds the index that
+// the last watch asked for.
 type fakeDiscovery struct {
 	*httptest.Server
 	lines               chan string
@@ -413,32 +419,33 @@
 
 func (d *fakeDiscovery) addr() string { return strings.TrimPrefix(d.URL, "http://") }
 
-// Bad configuration ends the program with one line that names the field, and 1.
+// The program must reject a bad configuration with a single line that names the field and exit with
+// code 1.
 func TestBadConfiguration(t *testing.T) {
 	p := startGateway(t, strings.Replace(configJSON(), `"hard_limit":2000000`, `"hard_limit":0`, 1), "127.0.0.1:0")
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		t.Fatal("the program does not end")
+		t.Fatal("the program did not exit")
 	}
 	if code := p.ProcessState.ExitCode(); code != 1 {
 		t.Errorf("exit code %d", code)
 	}
 	if out := p.output.String(); !strings.Contains(out, "deadline") || strings.Count(out, "\n") != 1 {
-		t.Errorf("said %q, want one line that names the field", out)
+		t.Errorf("output is %q, want one line that names the field", out)
 	}
 }
 
-// startOnSocket starts the program on a listening socket that it inherits; its url is the
-// operators'.
+// startOnSocket starts the program with an inherited listening socket. The url of the program is its
+// operator address.
 func startOnSocket(t *testing.T, config string, socket *os.File, tmp string) *program {
 	t.Helper()
 	operator := freeAddr(t)
-	return launch(t, config, "http://"+operator, []*os.File{socket}, // descriptor 3 there
+	return launch(t, config, "http://"+operator, []*os.File{socket}, // becomes descriptor 3 of the program
 		"GW_LISTEN=127.0.0.1:1", "GW_OPERATOR="+operator, "GW_ACCEPT_FD=3", "TMPDIR="+tmp)
 }
 
-// callOperator makes a call to the operators' address.
+// callOperator calls the operator API and returns the status, or 0 if the call fails.
 func (p *program) callOperator(method, path string) int {
 	r, err := http.NewRequest(method, p.url+path, nil)
 	if err != nil {
@@ -452,9 +459,8 @@
 	return resp.StatusCode
 }
 
-// A new version starts beside the old one on the same socket, and the old one ends,
-// without a request lost, on connections that are kept as well as on new ones. A host
-// that was out stays out.
+// A new process starts beside an old one on the same socket, and the old one stops. No request may be
+// lost, neither on kept connections nor on new ones. A host in maintenance must stay in maintenance.
 func TestUpgradeUnderLoad(t *testing.T) {
 	var maintenanceHostRequests atomic.Int64
 	hosts := make([]*httptest.Server, 2)
@@ -486,7 +492,7 @@
 		t.Helper()
 		for end := time.Now().Add(waitTimeout); p.callOperator("GET", "/healthcheck") != 200; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("the program does not get ready: %s", p.output.String())
+				t.Fatalf("the program did not become ready: %s", p.output.String())
 			}
 		}
 	}
@@ -518,7 +524,7 @@
 				r.Header.Set("X-Request-ID", fmt.Sprint(i, "-", n))
 				resp, err := client.Do(r)
 				if err != nil {
-					t.Errorf("lost: %v", err)
+					t.Errorf("a request failed: %v", err)
 					return
 				}
 				if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 {
@@ -538,7 +544,7 @@
 	serveMore()
 	next := startOnSocket(t, text, socket, tmp)
 	serveMore()
-	waitHealthy(next) // with no word from discovery it waits for a while, and then goes by its file
+	waitHealthy(next) // without a list from discovery it waits for a while and then uses the configured list
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -546,7 +552,7 @@
 	select {
 	case <-old.exited:
 	case <-time.After(waitTimeout):
-		t.Fatal("the old process does not end")
+		t.Fatal("the old process did not exit")
 	}
 	if code := old.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("exit code %d: %s", code, old.output.String())
@@ -555,7 +561,7 @@
 	close(done)
 	clients.Wait()
 	if got := maintenanceHostRequests.Load(); got != before {
-		t.Errorf("the host that is out got %d requests", got-before)
+		t.Errorf("the host in maintenance got %d requests", got-before)
 	}
 	if status := next.callOperator("PUT", "/hosts/s-1/ready"); status != 200 {
 		t.Errorf("status %d", status)
--- a/cmd/dunemoor/membership_test.go
+++ b/cmd/dunemoor/membership_test.go
@@ -15,36 +15,37 @@
 	"lynxspool/internal/membership"
 )
 
-// startFleet starts n gateways with membership on, each joining through the first three.
-func startFleet(t *testing.T, n int) (procs []*faultnet.Proc, operatorAddrs []string) {
+// startFleet starts n gateways with membership enabled, each of which joins through the first three. It
+// returns the processes and their operator addresses.
+func startFleet(t *testing.T, n int) (processes []*faultnet.Proc, operatorAddrs []string) {
 	dir := t.TempDir()
-	// Listen and operator addresses are drawn in one call: two calls on one address
-	// could draw one port twice, and a gateway then ends at its start.
-	binds, tcp := freeAddrs(t, "127.0.0.84", n), freeAddrs(t, "127.0.0.83", 2*n)
-	listens, opers := tcp[:n], tcp[n:]
+	// Client and operator addresses are allocated in one call: two calls for the same IP address
+	// could return the same port, and a gateway would then exit at its start.
+	bindAddrs, serviceAddrs := freeAddrs(t, "127.0.0.84", n), freeAddrs(t, "127.0.0.83", 2*n)
+	clientAddrs, freeOperatorAddrs := serviceAddrs[:n], serviceAddrs[n:]
 	for i := 0; i < n; i++ {
 		var cfg map[string]any
 		json.Unmarshal([]byte(configJSON()), &cfg)
 		name := fmt.Sprintf("g%02d", i)
 		cfg["name"] = name
-		cfg["membership"] = map[string]any{"bind": binds[i], "peers": binds[:min(3, n)], "local": true}
+		cfg["membership"] = map[string]any{"bind": bindAddrs[i], "peers": bindAddrs[:min(3, n)], "local": true}
 		text, _ := json.Marshal(cfg)
 		path := filepath.Join(dir, name+".json")
 		os.WriteFile(path, text, 0o600)
-		listen, op := listens[i], opers[i]
+		listen, operatorAddr := clientAddrs[i], freeOperatorAddrs[i]
 		p, err := faultnet.Start(dir, name, os.Args[0], nil, "DUNEMOOR_AS_PROGRAM=1", "GW_CONFIG="+path,
-			"GW_NAME="+name, "GW_LISTEN="+listen, "GW_OPERATOR="+op)
+			"GW_NAME="+name, "GW_LISTEN="+listen, "GW_OPERATOR="+operatorAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Kill)
-		procs, operatorAddrs = append(procs, p), append(operatorAddrs, op)
+		processes, operatorAddrs = append(processes, p), append(operatorAddrs, operatorAddr)
 	}
-	return procs, operatorAddrs
+	return processes, operatorAddrs
 }
 
-// freeAddrs returns n addresses of ip whose ports were free at once: each is held
-// until all are picked, so none is drawn twice.
+// freeAddrs returns n distinct addresses of ip with free ports. It holds every port until all are
+// allocated, so that none is returned twice.
 func freeAddrs(t *testing.T, ip string, n int) []string {
 	var out []string
 	for i := 0; i < n; i++ {
@@ -58,29 +59,31 @@
 	return out
 }
 
+// fetchView returns the peers in the membership view of a gateway by name, or nil if the call fails.
 func fetchView(operatorAddr string) map[string]membership.Peer {
-	cl := http.Client{Timeout: 2 * time.Second}
-	resp, err := cl.Get("http://" + operatorAddr + "/members")
+	client := http.Client{Timeout: 2 * time.Second}
+	resp, err := client.Get("http://" + operatorAddr + "/members")
 	if err != nil {
 		return nil
 	}
 	defer resp.Body.Close()
-	var said struct {
+	var response struct {
 		Place fleetStatus
 		Peers []membership.Peer
 	}
-	json.NewDecoder(resp.Body).Decode(&said)
+	json.NewDecoder(resp.Body).Decode(&response)
 	out := map[string]membership.Peer{}
-	for _, p := range said.Peers {
+	for _, p := range response.Peers {
 		out[p.Name] = p
 	}
 	return out
 }
 
-var lastFailingView string // the view that did not hold, at the last poll
+var lastFailingView string // view that failed the condition of waitViews in its last poll
 
-// waitViews polls every gateway in ops until ok holds for all. It gives up after two minutes,
-// which is for a test that would hang, not a bound on the views.
+// waitViews polls the view of every gateway until ok holds for all of them, and returns the time taken.
+// It gives up after two minutes, which keeps a test from hanging and is no limit for the convergence of
+// the views.
 func waitViews(operatorAddrs []string, ok func(map[string]membership.Peer) bool) (time.Duration, bool) {
 	start := time.Now()
 	for time.Since(start) < 2*time.Minute {
@@ -99,17 +102,17 @@
 	return time.Since(start), false
 }
 
-// Hard cases 1 and 2 of membership: of 12 gateways 3 are SIGKILLed and all others come to
-// have them dead and each other alive; one more is SIGTERMed and is left, not dead, at its
-// peers. A machine that starves a gateway may have it dead for a while: that counts, and is
-// logged, but the views have to come right by themselves.
-func TestMembershipKillAndLeave(t *testing.T) {
+// Of 12 gateways, 3 are killed with SIGKILL. The others must mark them dead and one another alive. Then
+// one gateway is stopped with SIGTERM and must be marked left, not dead, by its peers. On an overloaded
+// machine a live gateway may be marked dead for a while. The test logs this, but the views must recover
+// by themselves.
+func TestMembershipDetectsKilledAndLeaving(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts 12 processes")
 	}
 	const n, killed = 12, 3
-	procs, ops := startFleet(t, n)
-	joined, ok := waitViews(ops, func(v map[string]membership.Peer) bool {
+	processes, operatorAddrs := startFleet(t, n)
+	joinTime, ok := waitViews(operatorAddrs, func(v map[string]membership.Peer) bool {
 		alive := 0
 		for _, p := range v {
 			if p.State == membership.Alive {
@@ -119,20 +122,20 @@
 		return alive == n
 	})
 	if !ok {
-		for _, p := range procs {
+		for _, p := range processes {
 			if ended, err := p.Exited(); ended {
 				b, _ := os.ReadFile(p.Log)
-				t.Logf("%s ended: %v\n%s", p.Name, err, b)
+				t.Logf("%s exited: %v\n%s", p.Name, err, b)
 			}
 		}
-		t.Fatalf("not all %d gateways see each other alive after %v: %s\n%s", n, joined, lastFailingView, describeMissingPeers(procs, ops))
+		t.Fatalf("not all %d gateways see each other alive after %v: %s\n%s", n, joinTime, lastFailingView, describeMissingPeers(processes, operatorAddrs))
 	}
-	for _, p := range procs[n-killed:] {
+	for _, p := range processes[n-killed:] {
 		p.Kill()
 	}
-	rest := ops[:n-killed]
-	detect, ok := waitViews(rest[:n-killed-1], func(v map[string]membership.Peer) bool {
-		for i, p := range procs {
+	remaining := operatorAddrs[:n-killed]
+	detectTime, ok := waitViews(remaining[:n-killed-1], func(v map[string]membership.Peer) bool {
+		for i, p := range processes {
 			if want := map[bool]string{true: membership.Dead, false: membership.Alive}[i >= n-killed]; v[p.Name].State != want {
 				return false
 			}
@@ -140,42 +143,42 @@
 		return true
 	})
 	if !ok {
-		t.Fatalf("the killed are not all dead, or the living not all alive, at every peer after %v", detect)
+		t.Fatalf("not every peer marks all killed gateways dead and all others alive after %v", detectTime)
 	}
-	leaver := procs[n-killed-1]
+	leaver := processes[n-killed-1]
 	leaver.Term(5 * time.Second)
-	gone, ok := waitViews(rest[:n-killed-1], func(v map[string]membership.Peer) bool {
+	leaveTime, ok := waitViews(remaining[:n-killed-1], func(v map[string]membership.Peer) bool {
 		return v[leaver.Name].State == membership.Left
 	})
 	if !ok {
 		b, _ := os.ReadFile(leaver.Log)
-		c, _ := os.ReadFile(procs[0].Log)
-		t.Fatalf("the gateway that ended at SIGTERM is not left at its peers after %v: %+v\n%s\n%s", gone, fetchView(ops[0])[leaver.Name], b[max(0, len(b)-1500):], c[max(0, len(c)-1500):])
+		c, _ := os.ReadFile(processes[0].Log)
+		t.Fatalf("not every peer marks the gateway stopped with SIGTERM as left after %v: %+v\n%s\n%s", leaveTime, fetchView(operatorAddrs[0])[leaver.Name], b[max(0, len(b)-1500):], c[max(0, len(c)-1500):])
 	}
-	t.Logf("%d joined in %v; %d killed seen dead by all in %v; one SIGTERMed seen left in %v", n, joined, killed, detect, gone)
-	for _, p := range procs[:n-killed-1] {
+	t.Logf("%d joined in %v; %d killed were marked dead by all in %v; one stopped with SIGTERM was marked left in %v", n, joinTime, killed, detectTime, leaveTime)
+	for _, p := range processes[:n-killed-1] {
 		b, _ := os.ReadFile(p.Log)
-		for _, q := range procs[:n-killed-1] {
+		for _, q := range processes[:n-killed-1] {
 			if strings.Contains(string(b), "peer="+q.Name+" from=suspect to=dead") ||
 				strings.Contains(string(b), "peer="+q.Name+" from=alive to=dead") {
-				t.Logf("%s had %s dead for a while, which lives", p.Name, q.Name)
+				t.Logf("%s marked %s dead for a while, although it was running", p.Name, q.Name)
 			}
 		}
 	}
 }
 
-// describeMissingPeers tells, for each view that lacks a peer or holds one not alive, which, with
-// the lines of both logs that name the other.
-func describeMissingPeers(procs []*faultnet.Proc, operatorAddrs []string) string {
+// describeMissingPeers lists the peers that are missing or not alive in each view, with the lines in the
+// log of each gateway of the pair that name the other.
+func describeMissingPeers(processes []*faultnet.Proc, operatorAddrs []string) string {
 	var out strings.Builder
 	for i, op := range operatorAddrs {
 		v := fetchView(op)
-		for _, q := range procs {
+		for _, q := range processes {
 			if v[q.Name].State == membership.Alive {
 				continue
 			}
-			fmt.Fprintf(&out, "%s has %s as %q\n", procs[i].Name, q.Name, v[q.Name].State)
-			for _, pair := range [][2]*faultnet.Proc{{procs[i], q}, {q, procs[i]}} {
+			fmt.Fprintf(&out, "%s marks %s as %q\n", processes[i].Name, q.Name, v[q.Name].State)
+			for _, pair := range [][2]*faultnet.Proc{{processes[i], q}, {q, processes[i]}} {
 				b, _ := os.ReadFile(pair[0].Log)
 				for _, line := range strings.Split(string(b), "\n") {
 					if strings.Contains(line, pair[1].Name) || strings.Contains(line, "memberlist") {
@@ -188,80 +191,80 @@
 	return out.String()
 }
 
-// Hard cases 3 and 5 of membership: a gateway SIGSTOPped until a peer suspects it refutes
-// that by itself once resumed, and all come to have it alive; garbage and truncated packets
-// at its membership port are dropped and counted, it lives on, and is alive at all.
-func TestMembershipStopAndGarbage(t *testing.T) {
+// A gateway is stopped with SIGSTOP until a peer suspects it. Once resumed, it must refute the suspicion
+// by itself and be marked alive by all peers. Malformed and truncated packets at its membership port must
+// then be dropped and counted, and the gateway must keep running and stay alive at all peers.
+func TestMembershipRecoversFromStopAndGarbage(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts 8 processes")
 	}
 	const n = 8
-	procs, ops := startFleet(t, n)
-	all := func(v map[string]membership.Peer) bool {
-		for _, p := range procs {
+	processes, operatorAddrs := startFleet(t, n)
+	allAlive := func(v map[string]membership.Peer) bool {
+		for _, p := range processes {
 			if v[p.Name].State != membership.Alive {
 				return false
 			}
 		}
 		return true
 	}
-	if took, ok := waitViews(ops, all); !ok {
-		t.Fatalf("not all alive after %v: %s", took, describeMissingPeers(procs, ops))
+	if took, ok := waitViews(operatorAddrs, allAlive); !ok {
+		t.Fatalf("not all gateways are alive at all peers after %v: %s", took, describeMissingPeers(processes, operatorAddrs))
 	}
-	stopped := procs[n-1]
+	stopped := processes[n-1]
 	stopped.Stop()
 	suspected := func() bool {
-		for _, op := range ops[:n-1] {
+		for _, op := range operatorAddrs[:n-1] {
 			if v := fetchView(op); v[stopped.Name].State != membership.Alive {
 				return true
 			}
 		}
 		return false
 	}
-	stop := time.Now()
-	for !suspected() && time.Since(stop) < 2*time.Minute {
+	stoppedAt := time.Now()
+	for !suspected() && time.Since(stoppedAt) < 2*time.Minute {
 		time.Sleep(50 * time.Millisecond)
 	}
-	after := time.Since(stop)
+	suspectTime := time.Since(stoppedAt)
 	stopped.Cont()
-	back, ok := waitViews(ops, all)
-	if !ok || after >= 2*time.Minute {
-		t.Fatalf("stopped, suspected after %v; not alive again at all: %s", after, describeMissingPeers(procs, ops))
+	recoveryTime, ok := waitViews(operatorAddrs, allAlive)
+	if !ok || suspectTime >= 2*time.Minute {
+		t.Fatalf("suspected %v after the stop, but not alive again at all peers: %s", suspectTime, describeMissingPeers(processes, operatorAddrs))
 	}
-	t.Logf("stopped: suspected after %v, alive again at all %v after the resume", after, back)
+	t.Logf("suspected %v after the stop, alive again at all peers %v after the resume", suspectTime, recoveryTime)
 
-	// Garbage: random bytes, truncated headers and a stream of junk, at the stopped one.
-	bind := fetchView(ops[0])[stopped.Name].Addr
+	// Sends random bytes and truncated headers as packets, and junk as a stream, to the resumed gateway.
+	bind := fetchView(operatorAddrs[0])[stopped.Name].Addr
 	udp, err := net.Dial("udp", bind)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	junk := make([]byte, 1400)
-	counted := func() bool {
+	packet := make([]byte, 1400)
+	garbageCounted := func() bool {
 		b, _ := os.ReadFile(stopped.Log)
 		return strings.Contains(string(b), "unreadable=")
 	}
-	for round := 0; round < 100 && !counted(); round++ {
+	for round := 0; round < 100 && !garbageCounted(); round++ {
 		for i := 0; i < 300; i++ {
-			for j := range junk {
-				junk[j] = byte(i*31 + j*7)
+			for j := range packet {
+				packet[j] = byte(i*31 + j*7)
 			}
-			udp.Write(junk[:1+i%len(junk)]) // one byte is a bare type; some are a truncated header
+			udp.Write(packet[:1+i%len(packet)]) // a single byte is a message type alone, other lengths truncate the header
 		}
 		if c, err := net.DialTimeout("tcp", bind, time.Second); err == nil {
-			c.Write(junk[:200+round])
+			c.Write(packet[:200+round])
 			c.Close()
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if !counted() {
-		t.Errorf("%s did not count the garbage", stopped.Name)
+	if !garbageCounted() {
+		t.Errorf("%s did not count the malformed packets", stopped.Name)
 	}
 	if ended, err := stopped.Exited(); ended {
-		t.Fatalf("%s ended under garbage: %v", stopped.Name, err)
+		t.Fatalf("%s exited after malformed packets: %v", stopped.Name, err)
 	}
-	if _, ok := waitViews(ops, all); !ok {
-		t.Fatalf("a view lost a peer after the garbage: %s", describeMissingPeers(procs, ops))
+	if _, ok := waitViews(operatorAddrs, allAlive); !ok {
+		t.Fatalf("a view lost a peer after the malformed packets: %s", describeMissingPeers(processes, operatorAddrs))
 	}
 }
