--- a/cmd/catalog/cluster_test.go
+++ b/cmd/catalog/cluster_test.go
@@ -18,14 +18,14 @@
 	"lynxspool/internal/faultnet"
 )
 
-var bins map[string]string
+var binaries map[string]string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "catalog-bin")
 	if err != nil {
 		panic(err)
 	}
-	if bins, err = faultnet.Build(dir, "lynxspool/cmd/catalog", "lynxspool/cmd/dunemoor"); err != nil {
+	if binaries, err = faultnet.Build(dir, "lynxspool/cmd/catalog", "lynxspool/cmd/dunemoor"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -34,9 +34,10 @@
 	os.Exit(code)
 }
 
-// testCluster starts n instances that end with the test, their logs shown if it fails.
-func testCluster(t *testing.T, n int, extra ...string) *catalogfleet.Cluster {
-	c := catalogfleet.NewCluster(t, bins["catalog"], t.TempDir(), n, extra...)
+// startCluster starts n instances and stops them at the end of the test. If the test fails, it logs
+// their output.
+func startCluster(t *testing.T, n int, extra ...string) *catalogfleet.Cluster {
+	c := catalogfleet.NewCluster(t, binaries["catalog"], t.TempDir(), n, extra...)
 	t.Cleanup(func() {
 		if t.Failed() {
 			c.Close(t.Logf)
@@ -47,20 +48,20 @@
 	return c
 }
 
-// Hard case 1: the leader is SIGKILLed while 50 watches are open and writes arrive.
-// No acknowledged write is lost, no watcher sees its version go back, all converge.
+// The leader is killed with SIGKILL while 50 watches are open and writes arrive. No acknowledged write
+// may be lost, no watcher may see the version decrease, and all watchers must converge on one version.
 func TestLeaderKilledUnderWatchesAndWrites(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	c := testCluster(t, 3)
+	c := startCluster(t, 3)
 	first := c.WaitForLeader()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ws := make([]*catalogfleet.Watcher, 50)
-	for i := range ws {
-		ws[i] = &catalogfleet.Watcher{Addrs: c.HTTPAddrs(c.IDs...)}
-		go ws[i].Run(ctx)
+	watchers := make([]*catalogfleet.Watcher, 50)
+	for i := range watchers {
+		watchers[i] = &catalogfleet.Watcher{Addrs: c.HTTPAddrs(c.IDs...)}
+		go watchers[i].Run(ctx)
 	}
 	acked := map[string]bool{}
 	live := c.IDs
@@ -71,7 +72,7 @@
 		}
 		id := fmt.Sprintf("s-%03d", i)
 		body := fmt.Sprintf(`{"addr":"127.0.0.1:%d","zone":"a"}`, 10000+i)
-		for try := 0; try < 100 && !acked[id]; try++ {
+		for attempt := 0; attempt < 100 && !acked[id]; attempt++ {
 			if catalogfleet.PutMember(c.HTTPAddr[live[rand.N(len(live))]], id, body) == 200 {
 				acked[id] = true
 			} else {
@@ -79,16 +80,16 @@
 			}
 		}
 		if !acked[id] {
-			t.Fatalf("write %s not acknowledged after 100 tries", id)
+			t.Fatalf("write %s not acknowledged after 100 attempts", id)
 		}
 	}
 	final, code := catalogfleet.FetchList(c.HTTPAddr[c.WaitForLeader(live...)])
 	if code != 200 || len(final.Servers) != len(acked) {
-		t.Fatalf("leader's list: %d, %d entries, want %d", code, len(final.Servers), len(acked))
+		t.Fatalf("list of the leader: status %d, %d entries, want %d", code, len(final.Servers), len(acked))
 	}
 	for i := 0; i < 300; i++ {
 		behind := 0
-		for _, w := range ws {
+		for _, w := range watchers {
 			if v, n := w.VersionAndCount(); v != final.Version || n != len(acked) {
 				behind++
 			}
@@ -98,48 +99,48 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	for i, w := range ws {
+	for i, w := range watchers {
 		v, n := w.VersionAndCount()
 		if v != final.Version || n != len(acked) {
 			t.Errorf("watcher %d at version %d with %d entries, want %d with %d", i, v, n, final.Version, len(acked))
 		}
 		if len(w.VersionRegressions()) > 0 {
-			t.Errorf("watcher %d saw versions go back: %v", i, w.VersionRegressions())
+			t.Errorf("watcher %d saw versions decrease: %v", i, w.VersionRegressions())
 		}
 	}
 }
 
-// Hard cases 2 and 7: a leader cut off in a minority stops acknowledging writes and
-// its reads say they are stale, while the majority elects and commits; after healing,
-// and after every instance restarts from its data folder, list and version are back.
-func TestMinorityLeaderAndRestart(t *testing.T) {
+// A leader that is partitioned into a minority must not acknowledge writes and must answer reads as
+// stale, while the majority elects a leader and commits. After the partition heals, and again after all
+// instances restart from their data folders, every instance must have the same list and version.
+func TestPartitionedLeaderAndRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	c := testCluster(t, 3)
+	c := startCluster(t, 3)
 	old := c.WaitForLeader()
 	for i := 0; i < 5; i++ {
 		if code := catalogfleet.PutMember(c.HTTPAddr[old], fmt.Sprintf("s-%d", i), `{"addr":"127.0.0.1:9000"}`); code != 200 {
-			t.Fatalf("write before the cut: %d", code)
+			t.Fatalf("write before the partition: status %d", code)
 		}
 	}
 	c.Mesh.Partition(old)
-	rest := catalogfleet.Without(c.IDs, old)
+	majority := catalogfleet.Without(c.IDs, old)
 	if code := catalogfleet.PutMember(c.HTTPAddr[old], "s-cut", `{"addr":"127.0.0.1:9001"}`); code == 200 {
-		t.Fatal("a leader cut off in a minority acknowledged a write")
+		t.Fatal("a leader in a minority partition acknowledged a write")
 	}
-	okStale := false
-	for i := 0; i < 100 && !okStale; i++ {
+	reportsStale := false
+	for i := 0; i < 100 && !reportsStale; i++ {
 		_, code := catalogfleet.FetchList(c.HTTPAddr[old])
-		okStale = code == http.StatusServiceUnavailable
+		reportsStale = code == http.StatusServiceUnavailable
 		time.Sleep(50 * time.Millisecond)
 	}
-	if !okStale {
-		t.Fatal("the cut-off side still serves its list as current")
+	if !reportsStale {
+		t.Fatal("the minority still serves its list as current")
 	}
-	next := c.WaitForLeader(rest...)
+	next := c.WaitForLeader(majority...)
 	if code := catalogfleet.PutMember(c.HTTPAddr[next], "s-major", `{"addr":"127.0.0.1:9002"}`); code != 200 {
-		t.Fatalf("write to the majority: %d", code)
+		t.Fatalf("write to the majority: status %d", code)
 	}
 	c.Mesh.Heal()
 	want, _ := catalogfleet.FetchList(c.HTTPAddr[c.WaitForLeader()])
@@ -159,7 +160,7 @@
 	}
 	for _, id := range c.IDs {
 		if err := c.Processes[id].Term(5 * time.Second); err != nil {
-			t.Fatalf("%s ended with %v at SIGTERM", id, err)
+			t.Fatalf("%s exited with %v after SIGTERM", id, err)
 		}
 	}
 	for _, id := range c.IDs {
@@ -173,19 +174,19 @@
 	a, _ := json.Marshal(want)
 	b, _ := json.Marshal(got)
 	if string(a) != string(b) {
-		t.Fatalf("after a restart of all:\n%s\nwant\n%s", b, a)
+		t.Fatalf("list after a restart of all instances:\n%s\nwant\n%s", b, a)
 	}
 }
 
-// Hard case 5: a watcher that never reads is ended within the write bound, and the
-// other watchers are not held up by it.
-func TestSlowWatcherIsEnded(t *testing.T) {
+// The watch of a client that never reads must be closed after the write timeout and must not delay
+// other watches.
+func TestSlowWatchIsClosed(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	c := testCluster(t, 1, "-watch-write", "1s")
+	c := startCluster(t, 1, "-watch-write", "1s")
 	addr := c.HTTPAddr[c.WaitForLeader()]
-	// A list far larger than what the socket buffers of one watch hold.
+	// Makes the list far larger than the socket buffers of one watch.
 	zone := strings.Repeat("z", 200)
 	var wg sync.WaitGroup
 	for g := 0; g < 16; g++ {
@@ -207,38 +208,38 @@
 	fmt.Fprintf(slow, "GET /catalog/members?stream=1&index=0 HTTP/1.1\r\nHost: catalog\r\n\r\n")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	good := &catalogfleet.Watcher{Addrs: []string{addr}}
-	go good.Run(ctx)
-	watches := func() int {
+	reader := &catalogfleet.Watcher{Addrs: []string{addr}}
+	go reader.Run(ctx)
+	watchCount := func() int {
 		st, err := catalogfleet.FetchStatus(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return st.Watches
 	}
-	ended := false
-	for i := 0; i < 400 && !ended; i++ {
-		ended = watches() == 1
+	closed := false
+	for i := 0; i < 400 && !closed; i++ {
+		closed = watchCount() == 1
 		time.Sleep(50 * time.Millisecond)
 	}
-	if !ended {
-		t.Fatalf("the watch that never reads is still open: %d watches", watches())
+	if !closed {
+		t.Fatalf("the watch of the client that never reads is still open: %d watches", watchCount())
 	}
 	if catalogfleet.PutMember(addr, "s-last", `{"addr":"127.0.0.1:9001"}`) != 200 {
 		t.Fatal("write failed")
 	}
 	want, _ := catalogfleet.FetchList(addr)
 	for i := 0; i < 200; i++ {
-		if v, _ := good.VersionAndCount(); v == want.Version {
+		if v, _ := reader.VersionAndCount(); v == want.Version {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	v, n := good.VersionAndCount()
-	t.Fatalf("the reading watcher is at %d (%d entries), want %d", v, n, want.Version)
+	v, n := reader.VersionAndCount()
+	t.Fatalf("the watcher that reads is at version %d (%d entries), want %d", v, n, want.Version)
 }
 
-func do(method, url, body string) int {
+func requestStatus(method, url, body string) int {
 	req, _ := http.NewRequest(method, url, strings.NewReader(body))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -248,21 +249,21 @@
 	return resp.StatusCode
 }
 
-// Hard case 6: malformed writes, to the leader or to a follower, get 4xx and leave
-// the list and its version as they were.
+// Malformed writes, sent to the leader or to a follower, must be answered with 4xx and must change
+// neither the list nor its version.
 func TestMalformedWritesCommitNothing(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	c := testCluster(t, 3)
+	c := startCluster(t, 3)
 	leader := c.WaitForLeader()
 	if catalogfleet.PutMember(c.HTTPAddr[leader], "s-1", `{"addr":"127.0.0.1:9001"}`) != 200 {
 		t.Fatal("valid write failed")
 	}
 	before, _ := catalogfleet.FetchList(c.HTTPAddr[leader])
-	for _, at := range c.IDs {
-		base := "http://" + c.HTTPAddr[at] + "/catalog/members/"
-		for _, w := range []struct{ method, id, body string }{
+	for _, instance := range c.IDs {
+		base := "http://" + c.HTTPAddr[instance] + "/catalog/members/"
+		for _, write := range []struct{ method, id, body string }{
 			{"PUT", "s-1", `{"addr":`},
 			{"PUT", "s-1", `{"state":"sleeping"}`},
 			{"PUT", "s-1", `{"state":"gone"}`},
@@ -270,14 +271,14 @@
 			{"PUT", "s-1", `{"addr":"no-port"}`},
 			{"PUT", "s-1", `{"addr":"127.0.0.1:1"} {"addr":"127.0.0.1:2"}`},
 			{"PUT", "s-1", `{"addr":"127.0.0.1:1","extra":1}`},
-			{"PUT", "s-2", `{"zone":"a"}`}, // a new entry without addr
+			{"PUT", "s-2", `{"zone":"a"}`}, // a new entry must have an address
 			{"PUT", "s%2F1", `{"addr":"127.0.0.1:1"}`},
 			{"PUT", strings.Repeat("x", catalog.MaxIDBytes+1), `{"addr":"127.0.0.1:1"}`},
 			{"PUT", "s-1", `{"zone":"` + strings.Repeat("a", catalog.MaxBodyBytes) + `"}`},
 			{"DELETE", "s-9", ``},
 		} {
-			if code := do(w.method, base+w.id, w.body); code < 400 || code > 499 {
-				t.Errorf("%s at %s %.20s %.40s: %d, want 4xx", w.method, at, w.id, w.body, code)
+			if code := requestStatus(write.method, base+write.id, write.body); code < 400 || code > 499 {
+				t.Errorf("%s at %s %.20s %.40s: %d, want 4xx", write.method, instance, write.id, write.body, code)
 			}
 		}
 	}
--- a/cmd/catalog/main.go
+++ b/cmd/catalog/main.go
@@ -1,6 +1,6 @@
-// Command catalog is the project's discovery service: the host list, replicated on
-// raft, served in the discovery protocol's form. One instance alone needs only -data
-// and -http; a cluster gives every instance the same -peers and its own -id.
+// Command catalog runs one instance of the discovery service. It keeps the host list, replicates it
+// with raft and serves it over the discovery protocol. A single instance needs only -data and -http. In
+// a cluster every instance gets the same -peers and an -id of its own.
 //
 //	catalog -data /var/lib/catalog -http 127.0.0.1:8500
 //	catalog -id c2 -data d2 -raft 127.0.0.1:7502 -http 127.0.0.1:8502 \
@@ -33,100 +33,101 @@
 	if err != nil {
 		fmt.Fprintln(log, "catalog:", err)
 	}
-	log.Flush(flushTime)
+	log.Flush(logFlushTimeout)
 	if err != nil {
 		os.Exit(2)
 	}
 }
 
-// readTime is what a caller has for a call, its body included; a watch is no call any more.
-const readTime = 5 * time.Second
+// readTimeout limits the reading of a call, including its body. It does not limit an open watch.
+const readTimeout = 5 * time.Second
 
-// flushTime is what the last log lines have to get out.
-const flushTime = 100 * time.Millisecond
+// logFlushTimeout limits the writing of the last log lines.
+const logFlushTimeout = 100 * time.Millisecond
 
 func run(args []string, log io.Writer) error {
-	fs := flag.NewFlagSet("catalog", flag.ContinueOnError)
-	fs.SetOutput(log)
-	opt := catalog.Options{LogOutput: log}
-	fs.StringVar(&opt.ID, "id", "c1", "raft id of this instance")
-	fs.StringVar(&opt.DataDir, "data", "catalog-data", "data folder: raft log, stable store and snapshots")
-	fs.StringVar(&opt.RaftAddr, "raft", "127.0.0.1:7500", "address raft listens on and peers know it by")
-	fs.StringVar(&opt.HTTPAddr, "http", "127.0.0.1:8500", "address of the discovery and write API")
-	peers := fs.String("peers", "", "the whole cluster as id=raftaddr/httpaddr,...; empty for one instance")
-	via := fs.String("via", "", "raftaddr=dialaddr,...: dial a peer at another address (a proxy)")
-	fs.DurationVar(&opt.StaleAfter, "stale-after", 2*time.Second, "a follower without a leader this long answers 503")
-	fs.DurationVar(&opt.WatchWriteTimeout, "watch-write", 5*time.Second, "a watcher that takes longer for one write is ended")
-	fs.IntVar(&opt.MaxWatches, "max-watches", maxWatches(), "open watches at most (default: the descriptor limit less 64)")
-	opt.CallLimits = catalog.DefaultCallLimits
-	fs.IntVar(&opt.CallLimits.Work, "calls-work", opt.CallLimits.Work, "calls for lists in work at most")
-	fs.IntVar(&opt.CallLimits.Queue, "calls-queue", opt.CallLimits.Queue, "calls for lists that wait at most; more are answered 503")
-	fs.DurationVar(&opt.CallLimits.Wait, "calls-wait", opt.CallLimits.Wait, "a call for a list that waited this long is answered 503")
-	fs.DurationVar(&opt.HeartbeatTimeout, "heartbeat", 500*time.Millisecond, "raft heartbeat and election timeout")
-	if err := fs.Parse(args); err != nil {
+	flags := flag.NewFlagSet("catalog", flag.ContinueOnError)
+	flags.SetOutput(log)
+	options := catalog.Options{LogOutput: log}
+	flags.StringVar(&options.ID, "id", "c1", "raft id of this instance")
+	flags.StringVar(&options.DataDir, "data", "catalog-data", "data folder for the raft log, the stable store and snapshots")
+	flags.StringVar(&options.RaftAddr, "raft", "127.0.0.1:7500", "raft address of this instance, also the one that peers dial")
+	flags.StringVar(&options.HTTPAddr, "http", "127.0.0.1:8500", "listen address of the API for discovery and writes")
+	peers := flags.String("peers", "", "all cluster members as id=raftaddr/httpaddr,...; empty for a single instance")
+	dialOverrides := flags.String("via", "", "raftaddr=dialaddr,...: dial a peer at another address, such as that of a proxy")
+	flags.DurationVar(&options.StaleAfter, "stale-after", 2*time.Second, "a follower without contact with a leader for this long answers 503")
+	flags.DurationVar(&options.WatchWriteTimeout, "watch-write", 5*time.Second, "close a watch on which a single write takes longer")
+	flags.IntVar(&options.MaxWatches, "max-watches", maxWatches(), "maximum number of open watches (default: the descriptor limit less 64)")
+	options.CallLimits = catalog.DefaultCallLimits
+	flags.IntVar(&options.CallLimits.Work, "calls-work", options.CallLimits.Work, "maximum number of list calls in flight")
+	flags.IntVar(&options.CallLimits.Queue, "calls-queue", options.CallLimits.Queue, "maximum number of waiting list calls; further calls are answered 503")
+	flags.DurationVar(&options.CallLimits.Wait, "calls-wait", options.CallLimits.Wait, "maximum time that a list call waits before it is answered 503")
+	flags.DurationVar(&options.HeartbeatTimeout, "heartbeat", 500*time.Millisecond, "raft heartbeat and election timeout")
+	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	if fs.NArg() > 0 {
-		return fmt.Errorf("unexpected argument %q", fs.Arg(0))
+	if flags.NArg() > 0 {
+		return fmt.Errorf("unexpected argument %q", flags.Arg(0))
 	}
 	var err error
-	if opt.Peers, err = catalog.ParsePeers(*peers); err != nil {
+	if options.Peers, err = catalog.ParsePeers(*peers); err != nil {
 		return err
 	}
-	for _, p := range opt.Peers {
-		if p.ID == opt.ID && (p.RaftAddr != opt.RaftAddr || p.HTTPAddr != opt.HTTPAddr) {
-			return fmt.Errorf("-peers gives %s other addresses than -raft and -http", p.ID)
+	for _, p := range options.Peers {
+		if p.ID == options.ID && (p.RaftAddr != options.RaftAddr || p.HTTPAddr != options.HTTPAddr) {
+			return fmt.Errorf("addresses of %s in -peers differ from -raft and -http", p.ID)
 		}
 	}
-	opt.DialOverrides = map[string]string{}
-	for _, f := range strings.Split(*via, ",") {
-		if f == "" {
+	options.DialOverrides = map[string]string{}
+	for _, override := range strings.Split(*dialOverrides, ",") {
+		if override == "" {
 			continue
 		}
-		k, v, ok := strings.Cut(f, "=")
+		raftAddr, dialAddr, ok := strings.Cut(override, "=")
 		if !ok {
-			return fmt.Errorf("-via %q: want raftaddr=dialaddr", f)
+			return fmt.Errorf("-via %q: want raftaddr=dialaddr", override)
 		}
-		opt.DialOverrides[k] = v
+		options.DialOverrides[raftAddr] = dialAddr
 	}
-	ln, err := net.Listen("tcp", opt.HTTPAddr)
+	ln, err := net.Listen("tcp", options.HTTPAddr)
 	if err != nil {
 		return err
 	}
-	node, err := catalog.Open(opt)
+	node, err := catalog.Open(options)
 	if err != nil {
 		ln.Close()
 		return err
 	}
-	srv := &http.Server{Handler: node.Handler(), ReadHeaderTimeout: readTime, ReadTimeout: readTime,
+	server := &http.Server{Handler: node.Handler(), ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
 		IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10, ConnContext: catalog.ConnContext}
-	done := make(chan error, 1)
-	go func() { done <- srv.Serve(listener.NewRetrying(ln, "callers")) }()
-	slog.Info("catalog serving", "id", opt.ID, "http", opt.HTTPAddr, "raft", opt.RaftAddr, "peers", max(1, len(opt.Peers)))
+	serveDone := make(chan error, 1)
+	go func() { serveDone <- server.Serve(listener.NewRetrying(ln, "callers")) }()
+	slog.Info("catalog serving", "id", options.ID, "http", options.HTTPAddr, "raft", options.RaftAddr, "peers", max(1, len(options.Peers)))
 
-	sig := make(chan os.Signal, 1)
-	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case s := <-sig:
-		slog.Info("catalog ending", "signal", s.String())
-	case err = <-done:
+	case sig := <-signals:
+		slog.Info("catalog stopping", "signal", sig.String())
+	case err = <-serveDone:
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	srv.Shutdown(ctx) // watches do not end by themselves: what is left is closed
-	srv.Close()
-	if cerr := node.Close(); err == nil || errors.Is(err, http.ErrServerClosed) {
-		err = cerr
+	server.Shutdown(ctx) // watches never finish by themselves: Close ends the remaining ones
+	server.Close()
+	if closeErr := node.Close(); err == nil || errors.Is(err, http.ErrServerClosed) {
+		err = closeErr
 	}
 	return err
 }
 
-// maxWatches leaves 64 of the process's descriptors for raft, writes and the data
-// folder: a watch more is answered 503 rather than the listener failing to accept.
+// maxWatches returns the default limit of open watches: the descriptor limit of the process less 64,
+// which are reserved for raft, writes and the data folder. A watch over the limit is answered 503;
+// without the limit the listener would fail to accept.
 func maxWatches() int {
-	var lim syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil || lim.Cur < 128 {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < 128 {
 		return 64
 	}
-	return int(min(lim.Cur-64, 1<<20))
+	return int(min(limit.Cur-64, 1<<20))
 }
--- a/cmd/catalog/stopped_test.go
+++ b/cmd/catalog/stopped_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// A caller that stops in the middle of a write and stays is let go: each holds a descriptor, of
-// which watches need many.
-func TestCallerThatStopsWithinAWriteIsLetGo(t *testing.T) {
+// A caller that sends part of a write and then stalls must be disconnected. Each such connection holds
+// a descriptor, and watches need many descriptors.
+func TestIncompleteWriteIsDisconnected(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	c := testCluster(t, 1)
+	c := startCluster(t, 1)
 	c.WaitForLeader()
 	conn, err := net.Dial("tcp", c.HTTPAddr["c1"])
 	if err != nil {
@@ -26,6 +26,6 @@
 	fmt.Fprintf(conn, "PUT /catalog/members/s-1 HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{\"addr\"")
 	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("it is held for 20 s at the least")
+		t.Error("the connection is still open after 20 s")
 	}
 }
--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -13,13 +13,14 @@
 	"lynxspool/internal/gateway"
 )
 
-// sink takes what a gateway's discovery client tells, as the Loop would.
-type sink struct {
+// versionRecorder receives the lists of a gateway's discovery client in place of a gateway.Loop and keeps the
+// latest version.
+type versionRecorder struct {
 	mu      sync.Mutex
 	version uint64
 }
 
-func (s *sink) Members(kind lynxspool.ListKind, l gateway.MemberList) {
+func (s *versionRecorder) Members(kind lynxspool.ListKind, l gateway.MemberList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !kind.IsLoss() {
@@ -27,21 +28,20 @@
 	}
 }
 
-func (s *sink) at() uint64 {
+func (s *versionRecorder) latestVersion() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Hard case 4: 300 gateways' discovery clients lose the catalog at once and come back
-// when it restarts: their calls are spread by jitter, and the catalog stays within
-// its memory and descriptor bounds.
-func TestWatchersReturnSpreadAfterRestart(t *testing.T) {
+// The discovery clients of 300 gateways lose the catalog at once and reconnect when it restarts. Jitter
+// must spread their calls, and the catalog must stay within its memory and descriptor limits.
+func TestReconnectsAreSpreadAfterCatalogRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	const watchers = 300
-	c := testCluster(t, 1)
+	c := startCluster(t, 1)
 	addr := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 200; i++ {
 		catalogfleet.PutMember(addr, fmt.Sprintf("s-%03d", i), fmt.Sprintf(`{"addr":"127.0.0.1:%d","zone":"a"}`, 20000+i))
@@ -54,56 +54,56 @@
 	defer link.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	sinks := make([]*sink, watchers)
-	for i := range sinks {
-		sinks[i] = &sink{}
+	recorders := make([]*versionRecorder, watchers)
+	for i := range recorders {
+		recorders[i] = &versionRecorder{}
 		d := gateway.NewDiscovery(&gateway.Config{Discovery: link.Addr})
-		go d.Run(ctx, sinks[i])
+		go d.Run(ctx, recorders[i])
 	}
-	all := func(v uint64) bool {
-		for _, s := range sinks {
-			if s.at() < v {
+	allHaveVersion := func(v uint64) bool {
+		for _, s := range recorders {
+			if s.latestVersion() < v {
 				return false
 			}
 		}
 		return true
 	}
-	for i := 0; i < 300 && !all(want.Version); i++ {
+	for i := 0; i < 300 && !allHaveVersion(want.Version); i++ {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if !all(want.Version) {
-		t.Fatal("the watchers do not all have the list")
+	if !allHaveVersion(want.Version) {
+		t.Fatal("not all watchers have the list")
 	}
 	c.Processes["c1"].Kill()
-	time.Sleep(3 * time.Second) // every client is in its backoff by now
+	time.Sleep(3 * time.Second) // every client is in backoff by then
 	c.Start("c1")
 	c.WaitForLeader()
-	start := link.Accepted()
-	// Calls at the catalog in each 100 ms until all are back on a watch.
-	var buckets []int64
-	prev := start
+	connsBefore := link.Accepted()
+	// Counts the connections to the catalog per 100 ms until all clients have a watch again.
+	var callsPer100ms []int64
+	previous := connsBefore
 	for i := 0; i < 100; i++ {
 		time.Sleep(100 * time.Millisecond)
 		now := link.Accepted()
-		buckets = append(buckets, now-prev)
-		prev = now
+		callsPer100ms = append(callsPer100ms, now-previous)
+		previous = now
 		if st, err := catalogfleet.FetchStatus(addr); err == nil && st.Watches >= watchers {
 			break
 		}
 	}
-	var most int64
-	for _, b := range buckets {
-		most = max(most, b)
+	var maxCalls int64
+	for _, b := range callsPer100ms {
+		maxCalls = max(maxCalls, b)
 	}
 	rss, fds := catalogfleet.ProcessUsage(c.Processes["c1"].Pid())
-	t.Logf("calls a 100 ms after the restart: %v (most %d); catalog %d kB, %d descriptors", buckets, most, rss, fds)
+	t.Logf("calls per 100 ms after the restart: %v (maximum %d); catalog uses %d kB, %d descriptors", callsPer100ms, maxCalls, rss, fds)
 	if st, err := catalogfleet.FetchStatus(addr); err != nil || st.Watches < watchers {
 		t.Fatalf("watches open after the restart: %+v %v", st, err)
 	}
-	if most > watchers/2 {
-		t.Errorf("%d of %d watchers came back within one 100 ms", most, watchers)
+	if maxCalls > watchers/2 {
+		t.Errorf("%d of %d watchers reconnected within 100 ms", maxCalls, watchers)
 	}
 	if rss > 192<<10 || fds > watchers+100 {
-		t.Errorf("catalog holds %d kB and %d descriptors for %d watches", rss, fds, watchers)
+		t.Errorf("catalog uses %d kB and %d descriptors for %d watches", rss, fds, watchers)
 	}
 }
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -25,55 +25,55 @@
 	mu       sync.Mutex
 	gate     *admit.Gate
 	lastID   uint64
-	verdicts map[uint64]chan admit.Decision // by call id, for calls without a verdict
+	decisions map[uint64]chan admit.Decision // by call ID, for the calls without a decision
 	shed     int64                          // calls rejected since the start of the process
 }
 
 func newAdmissionController(opt admit.Options) *admissionController {
-	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), verdicts: map[uint64]chan admit.Decision{}}
+	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), decisions: map[uint64]chan admit.Decision{}}
 }
 
-// deliverVerdicts passes verdicts to the calls that wait for them. The caller holds a.mu.
-func (a *admissionController) deliverVerdicts(verdicts []admit.Decision) {
-	for _, v := range verdicts {
+// deliverDecisions passes decisions to the calls that wait for them. The caller holds a.mu.
+func (a *admissionController) deliverDecisions(decisions []admit.Decision) {
+	for _, v := range decisions {
 		if !v.Admitted {
 			a.shed++
 		}
-		a.verdicts[v.ID] <- v // never blocks: the channel has room for the single verdict of the call
-		delete(a.verdicts, v.ID)
+		a.decisions[v.ID] <- v // never blocks: the channel has room for the single decision of the call
+		delete(a.decisions, v.ID)
 	}
 }
 
 // acquire blocks until a call is admitted or rejected. For a rejected call it returns false and the
 // time after which to retry, which is 0 if ctx ended first. An admitted call must end with release.
 func (a *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
-	verdict := make(chan admit.Decision, 1)
+	decision := make(chan admit.Decision, 1)
 	a.mu.Lock()
 	a.lastID++
 	id := a.lastID
-	a.verdicts[id] = verdict
-	a.deliverVerdicts(a.gate.Arrive(time.Since(a.start), id, class))
+	a.decisions[id] = decision
+	a.deliverDecisions(a.gate.Arrive(time.Since(a.start), id, class))
 	a.mu.Unlock()
 	timer := time.NewTimer(a.opt.Wait)
 	defer timer.Stop()
 	for {
 		select {
-		case v := <-verdict:
-			return v.RetryAfter, v.Admitted
+		case d := <-decision:
+			return d.RetryAfter, d.Admitted
 		case <-timer.C:
 			a.mu.Lock()
-			a.deliverVerdicts(a.gate.Expire(time.Since(a.start)))
+			a.deliverDecisions(a.gate.Expire(time.Since(a.start)))
 			a.mu.Unlock()
 			timer.Reset(time.Millisecond) // retries if the timer fired slightly before the wait limit
 		case <-ctx.Done():
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			if a.gate.Cancel(id) {
-				delete(a.verdicts, id)
+				delete(a.decisions, id)
 				return 0, false
 			}
-			v := <-verdict // the verdict was delivered at the same time as the cancellation
-			return v.RetryAfter, v.Admitted
+			d := <-decision // the decision was delivered at the same time as the cancellation
+			return d.RetryAfter, d.Admitted
 		}
 	}
 }
@@ -82,7 +82,7 @@
 func (a *admissionController) release(admittedAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.deliverVerdicts(a.gate.Done(time.Since(a.start), time.Since(admittedAt)))
+	a.deliverDecisions(a.gate.Done(time.Since(a.start), time.Since(admittedAt)))
 }
 
 // counts returns the calls in flight, the waiting calls, and the calls rejected since the start of
