--- a/cmd/catalog/cluster_test.go
+++ b/cmd/catalog/cluster_test.go
@@ -111,8 +111,9 @@
 }
 
 // A leader that is partitioned into a minority must not acknowledge writes and must answer reads as
-// stale, while the majority elects a leader and commits. After the partition heals, and again after all
-// instances restart from their data folders, every instance must have the same list and version.
+// stale, while the majority elects a leader and commits. After the partition heals, all instances must
+// agree on the version. The list and its version must survive a restart of all instances from their data
+// folders.
 func TestPartitionedLeaderAndRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/cmd/catalog/gateway_test.go
+++ b/cmd/catalog/gateway_test.go
@@ -116,8 +116,8 @@
 	stoppedAt, before := time.Now(), acceptedConns(links)
 	failed := 0
 	for time.Since(stoppedAt) < outage {
-		for _, gw := range gatewayAddrs {
-			if !sendRequest(gw) {
+		for _, addr := range gatewayAddrs {
+			if !sendRequest(addr) {
 				failed++
 			}
 		}
@@ -163,7 +163,7 @@
 	if synced() < gateways {
 		t.Fatalf("%d of %d gateways got the new list", synced(), gateways)
 	}
-	// Capped backoff with jitter limits a gateway to about 2 calls perGateway second. A gateway that
+	// Capped backoff with jitter limits a gateway to about 2 calls per second. A gateway that
 	// retries without backoff makes hundreds.
 	if perGateway := max(callRateDuring, callRateAfter) / gateways; perGateway > 20 {
 		t.Errorf("%.0f calls per second from each gateway to the catalog", perGateway)
--- a/cmd/catalog/main.go
+++ b/cmd/catalog/main.go
@@ -73,9 +73,9 @@
 	if options.Peers, err = catalog.ParsePeers(*peers); err != nil {
 		return err
 	}
-	for _, p := range options.Peers {
-		if p.ID == options.ID && (p.RaftAddr != options.RaftAddr || p.HTTPAddr != options.HTTPAddr) {
-			return fmt.Errorf("addresses of %s in -peers differ from -raft and -http", p.ID)
+	for _, peer := range options.Peers {
+		if peer.ID == options.ID && (peer.RaftAddr != options.RaftAddr || peer.HTTPAddr != options.HTTPAddr) {
+			return fmt.Errorf("addresses of %s in -peers differ from -raft and -http", peer.ID)
 		}
 	}
 	options.DialOverrides = map[string]string{}
--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -13,8 +13,8 @@
 	"lynxspool/internal/gateway"
 )
 
-// versionRecorder receives the lists of a gateway's discovery client in place of a gateway.Loop and keeps the
-// latest version.
+// versionRecorder receives the lists of a gateway's discovery client in place of a gateway.Loop and
+// keeps the latest version.
 type versionRecorder struct {
 	mu      sync.Mutex
 	version uint64
--- a/cmd/dunemoor/crowd_test.go
+++ b/cmd/dunemoor/crowd_test.go
@@ -96,8 +96,8 @@
 	if count := requestCounts[0].Load(); count != countBefore {
 		t.Errorf("the host got %d requests after the drain grace period", count-countBefore)
 	}
-	for _, c := range idleConns {
-		c.Close()
+	for _, conn := range idleConns {
+		conn.Close()
 	}
 	waitFor("the descriptors of the idle clients are released", func() bool { return openDescriptors() <= descriptorsBefore+8 }) // allows for a watch and idle connections to hosts
 	p.sendUntilServed(t, 10)
--- a/cmd/dunemoor/drain_test.go
+++ b/cmd/dunemoor/drain_test.go
@@ -18,12 +18,12 @@
 	const gatewayCount = 4
 	requestCounts, addrs := startTwoHosts(t)
 	var callMu sync.Mutex
-	var calls, notified, refused atomic.Int64
+	var calls, notified, rejected atomic.Int64
 	endWatches := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := calls.Add(1)
 		if n == gatewayCount+1 {
-			refused.Add(1)
+			rejected.Add(1)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -96,7 +96,7 @@
 	if requestCounts[1].Load() == readyBefore {
 		t.Error("the ready host got no requests")
 	}
-	if n := calls.Load(); refused.Load() != 1 || n > 3*gatewayCount {
-		t.Errorf("%d calls, %d rejected; want one rejected and ideally %d calls", n, refused.Load(), 2*gatewayCount+1)
+	if n := calls.Load(); rejected.Load() != 1 || n > 3*gatewayCount {
+		t.Errorf("%d calls, %d rejected; want one rejected and ideally %d calls", n, rejected.Load(), 2*gatewayCount+1)
 	}
 }
--- a/cmd/dunemoor/heldup_test.go
+++ b/cmd/dunemoor/heldup_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// stopDuration is how long tests stop a process. It exceeds every tolerance of the gateway, as a stall
+// stallDuration is how long tests stop a process. It exceeds every tolerance of the gateway, as a stall
 // on an overloaded machine may.
-const stopDuration = 1500 * time.Millisecond
+const stallDuration = 1500 * time.Millisecond
 
 // suspend stops the process with SIGSTOP and waits until it has stopped. Data sent to it afterwards
 // stays unread until SIGCONT.
@@ -81,15 +81,15 @@
 				fmt.Fprintf(conn, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: i%d\r\nX-Priority-Class: book\r\nContent-Length: 0\r\n\r\n", i)
 			}
 			discovery.lines <- fmt.Sprintf(list, 3, addrs[0], "draining", addrs[1])
-			time.Sleep(stopDuration)
+			time.Sleep(stallDuration)
 			p.Process.Signal(syscall.SIGCONT)
-			for _, c := range conns {
-				if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
+			for _, conn := range conns {
+				if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if n := requestCounts[0].Load() - before; n > 0 {
-				t.Errorf("%d of %d requests went to a draining host, %v after the notification", n, clients, stopDuration)
+				t.Errorf("%d of %d requests went to a draining host, %v after the notification", n, clients, stallDuration)
 			}
 		})
 	}
@@ -122,8 +122,8 @@
 	p.waitReady(t)
 	p.sendUntilServed(t, 40)
 	conns := openIdleConns(t, p, clients)
-	for _, c := range conns {
-		fmt.Fprintf(c, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: held\r\nX-Priority-Class: book\r\nX-Timeout: 1\r\nContent-Length: 0\r\n\r\n")
+	for _, conn := range conns {
+		fmt.Fprintf(conn, "POST /api/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: held\r\nX-Priority-Class: book\r\nX-Timeout: 1\r\nContent-Length: 0\r\n\r\n")
 	}
 	for end := time.Now().Add(waitTimeout); inFlight.Load() < clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -133,11 +133,11 @@
 	p.suspend(t)
 	logLengthBefore := len(p.output.String()) // a host may be ejected before the stop, because it does not answer yet
 	releaseOnce.Do(func() { close(release) })
-	time.Sleep(stopDuration)
+	time.Sleep(stallDuration)
 	p.Process.Signal(syscall.SIGCONT)
 	statuses := map[int]int{}
-	for _, c := range conns {
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	for _, conn := range conns {
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -225,13 +225,13 @@
 	time.Sleep(200 * time.Millisecond) // lets the process accept the connections and read the first parts
 	p.suspend(t)
 	time.Sleep(sendDelay)
-	for i, c := range conns {
-		io.WriteString(c, request[len(sentBefore[i]):])
+	for i, conn := range conns {
+		io.WriteString(conn, request[len(sentBefore[i]):])
 	}
 	time.Sleep(stopDuration - sendDelay)
 	p.Process.Signal(syscall.SIGCONT)
-	for i, c := range conns {
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	for i, conn := range conns {
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("with %d bytes sent before the stop, the answer is %v, error %v", len(sentBefore[i]), resp, err)
 		}
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/dunemoor/main_test.go
@@ -230,14 +230,14 @@
 			defer clients.Done()
 			for {
 				termSent := termSentAt.Load()
-				taken, err := sendRequest(p.url)
+				connected, err := sendRequest(p.url)
 				if err == nil && termSent > 0 {
 					servedAfterTerm.Add(1)
 				}
 				switch {
 				case termSent > 0 && time.Since(time.Unix(0, termSent)) > acceptAfterTerm:
 					return // the last request may have been sent after the listener closed
-				case taken && err != nil:
+				case connected && err != nil:
 					t.Errorf("an accepted request failed: %v", err)
 				case err != nil:
 					t.Errorf("a connection failed while clients may still connect: %v", err)
--- a/cmd/dunemoor/membership_test.go
+++ b/cmd/dunemoor/membership_test.go
@@ -72,11 +72,11 @@
 		Peers []membership.Peer
 	}
 	json.NewDecoder(resp.Body).Decode(&response)
-	out := map[string]membership.Peer{}
+	view := map[string]membership.Peer{}
 	for _, p := range response.Peers {
-		out[p.Name] = p
+		view[p.Name] = p
 	}
-	return out
+	return view
 }
 
 var lastFailingView string // view that failed the condition of waitViews in its last poll
@@ -151,9 +151,9 @@
 		return v[leaver.Name].State == membership.Left
 	})
 	if !ok {
-		b, _ := os.ReadFile(leaver.Log)
-		c, _ := os.ReadFile(processes[0].Log)
-		t.Fatalf("not every peer marks the gateway stopped with SIGTERM as left after %v: %+v\n%s\n%s", leaveTime, fetchView(operatorAddrs[0])[leaver.Name], b[max(0, len(b)-1500):], c[max(0, len(c)-1500):])
+		leaverLog, _ := os.ReadFile(leaver.Log)
+		peerLog, _ := os.ReadFile(processes[0].Log)
+		t.Fatalf("not every peer marks the gateway stopped with SIGTERM as left after %v: %+v\n%s\n%s", leaveTime, fetchView(operatorAddrs[0])[leaver.Name], leaverLog[max(0, len(leaverLog)-1500):], peerLog[max(0, len(peerLog)-1500):])
 	}
 	t.Logf("%d joined in %v; %d killed were marked dead by all in %v; one stopped with SIGTERM was marked left in %v", n, joinTime, killed, detectTime, leaveTime)
 	for _, p := range processes[:n-killed-1] {
@@ -171,8 +171,8 @@
 // log of each gateway of the pair that name the other.
 func describeMissingPeers(processes []*faultnet.Proc, operatorAddrs []string) string {
 	var out strings.Builder
-	for i, op := range operatorAddrs {
-		v := fetchView(op)
+	for i, addr := range operatorAddrs {
+		v := fetchView(addr)
 		for _, q := range processes {
 			if v[q.Name].State == membership.Alive {
 				continue
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -141,11 +141,11 @@
 	var plotPath string
 	cmd := &cobra.Command{Use: "plot RESULT", Short: "Plot the first run of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := fleetlab.LoadPlays(args[0])
+			plays, err := fleetlab.LoadPlays(args[0])
 			if err != nil {
 				return err
 			}
-			return p.Plays[0].Plot(plotPath)
+			return plays.Plays[0].Plot(plotPath)
 		}}
 	cmd.Flags().StringVarP(&plotPath, "out", "o", "fleet.svg", "output file (.svg or .png)")
 	return cmd
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -22,11 +22,11 @@
 	opt   admit.Options
 	start time.Time
 
-	mu       sync.Mutex
-	gate     *admit.Gate
-	lastID   uint64
+	mu        sync.Mutex
+	gate      *admit.Gate
+	lastID    uint64
 	decisions map[uint64]chan admit.Decision // by call ID, for the calls without a decision
-	shed     int64                          // calls rejected since the start of the process
+	shed      int64                          // calls rejected since the start of the process
 }
 
 func newAdmissionController(opt admit.Options) *admissionController {
@@ -35,12 +35,12 @@
 
 // deliverDecisions passes decisions to the calls that wait for them. The caller holds a.mu.
 func (a *admissionController) deliverDecisions(decisions []admit.Decision) {
-	for _, v := range decisions {
-		if !v.Admitted {
+	for _, d := range decisions {
+		if !d.Admitted {
 			a.shed++
 		}
-		a.decisions[v.ID] <- v // never blocks: the channel has room for the single decision of the call
-		delete(a.decisions, v.ID)
+		a.decisions[d.ID] <- d // never blocks: the channel has room for the single decision of the call
+		delete(a.decisions, d.ID)
 	}
 }
 
