--- a/aperture.go
+++ b/aperture.go
@@ -1,4 +1,4 @@
-package lynxspool
+package bramblelock
 
 // Which hosts an instance uses: a subset (aperture) taken from a ring of all hosts that is the same
 // at every instance. How it picks among them is decided in balancer.go.
--- a/api.go
+++ b/api.go
@@ -1,4 +1,4 @@
-// Package lynxspool makes the decisions of an HTTP load balancer that runs as a
+// Package bramblelock makes the decisions of an HTTP load balancer that runs as a
 // fleet of gateways, one or a thousand: where each request goes, when it is retried
 // and when it is refused.
 //
@@ -21,7 +21,7 @@
 //
 // This file has the types of the interface; the decisions are in balancer.go, aperture.go,
 // cold.go, asking.go, notified.go and view.go.
-package lynxspool
+package bramblelock
 
 import (
 	"strconv"
--- a/asking.go
+++ b/asking.go
@@ -1,4 +1,4 @@
-package lynxspool
+package bramblelock
 
 // When to call discovery for the host list: a fleet that starts, or loses discovery, at once must
 // not overload it with calls, but each instance must get changes before they count as notified.
--- a/balancer.go
+++ b/balancer.go
@@ -1,4 +1,4 @@
-package lynxspool
+package bramblelock
 
 // The decisions of the balancer. The exported types are in api.go, the state in state.go. Which
 // hosts an instance uses is decided in aperture.go, how cold hosts are paced in cold.go, when to
--- a/cmd/catalog/cluster_test.go
+++ b/cmd/catalog/cluster_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/catalog"
-	"lynxspool/internal/catalogfleet"
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/catalog"
+	"bramblelock/internal/catalogfleet"
+	"bramblelock/internal/faultnet"
 )
 
 var binaries map[string]string
@@ -25,7 +25,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if binaries, err = faultnet.Build(dir, "lynxspool/cmd/catalog", "lynxspool/cmd/dunemoor"); err != nil {
+	if binaries, err = faultnet.Build(dir, "bramblelock/cmd/catalog", "bramblelock/cmd/gateway"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/cmd/catalog/gateway_test.go
+++ b/cmd/catalog/gateway_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/catalogfleet"
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/catalogfleet"
+	"bramblelock/internal/faultnet"
 )
 
 // startGateway starts a gateway process that watches the discovery instances at addrs.
@@ -33,7 +33,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p, err := faultnet.Start(dir, name, binaries["dunemoor"], nil, "GW_NAME="+name, "GW_LISTEN="+listen,
+	p, err := faultnet.Start(dir, name, binaries["gateway"], nil, "GW_NAME="+name, "GW_LISTEN="+listen,
 		"GW_DISCOVERY="+strings.Join(addrs, ","), "GW_CONFIG="+path)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/catalog/main.go
+++ b/cmd/catalog/main.go
@@ -22,9 +22,9 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/catalog"
-	"lynxspool/internal/listener"
-	"lynxspool/internal/logwriter"
+	"bramblelock/internal/catalog"
+	"bramblelock/internal/listener"
+	"bramblelock/internal/logwriter"
 )
 
 func main() {
--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/catalogfleet"
-	"lynxspool/internal/faultnet"
-	"lynxspool/internal/gateway"
+	"bramblelock"
+	"bramblelock/internal/catalogfleet"
+	"bramblelock/internal/faultnet"
+	"bramblelock/internal/gateway"
 )
 
 // versionRecorder receives the lists of a gateway's discovery client in place of a gateway.Loop and
@@ -20,7 +20,7 @@
 	version uint64
 }
 
-func (s *versionRecorder) HandleList(kind lynxspool.ListKind, l gateway.MemberList) {
+func (s *versionRecorder) HandleList(kind bramblelock.ListKind, l gateway.MemberList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !kind.IsLoss() {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -17,8 +17,8 @@
 
 	"github.com/spf13/cobra"
 
-	"lynxspool/internal/catalogfleet"
-	"lynxspool/internal/fleetlab"
+	"bramblelock/internal/catalogfleet"
+	"bramblelock/internal/fleetlab"
 )
 
 func main() {
@@ -90,7 +90,7 @@
 		}}
 	cmd.Flags().StringVar(&engine, "engine", "virtual", "engine: virtual, oracle or real")
 	realOptions.Progress = os.Stderr
-	cmd.Flags().StringVar(&realOptions.Bin, "bin", executableDir(), "engine real: folder with the binaries dunemoor and catalog")
+	cmd.Flags().StringVar(&realOptions.Bin, "bin", executableDir(), "engine real: folder with the binaries gateway and catalog")
 	cmd.Flags().StringVar(&realOptions.Dir, "dir", "", "engine real: existing folder in which to keep logs and data")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
 	cmd.Flags().StringVar(&resultPath, "json", "", "file for the result")
@@ -204,7 +204,7 @@
 			return nil
 		}}
 	flags := cmd.Flags()
-	flags.StringVar(&opt.Bin, "bin", executableDir(), "folder with the binaries dunemoor and catalog")
+	flags.StringVar(&opt.Bin, "bin", executableDir(), "folder with the binaries gateway and catalog")
 	flags.StringVar(&opt.Dir, "dir", "", "existing folder below which to keep logs and data")
 	flags.Uint64Var(&opt.Seed, "seed", opt.Seed, "first seed")
 	flags.IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
--- a/cmd/dunemoor/bank.go
+++ b/cmd/gateway/bank.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/gateway"
-	"lynxspool/internal/membership"
+	"bramblelock"
+	"bramblelock/internal/gateway"
+	"bramblelock/internal/membership"
 )
 
 // fleetSynchronizer passes the membership view to the decision module and announces this gateway's
@@ -53,10 +53,10 @@
 // gateway's load to them and logs the fleet status if it changed.
 func (f *fleetSynchronizer) updatePeers() {
 	rank := int(f.rank.Load())
-	var peers []lynxspool.Peer
+	var peers []bramblelock.Peer
 	for _, p := range f.members.View() {
 		if p.State == membership.Alive || p.State == membership.Suspect {
-			peers = append(peers, lynxspool.Peer{Rank: p.Rank, Rate: p.Rate})
+			peers = append(peers, bramblelock.Peer{Rank: p.Rank, Rate: p.Rate})
 		}
 	}
 	place := f.loop.UpdatePeers(peers)
--- a/cmd/dunemoor/crowd_test.go
+++ b/cmd/gateway/crowd_test.go
@@ -35,7 +35,7 @@
 	}
 	p := &program{Cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptorLimit), os.Args[0]), url: "http://" + listen,
 		configPath: path, exited: make(chan struct{})}
-	p.Env = append(os.Environ(), "DUNEMOOR_AS_PROGRAM=1", "GW_CONFIG="+path, "GW_LISTEN="+listen, "GW_OPERATOR="+operator, "TMPDIR="+t.TempDir())
+	p.Env = append(os.Environ(), "GATEWAY_AS_PROGRAM=1", "GW_CONFIG="+path, "GW_LISTEN="+listen, "GW_OPERATOR="+operator, "TMPDIR="+t.TempDir())
 	p.Stdout, p.Stderr = &p.output, &p.output
 	p.startProcess(t)
 	p.waitReady(t)
--- a/cmd/dunemoor/inject_off.go
+++ b/cmd/gateway/inject_off.go
@@ -5,7 +5,7 @@
 import (
 	"net"
 
-	"lynxspool/internal/gateway"
+	"bramblelock/internal/gateway"
 )
 
 // injectFaults does nothing in a build without the tag faultinject.
--- a/cmd/dunemoor/inject_on.go
+++ b/cmd/gateway/inject_on.go
@@ -8,8 +8,8 @@
 	"net"
 	"os"
 
-	"lynxspool/internal/faultnet"
-	"lynxspool/internal/gateway"
+	"bramblelock/internal/faultnet"
+	"bramblelock/internal/gateway"
 )
 
 // injectFaults makes a share of the system calls on the client listener and on connections to hosts
--- a/cmd/dunemoor/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command dunemoor runs one gateway process. It accepts client requests and forwards them to hosts
+// Command gateway runs one gateway process. It accepts client requests and forwards them to hosts
 // as the decision module directs. It is configured by environment variables with the prefix GW_.
 package main
 
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/gateway"
-	"lynxspool/internal/logwriter"
-	"lynxspool/internal/membership"
+	"bramblelock"
+	"bramblelock/internal/gateway"
+	"bramblelock/internal/logwriter"
+	"bramblelock/internal/membership"
 )
 
 // initialListTimeout limits how long a process that inherits its listener waits for a host list from
@@ -44,7 +44,7 @@
 		err = run(cfg)
 	}
 	if err != nil {
-		fmt.Fprintf(log, "dunemoor: %v\n", err)
+		fmt.Fprintf(log, "gateway: %v\n", err)
 	}
 	log.Flush(logFlushTimeout)
 	if err != nil {
@@ -133,7 +133,7 @@
 			}
 		})
 	}
-	loop.HandleList(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(bramblelock.ListSaved, cfg.Known)
 	roster := gateway.NewRoster(cfg.Known, loop)
 	var synchronizer *fleetSynchronizer
 	if options := cfg.Membership; options.Bind != "" {
--- a/cmd/dunemoor/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -26,10 +26,10 @@
 // acceptAfterTerm is the minimum time for which new clients still connect after SIGTERM.
 const acceptAfterTerm = 400 * time.Millisecond
 
-// TestMain runs the program itself if DUNEMOOR_AS_PROGRAM is set. Tests start the test binary in this
+// TestMain runs the program itself if GATEWAY_AS_PROGRAM is set. Tests start the test binary in this
 // way, so that they can check signals and exit codes of a real process.
 func TestMain(m *testing.M) {
-	if os.Getenv("DUNEMOOR_AS_PROGRAM") != "" {
+	if os.Getenv("GATEWAY_AS_PROGRAM") != "" {
 		main()
 		return
 	}
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	p := &program{Cmd: exec.Command(os.Args[0]), url: url, configPath: path, exited: make(chan struct{})}
-	p.Env = append(append(os.Environ(), "DUNEMOOR_AS_PROGRAM=1", "GW_CONFIG="+path), vars...)
+	p.Env = append(append(os.Environ(), "GATEWAY_AS_PROGRAM=1", "GW_CONFIG="+path), vars...)
 	p.ExtraFiles = files
 	return p
 }
--- a/cmd/dunemoor/membership_test.go
+++ b/cmd/gateway/membership_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lynxspool/internal/faultnet"
-	"lynxspool/internal/membership"
+	"bramblelock/internal/faultnet"
+	"bramblelock/internal/membership"
 )
 
 // startFleet starts n gateways with membership enabled, each of which joins through the first three. It
@@ -33,7 +33,7 @@
 		path := filepath.Join(dir, name+".json")
 		os.WriteFile(path, text, 0o600)
 		listen, operatorAddr := clientAddrs[i], freeOperatorAddrs[i]
-		p, err := faultnet.Start(dir, name, os.Args[0], nil, "DUNEMOOR_AS_PROGRAM=1", "GW_CONFIG="+path,
+		p, err := faultnet.Start(dir, name, os.Args[0], nil, "GATEWAY_AS_PROGRAM=1", "GW_CONFIG="+path,
 			"GW_NAME="+name, "GW_LISTEN="+listen, "GW_OPERATOR="+operatorAddr)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"runtime/debug"
 
-	"lynxspool"
-	"lynxspool/internal/wire"
+	"bramblelock"
+	"bramblelock/internal/wire"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 
 // run reads batches from in and writes a reply to each to out, until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	a := adapter{balancers: map[uint32]*lynxspool.Balancer{}, out: wire.NewWriter(out)}
+	a := adapter{balancers: map[uint32]*bramblelock.Balancer{}, out: wire.NewWriter(out)}
 	reader := wire.NewReader(in)
 	for n := 1; ; n++ {
 		now, err := reader.ReadBatch()
@@ -47,15 +47,15 @@
 
 // adapter passes events to the balancers and collects their actions. The balancers share no state.
 type adapter struct {
-	balancers map[uint32]*lynxspool.Balancer // by instance number
+	balancers map[uint32]*bramblelock.Balancer // by instance number
 	out       *wire.Writer
-	actions   []lynxspool.Action // reused by every event
+	actions   []bramblelock.Action // reused by every event
 }
 
 // handle passes an event to its balancer and adds the balancer's actions to the reply. When a
 // balancer panics, the crash is reported, and events of its instance are ignored until it starts
 // anew.
-func (a *adapter) handle(now lynxspool.Time, e *wire.Event) {
+func (a *adapter) handle(now bramblelock.Time, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(a.balancers, e.Instance)
@@ -94,14 +94,14 @@
 
 // startInstance starts the balancer of an instance and replaces the one that it had. Invalid
 // settings are reported as a crash of the instance.
-func (a *adapter) startInstance(now lynxspool.Time, e *wire.Event) {
+func (a *adapter) startInstance(now bramblelock.Time, e *wire.Event) {
 	delete(a.balancers, e.Instance)
 	settings, err := wire.ParseSettings(e.Settings)
 	if err != nil {
 		a.out.WriteCrash(e.Instance, err.Error())
 		return
 	}
-	balancer, err := lynxspool.New(settings, e.Seed)
+	balancer, err := bramblelock.New(settings, e.Seed)
 	if err != nil {
 		a.out.WriteCrash(e.Instance, err.Error())
 		return
--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 // failingStorage is a raftStorage whose next writes can be made to fail. A failing sync leaves the
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/admit"
+	"bramblelock/internal/admit"
 )
 
 // headerHaveList is set by a caller that asks for the whole list but still has an older one to work
--- a/internal/catalog/gate_test.go
+++ b/internal/catalog/gate_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"lynxspool/internal/admit"
+	"bramblelock/internal/admit"
 )
 
 // newListNode returns a node with n hosts and without raft, which serveListCall does not use.
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"lynxspool/internal/admit"
+	"bramblelock/internal/admit"
 )
 
 // Peer identifies one instance of a catalog cluster: its raft id, the address on which raft listens
--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/catalog"
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/catalog"
+	"bramblelock/internal/faultnet"
 )
 
 // FailureReporter receives the failures of a Cluster. A *testing.T implements it. Fatalf must not
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Build compiles commands of this module, given by import path such as "lynxspool/cmd/catalog",
+// Build compiles commands of this module, given by import path such as "bramblelock/cmd/catalog",
 // into dir. It returns the path of each binary by the last element of its import path.
 func Build(dir string, pkgs ...string) (map[string]string, error) {
 	args := append([]string{"build", "-o", dir + string(os.PathSeparator)}, pkgs...)
--- a/internal/fleetlab/listservice.go
+++ b/internal/fleetlab/listservice.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/admit"
+	"bramblelock"
+	"bramblelock/internal/admit"
 )
 
 // Modes of a list service instance.
@@ -18,7 +18,7 @@
 
 const (
 	// watchSilenceTimeout is the time after which the gateway closes a watch that delivers nothing.
-	watchSilenceTimeout = lynxspool.SilentAfter
+	watchSilenceTimeout = bramblelock.SilentAfter
 	// watchDialTimeout is the gateway's timeout for a connection to the list service.
 	watchDialTimeout = 500 * time.Millisecond
 )
@@ -153,13 +153,13 @@
 // has none.
 func (c *listService) sendList(watch *watch) {
 	w := c.world
-	kind, afterVersion := lynxspool.ListChanges, watch.listVersion
+	kind, afterVersion := bramblelock.ListChanges, watch.listVersion
 	if afterVersion == 0 {
-		kind = lynxspool.ListFull
+		kind = bramblelock.ListFull
 	}
-	var list []lynxspool.Host
+	var list []bramblelock.Host
 	for i := range w.hostList {
-		if e := &w.hostList[i]; e.version > afterVersion && (e.listed || kind == lynxspool.ListChanges) {
+		if e := &w.hostList[i]; e.version > afterVersion && (e.listed || kind == bramblelock.ListChanges) {
 			list = append(list, e.host)
 		}
 	}
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -16,12 +16,12 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 // RealOptions configures the real engine.
 type RealOptions struct {
-	Bin      string    // directory of the binaries dunemoor and catalog
+	Bin      string    // directory of the binaries gateway and catalog
 	Dir      string    // directory for logs and data; empty: a temporary one that is removed at the end
 	Progress io.Writer // receives progress messages; nil: none
 }
@@ -55,7 +55,7 @@
 	if err := s.preflight(); err != nil {
 		return nil, err
 	}
-	for _, b := range []string{"dunemoor", "catalog"} {
+	for _, b := range []string{"gateway", "catalog"} {
 		if _, err := os.Stat(filepath.Join(opt.Bin, b)); err != nil {
 			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", b, opt.Bin)
 		}
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 var binaries struct {
@@ -46,7 +46,7 @@
 		if binaries.dir, binaries.err = os.MkdirTemp("", "fleetlab-bin"); binaries.err != nil {
 			return
 		}
-		_, binaries.err = faultnet.Build(binaries.dir, "lynxspool/cmd/dunemoor", "lynxspool/cmd/catalog")
+		_, binaries.err = faultnet.Build(binaries.dir, "bramblelock/cmd/gateway", "bramblelock/cmd/catalog")
 	})
 	if binaries.err != nil {
 		t.Fatal(binaries.err)
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 // realGateway is a gateway process, with the health checks of the edge balancer.
@@ -80,7 +80,7 @@
 	if g.proc != nil {
 		return
 	}
-	proc, startedAt, err := g.run.starter.start(g.run.dir, name, filepath.Join(g.run.options.Bin, "dunemoor"), nil,
+	proc, startedAt, err := g.run.starter.start(g.run.dir, name, filepath.Join(g.run.options.Bin, "gateway"), nil,
 		"GW_CONFIG="+g.configPath, "GW_NAME="+name, "GW_LISTEN="+g.addr, "TMPDIR="+g.run.dir)
 	if err != nil {
 		fmt.Fprintf(g.run.options.Progress, "%s: %v\n", name, err)
--- a/internal/fleetlab/soak.go
+++ b/internal/fleetlab/soak.go
@@ -78,7 +78,7 @@
 
 // Soak runs one seed. An error means that the soak could not run, not that rules were broken.
 func Soak(ctx context.Context, opt SoakOptions) (*SoakReport, error) {
-	for _, binary := range []string{"dunemoor", "catalog"} {
+	for _, binary := range []string{"gateway", "catalog"} {
 		if _, err := os.Stat(filepath.Join(opt.Bin, binary)); err != nil {
 			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", binary, opt.Bin)
 		}
--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 // soakClass is a request class in the settings of the gateways.
@@ -129,7 +129,7 @@
 	if err := g.configure(g.settingsVersion); err != nil {
 		return err
 	}
-	bin, inject := filepath.Join(g.s.opt.Bin, "dunemoor"), ""
+	bin, inject := filepath.Join(g.s.opt.Bin, "gateway"), ""
 	if faulty := filepath.Join(g.s.opt.Bin, FaultyGateway); g.name[2]%2 == 1 && fileExists(faulty) {
 		bin, inject = faulty, fmt.Sprintf("%d %g", g.s.opt.Seed*100+uint64(g.generation), systemCallFaultShare)
 	}
@@ -149,7 +149,7 @@
 
 // FaultyGateway is the gateway built with the tag faultinject. Every second gateway runs it when the
 // folder of the binaries has it.
-const FaultyGateway = "dunemoor-faults"
+const FaultyGateway = "gateway-faults"
 
 // systemCallFaultShare is the share of the system calls of a FaultyGateway that fail, in bursts.
 const systemCallFaultShare = 0.02
--- a/internal/fleetlab/soak_list.go
+++ b/internal/fleetlab/soak_list.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 // soakCatalogs runs the catalogs and the links through which gateways reach them.
--- a/internal/fleetlab/soak_plan.go
+++ b/internal/fleetlab/soak_plan.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
 // disruption is one planned event of a soak, such as a fault or a restart, with its start and duration.
--- a/internal/fleetlab/soak_test.go
+++ b/internal/fleetlab/soak_test.go
@@ -19,7 +19,7 @@
 func TestSoakBreaksNoRule(t *testing.T) {
 	bin := buildBinaries(t)
 	faulty := filepath.Join(bin, FaultyGateway)
-	if out, err := exec.Command("go", "build", "-tags", "faultinject", "-o", faulty, "lynxspool/cmd/dunemoor").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "faultinject", "-o", faulty, "bramblelock/cmd/gateway").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	defer os.Remove(faulty)
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // linkFault is a fault of the network between some gateways and some hosts.
@@ -28,7 +28,7 @@
 }
 
 // sendAttempt starts an attempt over an idle connection, or over a new one if none is idle.
-func (g *gateway) sendAttempt(action lynxspool.Action) {
+func (g *gateway) sendAttempt(action bramblelock.Action) {
 	w, r := g.world, g.requests[action.Request]
 	hostIndex, ok := g.hostIndex[action.Host]
 	if r == nil || !ok {
@@ -42,7 +42,7 @@
 	if at := action.At - clockBase; action.At > 0 && at < deadline {
 		deadline = at
 	}
-	w.at(deadline, func() { g.abandon(a, lynxspool.TimedOut) })
+	w.at(deadline, func() { g.abandon(a, bramblelock.TimedOut) })
 	p := g.pools[hostIndex]
 	if p == nil {
 		p = &pool{}
@@ -63,7 +63,7 @@
 			switch {
 			case silent:
 			case cut || c.incarnation != h.Incarnation:
-				a.finishAfter(oneWay, lynxspool.Reset)
+				a.finishAfter(oneWay, bramblelock.Reset)
 			default:
 				a.arriveAtHost(oneWay, false)
 			}
@@ -75,14 +75,14 @@
 		switch {
 		case a.ended:
 		case silent || h.Condition == Silent:
-			a.finishAfter(w.scenario.Rules.DialTimeout.std(), lynxspool.ConnectFailed)
+			a.finishAfter(w.scenario.Rules.DialTimeout.std(), bramblelock.ConnectFailed)
 		case cut || h.Condition == Dead || h.Condition == Refusing:
 			w.recorder.RecordNewConn(hostIndex, w.now)
-			a.finishAfter(oneWay, lynxspool.ConnectFailed)
+			a.finishAfter(oneWay, bramblelock.ConnectFailed)
 		default:
 			w.recorder.RecordNewConn(hostIndex, w.now)
 			if !h.Connect() {
-				a.finishAfter(oneWay, lynxspool.Full) // accepted, answered 503 and closed
+				a.finishAfter(oneWay, bramblelock.Full) // accepted, answered 503 and closed
 				return
 			}
 			a.connected, a.incarnation = true, h.Incarnation
@@ -99,7 +99,7 @@
 		return
 	}
 	if a.incarnation != h.Incarnation || h.Condition == Dead || h.Condition == Refusing {
-		a.finishAfter(oneWay, lynxspool.Reset)
+		a.finishAfter(oneWay, bramblelock.Reset)
 		return
 	}
 	c := &w.scenario.Classes[a.request.arrival.Class]
@@ -108,7 +108,7 @@
 		job.Work += w.scenario.Rules.ConnCost.std()
 	}
 	job.Notified = h.Started < 0 || a.gateway.knownStart[h.Index] == clockBase+h.Started
-	job.Done = func(ok bool) { a.finishAfter(oneWay, lynxspool.OK) }
+	job.Done = func(ok bool) { a.finishAfter(oneWay, bramblelock.OK) }
 	w.advanceHost(h)
 	w.recorder.RecordHostRequest(h.Index, w.now)
 	switch h.Arrive(w.now, job) {
@@ -116,22 +116,22 @@
 		a.job = job
 		w.advanceHost(h)
 	case Rejected:
-		a.finishAfter(oneWay, lynxspool.Full)
+		a.finishAfter(oneWay, bramblelock.Full)
 	case FastError:
-		a.finishAfter(oneWay+fastErrorDelay, lynxspool.Failed)
+		a.finishAfter(oneWay+fastErrorDelay, bramblelock.Failed)
 	case ConnectionReset:
-		a.finishAfter(oneWay, lynxspool.Reset)
+		a.finishAfter(oneWay, bramblelock.Reset)
 	}
 }
 
 // finishAfter ends an attempt with a result that reaches the gateway after a delay.
-func (a *attempt) finishAfter(delay time.Duration, result lynxspool.Result) {
+func (a *attempt) finishAfter(delay time.Duration, result bramblelock.Result) {
 	a.gateway.world.after(delay, func() {
 		if a.ended {
 			return
 		}
 		a.ended = true
-		if result == lynxspool.OK || result == lynxspool.Failed || result == lynxspool.Full && a.connected {
+		if result == bramblelock.OK || result == bramblelock.Failed || result == bramblelock.Full && a.connected {
 			a.keepConnection()
 		} else {
 			a.closeConnection()
@@ -142,7 +142,7 @@
 
 // abandon ends an attempt on the gateway's side. Its connection is closed, and its work stops when the
 // close reaches the host.
-func (g *gateway) abandon(a *attempt, result lynxspool.Result) {
+func (g *gateway) abandon(a *attempt, result bramblelock.Result) {
 	if a.ended {
 		return
 	}
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/vfaults.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // faultTargets selects the targets of a fault among count gateways or hosts and divides them into the
@@ -196,14 +196,14 @@
 	}
 	restart := func() {
 		h.Restart(w.now)
-		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, lynxspool.Ready) })
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Ready) })
 	}
 	switch f.Action {
 	case "kill":
 		h.Kill()
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() {
 			if h.Condition == Dead {
-				w.updateListing(index, lynxspool.Removed)
+				w.updateListing(index, bramblelock.Removed)
 			}
 		})
 		atEnd(restart)
@@ -223,10 +223,10 @@
 	case "cold":
 		restart()
 	case "replace":
-		w.updateListing(index, lynxspool.Draining)
+		w.updateListing(index, bramblelock.Draining)
 		w.after(2*time.Second, func() {
 			h.Kill()
-			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, lynxspool.Removed) })
+			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Removed) })
 		})
 		w.addHost(h.Spec)
 	case "join":
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/wire"
+	"bramblelock"
+	"bramblelock/internal/wire"
 )
 
 // gateway is a gateway in the virtual engine: a Balancer with a model of the connections, requests and
@@ -20,14 +20,14 @@
 	deferred       []func() // events that arrived while the process was paused
 	generation     int      // raised at each start and exit of the process
 	startedAt      Time
-	balancer       *lynxspool.Balancer
-	actions        []lynxspool.Action
+	balancer       *bramblelock.Balancer
+	actions        []bramblelock.Action
 	pools          map[int]*pool // by host index
 	knownStart     map[int]Time  // by host index: start time on the received list
-	hostIndex      map[lynxspool.HostID]int
+	hostIndex      map[bramblelock.HostID]int
 	usable         map[int]bool // by host index: it is ready on the received list
-	requests       map[lynxspool.RequestID]*request
-	lastRequestID  lynxspool.RequestID
+	requests       map[bramblelock.RequestID]*request
+	lastRequestID  bramblelock.RequestID
 	watch          *watch
 	catalogIndex   int // modulo the number of instances: the list service instance to call next
 	listVersion    uint64
@@ -54,7 +54,7 @@
 // request is a client's request at a gateway.
 type request struct {
 	arrival   Arrival
-	id        lynxspool.RequestID
+	id        bramblelock.RequestID
 	arrivedAt Time
 	deadline  Time
 	answered  bool // the client has its final answer
@@ -93,10 +93,10 @@
 	g.up, g.ready, g.paused, g.deferred = true, false, false, nil
 	g.startedAt, g.listVersion, g.catalogIndex = w.now, 0, g.rank%len(w.catalogs)
 	g.pools, g.knownStart, g.usable = map[int]*pool{}, map[int]Time{}, map[int]bool{}
-	g.requests, g.hostIndex, g.pushBackoff = map[lynxspool.RequestID]*request{}, map[lynxspool.HostID]int{}, 0
+	g.requests, g.hostIndex, g.pushBackoff = map[bramblelock.RequestID]*request{}, map[bramblelock.HostID]int{}, 0
 	settings, err := wire.ParseSettings(g.world.scenario.SettingsJSON(g.rank, g.configured))
 	if err == nil {
-		g.balancer, err = lynxspool.New(settings, w.seedRand.Uint64())
+		g.balancer, err = bramblelock.New(settings, w.seedRand.Uint64())
 	}
 	if err != nil {
 		panic(err) // unreachable: the scenario was validated
@@ -108,11 +108,11 @@
 		}
 		g.balancer.Start(g.clock())
 		if g.hasSavedList {
-			list := make([]lynxspool.Host, len(w.hostList))
+			list := make([]bramblelock.Host, len(w.hostList))
 			for i := range w.hostList {
 				list[i] = w.hostList[i].host
 			}
-			g.applyList(lynxspool.ListSaved, list)
+			g.applyList(bramblelock.ListSaved, list)
 			g.listVersion = w.listVersion
 		}
 		if w.scenario.Catalog.Push {
@@ -131,12 +131,12 @@
 	if w.now-g.rateReportedAt >= 5*time.Second || g.reportedRate == 0 {
 		g.reportedRate, g.rateReportedAt = g.balancer.RequestRate(g.clock()), w.now
 	}
-	var peers []lynxspool.Peer
+	var peers []bramblelock.Peer
 	for _, other := range w.gateways {
 		exited := !other.up && (other.generation == 0 || w.now-other.exitedAt >= w.scenario.Gateways.PeerDetection.std())
 		partitioned := w.partition != nil && w.partition[other.rank] != w.partition[g.rank] && w.now-w.partitionedAt >= w.scenario.Gateways.PeerDetection.std()
 		if !exited && !partitioned {
-			peers = append(peers, lynxspool.Peer{Rank: other.rank % g.configured, Rate: other.reportedRate})
+			peers = append(peers, bramblelock.Peer{Rank: other.rank % g.configured, Rate: other.reportedRate})
 		}
 	}
 	g.handle(func() { g.balancer.UpdatePeers(g.clock(), peers) })
@@ -144,7 +144,7 @@
 }
 
 // clock returns the time of the gateway's clock.
-func (g *gateway) clock() lynxspool.Time { return clockBase + g.world.now }
+func (g *gateway) clock() bramblelock.Time { return clockBase + g.world.now }
 
 // kill ends the process: its connections are reset and its requests are lost.
 func (g *gateway) kill() {
@@ -190,7 +190,7 @@
 	if g.balancer == nil {
 		return
 	}
-	for id := lynxspool.RequestID(1); id <= g.lastRequestID; id++ {
+	for id := bramblelock.RequestID(1); id <= g.lastRequestID; id++ {
 		r := g.requests[id]
 		if r == nil {
 			continue
@@ -206,7 +206,7 @@
 			g.world.recorder.RecordEnd(r.arrival.At, end, 0)
 		}
 	}
-	g.requests = map[lynxspool.RequestID]*request{}
+	g.requests = map[bramblelock.RequestID]*request{}
 }
 
 // pause suspends the process, as SIGSTOP does.
@@ -257,7 +257,7 @@
 	if watch.retryAfter > 0 { // the same backoff as that of the real gateway
 		maxBackoff := g.world.scenario.Catalog.MaxWatchGap.std()
 		if g.listVersion > 0 {
-			maxBackoff = min(maxBackoff, lynxspool.MaxWatchBackoff)
+			maxBackoff = min(maxBackoff, bramblelock.MaxWatchBackoff)
 		}
 		g.nextCallAt = g.world.now + min(time.Duration(float64(watch.retryAfter)*(1+g.world.retryRand.Float64()/4)), maxBackoff)
 	}
@@ -267,7 +267,7 @@
 	}
 	g.failedCatalogs = 0
 	if !g.world.scenario.Catalog.Push {
-		g.handle(func() { g.balancer.UpdateHosts(g.clock(), lynxspool.ListFailed, nil) })
+		g.handle(func() { g.balancer.UpdateHosts(g.clock(), bramblelock.ListFailed, nil) })
 		return
 	}
 	// The gateway's backoff in push mode: exponential, with full jitter over twice the interval.
@@ -281,7 +281,7 @@
 }
 
 // listReceived handles a list or changes from a watch.
-func (g *gateway) listReceived(watch *watch, kind lynxspool.ListKind, list []lynxspool.Host) {
+func (g *gateway) listReceived(watch *watch, kind bramblelock.ListKind, list []bramblelock.Host) {
 	if !g.up || watch.generation != g.generation || watch.ended {
 		return
 	}
@@ -291,7 +291,7 @@
 
 // applyList passes a list to the Balancer and closes idle connections to hosts that are no longer ready
 // or have restarted.
-func (g *gateway) applyList(kind lynxspool.ListKind, list []lynxspool.Host) {
+func (g *gateway) applyList(kind bramblelock.ListKind, list []bramblelock.Host) {
 	w := g.world
 	if len(g.hostIndex) == 0 || len(g.hostIndex) < len(w.hosts) {
 		for i := range w.hostList {
@@ -300,10 +300,10 @@
 	}
 	for _, e := range list {
 		i := g.hostIndex[e.ID]
-		if g.usable[i] && (e.State != lynxspool.Ready || g.knownStart[i] != e.Started) {
+		if g.usable[i] && (e.State != bramblelock.Ready || g.knownStart[i] != e.Started) {
 			g.closeIdle(i)
 		}
-		g.usable[i], g.knownStart[i] = e.State == lynxspool.Ready, e.Started
+		g.usable[i], g.knownStart[i] = e.State == bramblelock.Ready, e.Started
 	}
 	g.balancer.UpdateHosts(g.clock(), kind, list)
 	if !g.ready && len(list) > 0 {
@@ -319,7 +319,7 @@
 	g.lastRequestID++
 	r := &request{arrival: a, id: g.lastRequestID, arrivedAt: g.world.now, deadline: g.world.now + c.Deadline.std()}
 	g.requests[r.id] = r
-	g.balancer.Request(g.clock(), lynxspool.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Retries > 0, Remaining: c.Deadline.std()})
+	g.balancer.Request(g.clock(), bramblelock.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Retries > 0, Remaining: c.Deadline.std()})
 }
 
 // performActions performs the actions of the Balancer until there are none, as the loop of the real
@@ -337,30 +337,30 @@
 }
 
 // performAction performs one action of the Balancer.
-func (g *gateway) performAction(action lynxspool.Action) {
+func (g *gateway) performAction(action bramblelock.Action) {
 	w, generation := g.world, g.generation
 	switch action.Kind {
-	case lynxspool.Send:
+	case bramblelock.Send:
 		g.sendAttempt(action)
-	case lynxspool.Cancel:
+	case bramblelock.Cancel:
 		if r := g.requests[action.Request]; r != nil && action.Attempt < len(r.attempts) {
-			g.abandon(r.attempts[action.Attempt], lynxspool.Canceled)
+			g.abandon(r.attempts[action.Attempt], bramblelock.Canceled)
 		}
-	case lynxspool.Refuse:
+	case bramblelock.Refuse:
 		g.answer(action.Request, Refused)
-	case lynxspool.Fail:
+	case bramblelock.Fail:
 		g.answer(action.Request, Failed)
-	case lynxspool.Wake:
+	case bramblelock.Wake:
 		w.at(action.At-clockBase, func() {
 			if g.up && g.generation == generation {
 				g.handle(func() { g.balancer.Timer(g.clock(), action.Token) })
 			}
 		})
-	case lynxspool.Close:
+	case bramblelock.Close:
 		if i, ok := g.hostIndex[action.Host]; ok {
 			g.closeIdle(i)
 		}
-	case lynxspool.Watch:
+	case bramblelock.Watch:
 		w.at(g.nextCallAt, func() {
 			if g.up && g.generation == generation && g.watch == nil {
 				g.openWatch()
@@ -370,7 +370,7 @@
 }
 
 // answer sends the final answer of a request. The client may retry after a refusal.
-func (g *gateway) answer(id lynxspool.RequestID, end End) {
+func (g *gateway) answer(id bramblelock.RequestID, end End) {
 	r := g.requests[id]
 	if r == nil || r.answered {
 		return
@@ -399,13 +399,13 @@
 }
 
 // reportOutcome reports the end of an attempt to the Balancer, and answers the client on success.
-func (g *gateway) reportOutcome(attempt *attempt, result lynxspool.Result) {
+func (g *gateway) reportOutcome(attempt *attempt, result bramblelock.Result) {
 	r := attempt.request
 	r.inFlight--
-	if result == lynxspool.OK {
+	if result == bramblelock.OK {
 		g.answer(r.id, Served)
 	}
-	g.balancer.Outcome(g.clock(), lynxspool.Outcome{Request: r.id, Attempt: attempt.index, Result: result, Elapsed: g.world.now - attempt.sentAt, Answered: r.answered})
+	g.balancer.Outcome(g.clock(), bramblelock.Outcome{Request: r.id, Attempt: attempt.index, Result: result, Elapsed: g.world.now - attempt.sentAt, Answered: r.answered})
 	g.removeIfFinished(r)
 }
 
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // event is a function that runs at a time. Events of the same time run in the order in which they were
@@ -86,7 +86,7 @@
 
 // listEntry is a host on the host list.
 type listEntry struct {
-	host    lynxspool.Host
+	host    bramblelock.Host
 	version uint64 // list version of its last change
 	listed  bool
 }
@@ -191,16 +191,16 @@
 		h.Started = w.now
 	}
 	w.hosts, w.nextCompletion = append(w.hosts, h), append(w.nextCompletion, 0)
-	started := lynxspool.Time(0)
+	started := bramblelock.Time(0)
 	if h.Started >= 0 {
 		started = clockBase + h.Started
 	}
-	w.hostList = append(w.hostList, listEntry{host: lynxspool.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, group.Zone), Kind: indexOf(w.kinds, group.Kind), Started: started}})
+	w.hostList = append(w.hostList, listEntry{host: bramblelock.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, group.Zone), Kind: indexOf(w.kinds, group.Kind), Started: started}})
 	if w.now == 0 {
 		w.listVersion++
 		w.hostList[index].version, w.hostList[index].listed = w.listVersion, true
 	} else {
-		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, lynxspool.Ready) })
+		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Ready) })
 	}
 	return h
 }
@@ -210,17 +210,17 @@
 const clockBase = 1000 * time.Hour
 
 // hostID returns the numeric ID of a host for the Balancer.
-func hostID(id string) lynxspool.HostID {
+func hostID(id string) bramblelock.HostID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
-	return lynxspool.HostID(h.Sum64())
+	return bramblelock.HostID(h.Sum64())
 }
 
 // updateListing updates the state of a host on the list and notifies the open watches.
-func (w *world) updateListing(index int, state lynxspool.HostState) {
+func (w *world) updateListing(index int, state bramblelock.HostState) {
 	w.listVersion++
 	e := &w.hostList[index]
-	e.host.State, e.version, e.listed = state, w.listVersion, state != lynxspool.Removed
+	e.host.State, e.version, e.listed = state, w.listVersion, state != bramblelock.Removed
 	if h := w.hosts[index]; h.Started >= 0 {
 		e.host.Started = clockBase + h.Started
 	}
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/faultnet"
+	"bramblelock"
+	"bramblelock/internal/faultnet"
 )
 
 // A failed accept costs one connection and does not end service: whatever the error, once or
@@ -34,7 +34,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- server.Serve(clients) }()
 	go func() { ended <- operator.Serve(operators) }()
-	loop.HandleList(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(bramblelock.ListSaved, cfg.Known)
 	defer func() {
 		server.http.Close()
 		operator.http.Close()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // notProcessedHeader with the value "1" proves that the attempt did not run.
@@ -35,8 +35,8 @@
 	writtenAt time.Time
 
 	mu        sync.Mutex
-	ended     bool             // owned by the loop
-	result    lynxspool.Result // set with ended; owned by the loop
+	ended     bool               // owned by the loop
+	result    bramblelock.Result // set with ended; owned by the loop
 	aborted   bool
 	streaming bool // the answer is being streamed to the client, so the attempt cannot be canceled any more
 }
@@ -73,7 +73,7 @@
 
 // runAttempt sends a request to a host once and returns the result. ctx ends when the attempt is to
 // be given up, because of its deadline or a cancellation.
-func (p *Pool) runAttempt(ctx context.Context, h *host, x *exchange, att *attempt) (lynxspool.Result, answer) {
+func (p *Pool) runAttempt(ctx context.Context, h *host, x *exchange, att *attempt) (bramblelock.Result, answer) {
 	for {
 		dialled := time.Now()
 		c, err := p.getWithDeadline(ctx, h, att.writeBy)
@@ -82,20 +82,20 @@
 			if err == nil {
 				p.put(c) // nothing was written to it
 			}
-			return lynxspool.NotSent, answer{}
+			return bramblelock.NotSent, answer{}
 		case ctx.Err() != nil:
 			if err == nil {
 				p.put(c) // nothing was written to it
 			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialled) > x.timeout/2 {
 				// The dial used most of the time available: the host could not be connected to,
 				// although the dial's own time-out is longer.
-				return lynxspool.ConnectFailed, answer{}
+				return bramblelock.ConnectFailed, answer{}
 			}
 			return unsentResult(ctx), answer{}
 		case err == errTooManyConns || isLocalFailure(err):
-			return lynxspool.NotSent, answer{} // this machine lacks resources; it says nothing of the host
+			return bramblelock.NotSent, answer{} // this machine lacks resources; it says nothing of the host
 		case err != nil:
-			return lynxspool.ConnectFailed, answer{}
+			return bramblelock.ConnectFailed, answer{}
 		}
 		// The dial may have taken long, so check again whether the request may be sent. The host
 		// may have begun to drain, the request may have been answered, or its client may have left,
@@ -103,11 +103,11 @@
 		p.awaitOverdueUpdate(ctx)
 		if !p.permit(h, x) || att.writeDeadlinePassed() {
 			p.put(c)
-			return lynxspool.NotSent, answer{}
+			return bramblelock.NotSent, answer{}
 		}
 		reused := c.reused
 		result, a := p.roundTrip(ctx, c, x, att)
-		if result == lynxspool.ConnectFailed && reused && ctx.Err() == nil && !x.bodyConsumed() {
+		if result == bramblelock.ConnectFailed && reused && ctx.Err() == nil && !x.bodyConsumed() {
 			// The host closed the connection after the check and before the last byte: nothing ran,
 			// and it says nothing of the host. Each iteration uses up one idle connection.
 			continue
@@ -160,16 +160,16 @@
 }
 
 // unsentResult returns the result of an attempt that was given up before its last byte was written.
-func unsentResult(ctx context.Context) lynxspool.Result {
+func unsentResult(ctx context.Context) bramblelock.Result {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		return lynxspool.Canceled
+		return bramblelock.Canceled
 	}
-	return lynxspool.NotSent
+	return bramblelock.NotSent
 }
 
 // roundTrip writes the request to a connection and reads the answer. If it fails before the last
 // byte is written, the request did not run; after that it may have.
-func (p *Pool) roundTrip(ctx context.Context, c *conn, x *exchange, att *attempt) (lynxspool.Result, answer) {
+func (p *Pool) roundTrip(ctx context.Context, c *conn, x *exchange, att *attempt) (bramblelock.Result, answer) {
 	// An attempt is given up by closing its connection. An answer that is unread at the deadline
 	// has arrived in time, and is read first.
 	stop := context.AfterFunc(ctx, func() {
@@ -198,17 +198,17 @@
 		case errors.Is(err, errClientBody):
 			// Nothing ran, and the host is not to blame.
 			x.finish(answer{kind: answerRejected, err: err})
-			return lynxspool.NotSent, answer{}
+			return bramblelock.NotSent, answer{}
 		case ctx.Err() != nil:
 			return unsentResult(ctx), answer{}
 		}
 		if isLocalFailure(err) {
-			return lynxspool.NotSent, answer{}
+			return bramblelock.NotSent, answer{}
 		}
 		if x.upload != nil {
 			att.chargedTime = max(1, c.acquiredAt.Sub(att.chargedFrom)) // the rest is time that the client took
 		}
-		return lynxspool.ConnectFailed, answer{}
+		return bramblelock.ConnectFailed, answer{}
 	}
 	wrote := time.Now()
 	att.conn, att.writtenAt = c, wrote
@@ -233,56 +233,56 @@
 		c.host.lastAnswerAt = time.Now()
 		p.mu.Unlock()
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		return lynxspool.TimedOut, answer{}
+		return bramblelock.TimedOut, answer{}
 	case ctx.Err() != nil:
-		return lynxspool.Canceled, answer{}
+		return bramblelock.Canceled, answer{}
 	case isLocalFailure(err):
-		return lynxspool.Canceled, answer{} // it may have run, and the failure says nothing of the host
+		return bramblelock.Canceled, answer{} // it may have run, and the failure says nothing of the host
 	case early && isConnError(err):
-		return lynxspool.ConnectFailed, answer{}
+		return bramblelock.ConnectFailed, answer{}
 	case isConnError(err):
-		return lynxspool.Reset, answer{}
+		return bramblelock.Reset, answer{}
 	default:
-		return lynxspool.Failed, answer{} // the host sent an invalid answer
+		return bramblelock.Failed, answer{} // the host sent an invalid answer
 	}
 	switch {
 	case status == http.StatusOK && early:
 		a.discard()
-		return lynxspool.Failed, answer{} // the host has not received the whole request that it claims to have served
+		return bramblelock.Failed, answer{} // the host has not received the whole request that it claims to have served
 	case status == http.StatusOK && a.stream != nil:
-		var result lynxspool.Result
+		var result bramblelock.Result
 		result, keep = c.streamToClient(x, att, a, keep)
 		return result, answer{}
 	case status == http.StatusOK:
-		return lynxspool.OK, a
+		return bramblelock.OK, a
 	}
 	a.discard()
 	switch {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		a.header.Get(notProcessedHeader) == "1":
-		return lynxspool.Full, answer{}
+		return bramblelock.Full, answer{}
 	case status == http.StatusBadRequest || status == http.StatusNotFound:
-		return lynxspool.Rejected, answer{} // the only statuses with which hosts reject an invalid request
+		return bramblelock.Rejected, answer{} // the only statuses with which hosts reject an invalid request
 	}
-	return lynxspool.Failed, answer{}
+	return bramblelock.Failed, answer{}
 }
 
 // streamToClient streams an answer to the client, and waits for its end.
-func (c *conn) streamToClient(x *exchange, att *attempt, a answer, keep bool) (lynxspool.Result, bool) {
+func (c *conn) streamToClient(x *exchange, att *attempt, a answer, keep bool) (bramblelock.Result, bool) {
 	if !att.startStreaming(x, a) {
-		return lynxspool.Canceled, false
+		return bramblelock.Canceled, false
 	}
 	err := <-a.stream.done
 	c.SetReadDeadline(time.Time{})
 	switch {
 	case err == nil:
-		return lynxspool.OK, keep && c.reader.Buffered() == 0
+		return bramblelock.OK, keep && c.reader.Buffered() == 0
 	case err == errClientGone:
-		return lynxspool.Canceled, false
+		return bramblelock.Canceled, false
 	case isConnError(err):
-		return lynxspool.Reset, false
+		return bramblelock.Reset, false
 	}
-	return lynxspool.Failed, false
+	return bramblelock.Failed, false
 }
 
 // errClientBody marks a failure to read the body from the client while it was streamed to a host.
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // Tolerances of the checks.
@@ -75,14 +75,14 @@
 // checkAttempt checks a further attempt of a request against its earlier ones.
 func (a *Audit) checkAttempt(x *exchange, now time.Time) {
 	class := &x.rules.Settings.Classes[x.class]
-	if class.Effect == lynxspool.Idempotent {
+	if class.Effect == bramblelock.Idempotent {
 		return
 	}
 	for _, att := range x.attempts {
 		if att.ended && att.result.ProvesNotRun() {
 			continue
 		}
-		if class.Effect == lynxspool.AtMostOnce || now.Sub(att.chargedFrom) > class.DedupWindow {
+		if class.Effect == bramblelock.AtMostOnce || now.Sub(att.chargedFrom) > class.DedupWindow {
 			recordViolation(&a.secondRuns, "sent again though it may have run", "id", x.requestID(), "attempts", len(x.attempts))
 			return
 		}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"testing"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // BenchmarkRequestRoundTrip measures one request from a client through the gateway to a host and
@@ -32,7 +32,7 @@
 	go loop.Run(ctx)
 	go server.Serve(ln)
 	defer server.http.Close()
-	loop.HandleList(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(bramblelock.ListSaved, cfg.Known)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // testBytes returns n bytes that do not repeat soon, so that missing or misplaced ones are noticed.
@@ -253,7 +253,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	att.cancel = cancel
 	att.onResponseStarted = func() { close(began) }
-	done := make(chan lynxspool.Result, 1)
+	done := make(chan bramblelock.Result, 1)
 	go func() {
 		result, _ := p.runAttempt(ctx, h, x, att)
 		done <- result
@@ -265,7 +265,7 @@
 	a := <-x.answer
 	w := httptest.NewRecorder()
 	a.stream.done <- a.stream.copyTo(deadlineRecorder{w}, httptest.NewRequest("GET", "/", nil))
-	if result := <-done; result != lynxspool.OK || w.Body.Len() != 100_000 {
+	if result := <-done; result != bramblelock.OK || w.Body.Len() != 100_000 {
 		t.Errorf("result %v, %d bytes", result, w.Body.Len())
 	}
 	if att.chargedTime != took || took == 0 {
@@ -432,7 +432,7 @@
 		length:     100_000, sent: make(chan struct{}),
 	}
 	s.stopping.Store(true)
-	if got, _ := attemptOnce(t, p, newPoolHost(p, host.addr()), x); got != lynxspool.OK || !x.deadline.Equal(s.finalAnswerAt) {
+	if got, _ := attemptOnce(t, p, newPoolHost(p, host.addr()), x); got != bramblelock.OK || !x.deadline.Equal(s.finalAnswerAt) {
 		t.Errorf("result %v, due %v, want the end of the process %v", got, x.deadline, s.finalAnswerAt)
 	}
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,4 +1,4 @@
-// Package gateway is the gateway process around the decision module, package lynxspool. It speaks
+// Package gateway is the gateway process around the decision module, package bramblelock. It speaks
 // HTTP with clients, hosts and discovery, and leaves every decision to the Balancer.
 package gateway
 
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/wire"
+	"bramblelock"
+	"bramblelock/internal/wire"
 )
 
 // Config is the configuration of a gateway.
@@ -50,7 +50,7 @@
 // names of classes and tenants in requests by the index that the module uses. It is replaced as a
 // whole.
 type Rules struct {
-	Settings lynxspool.Settings
+	Settings bramblelock.Settings
 	Classes  map[string]int
 	Tenants  map[string]int
 }
@@ -303,7 +303,7 @@
 	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	if _, err := lynxspool.New(c.Settings, c.Seed); err != nil {
+	if _, err := bramblelock.New(c.Settings, c.Seed); err != nil {
 		return nil, err // the error names the field
 	}
 	c.rawSettings = f.Settings
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
@@ -50,7 +50,7 @@
 	if c.ConnIdle != time.Minute || c.DialTimeout != 250*time.Millisecond {
 		t.Errorf("caps %v, %v", c.ConnIdle, c.DialTimeout)
 	}
-	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != lynxspool.AtMostOnce {
+	if c.Settings.Instances != 2 || c.Settings.Rank != 1 || c.Settings.Classes[1].Effect != bramblelock.AtMostOnce {
 		t.Errorf("settings %+v", c.Settings)
 	}
 	if len(c.Known.Servers) != 1 || c.Known.Version != 41 {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 const (
@@ -25,7 +25,7 @@
 	// says nothing. If there are several instances, all of them are tried within allCallsTimeout.
 	callTimeout     = 2 * time.Second
 	minCallTimeout  = 500 * time.Millisecond
-	allCallsTimeout = 3 * lynxspool.NotifiedAfter / 4
+	allCallsTimeout = 3 * bramblelock.NotifiedAfter / 4
 	// If there is one instance, a call that is given up keeps its place in the queue of discovery
 	// and the next call gets another one, so a call is given enough time to be served in turn.
 	// After a watch that ended, the deadline for notifications leaves no time for a second call
@@ -43,7 +43,7 @@
 	// offers only such lists after that, discovery has started its versions anew (a catalog that
 	// was rebuilt empty) and its full list is applied: what it has counts as notified, whatever its
 	// version.
-	versionResetAfter = lynxspool.NotifiedAfter / 4
+	versionResetAfter = bramblelock.NotifiedAfter / 4
 	// listAgeLogInterval is the time between two log lines on the age of the list in use while
 	// discovery is unreachable.
 	listAgeLogInterval = 10 * time.Second
@@ -68,14 +68,14 @@
 }
 
 // hostState parses the state of a host. A host in an unknown state counts as draining.
-func (m *Member) hostState() lynxspool.HostState {
+func (m *Member) hostState() bramblelock.HostState {
 	switch m.State {
 	case "ready":
-		return lynxspool.Ready
+		return bramblelock.Ready
 	case "gone":
-		return lynxspool.Removed
+		return bramblelock.Removed
 	}
-	return lynxspool.Draining
+	return bramblelock.Draining
 }
 
 // Discovery watches the list of hosts and passes it on to a ListHandler.
@@ -108,7 +108,7 @@
 // ListHandler receives lists of hosts, changes of them and reports that discovery was lost. Loop
 // and Roster implement it.
 type ListHandler interface {
-	HandleList(kind lynxspool.ListKind, list MemberList)
+	HandleList(kind bramblelock.ListKind, list MemberList)
 }
 
 // splitAddrs parses GW_DISCOVERY: one address, or several of one service, separated by commas.
@@ -136,7 +136,7 @@
 	d := &Discovery{
 		addrs: splitAddrs(cfg.Discovery), addrsChanged: make(chan struct{}, 1), lastHeardAt: time.Now(),
 		onDemand: cfg.Settings.WatchHosts, watchRequested: make(chan struct{}, 1), version: cfg.Known.Version,
-		silenceTimeout: lynxspool.SilentAfter, timeoutFactor: usualTimeoutFactor, answerTimeout: callTimeout, haveList: len(cfg.Known.Servers) > 0, maxRetryDelay: cfg.Settings.MaxWatchGap,
+		silenceTimeout: bramblelock.SilentAfter, timeoutFactor: usualTimeoutFactor, answerTimeout: callTimeout, haveList: len(cfg.Known.Servers) > 0, maxRetryDelay: cfg.Settings.MaxWatchGap,
 	}
 	d.syncLists = func() {}
 	d.client = http.Client{Transport: &http.Transport{DialContext: d.dial, DisableKeepAlives: true}}
@@ -247,7 +247,7 @@
 		switch {
 		case callAgain && received:
 			d.timeoutFactor = urgentTimeoutFactor
-			loop.HandleList(lynxspool.ListSilent, MemberList{})
+			loop.HandleList(bramblelock.ListSilent, MemberList{})
 		case errors.Is(err, errEnded):
 			d.timeoutFactor = endedTimeoutFactor
 		default:
@@ -300,7 +300,7 @@
 	d.mu.Unlock()
 	if addrsChanged {
 		d.timeoutFactor = urgentTimeoutFactor
-		loop.HandleList(lynxspool.ListMoved, MemberList{})
+		loop.HandleList(bramblelock.ListMoved, MemberList{})
 	}
 	silenceTimer := d.startSilenceTimer(d.nextCallTimeout(), func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
@@ -356,7 +356,7 @@
 		silenceTimer.Reset(d.silenceTimeout)
 		received, d.lastHeardAt = true, time.Now()
 		if blank && upToDate { // the list has not changed since our version
-			loop.HandleList(lynxspool.ListChanges, MemberList{Version: index})
+			loop.HandleList(bramblelock.ListChanges, MemberList{Version: index})
 		}
 		upToDate = false
 	}}
@@ -389,9 +389,9 @@
 			slog.Error("discovery counts anew: its whole list is taken", "version", list.Version, "ours", d.version)
 		}
 		d.olderListSince, d.needFullList = time.Time{}, false
-		kind := lynxspool.ListChanges
+		kind := bramblelock.ListChanges
 		if list.Full {
-			kind = lynxspool.ListFull
+			kind = bramblelock.ListFull
 		}
 		d.version, d.haveList = list.Version, true
 		loop.HandleList(kind, list)
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // This file computes how long calls for the list may take and when they are repeated.
@@ -57,14 +57,14 @@
 var errEnded = errors.New("the watch ended")
 
 // lossKind returns the kind of a loss of discovery that is reported to the module.
-func lossKind(err error) lynxspool.ListKind {
+func lossKind(err error) bramblelock.ListKind {
 	switch {
 	case errors.Is(err, errEnded):
-		return lynxspool.ListEnded
+		return bramblelock.ListEnded
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return lynxspool.ListUnreachable
+		return bramblelock.ListUnreachable
 	}
-	return lynxspool.ListFailed
+	return bramblelock.ListFailed
 }
 
 // retryDelay returns how long to wait before the next call after discovery asked for a delay. It
@@ -77,7 +77,7 @@
 		maxDelay = listAgeLogInterval
 	}
 	if d.haveList {
-		maxDelay = min(maxDelay, lynxspool.MaxWatchBackoff)
+		maxDelay = min(maxDelay, bramblelock.MaxWatchBackoff)
 	}
 	asked = min(asked, maxDelay)
 	return min(asked+time.Duration(jitter/4*float64(asked)), maxDelay)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // listRecorder is a ListHandler that passes on the kinds of what it receives.
-type listRecorder chan lynxspool.ListKind
+type listRecorder chan bramblelock.ListKind
 
-func (l listRecorder) HandleList(kind lynxspool.ListKind, _ MemberList) { l <- kind }
+func (l listRecorder) HandleList(kind bramblelock.ListKind, _ MemberList) { l <- kind }
 
 // A Retry-After is applied with a small random addition, but never beyond the time that a list may
 // go without a call, nor, with a list, beyond half of the deadline for notifications. A value that
@@ -82,7 +82,7 @@
 	go d.Run(ctx, received)
 	for range 2 {
 		d.Watch()
-		if kind := <-received; kind != lynxspool.ListFailed {
+		if kind := <-received; kind != bramblelock.ListFailed {
 			t.Fatalf("the loop received a list of kind %v", kind)
 		}
 		if h := <-statedVersions; h != "5" {
@@ -106,8 +106,8 @@
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 	for _, c := range []struct {
 		third string
-		want  lynxspool.ListKind
-	}{{addr(available.Server), lynxspool.ListFull}, {addr(busy), lynxspool.ListFailed}} {
+		want  bramblelock.ListKind
+	}{{addr(available.Server), bramblelock.ListFull}, {addr(busy), bramblelock.ListFailed}} {
 		calls.Store(0)
 		cfg := &Config{Discovery: addr(down) + "," + addr(busy) + "," + c.third}
 		cfg.Settings.WatchHosts = true
@@ -116,7 +116,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go d.Run(ctx, received)
 		d.Watch()
-		if c.want == lynxspool.ListFull {
+		if c.want == bramblelock.ListFull {
 			available.lines <- `{"version":3,"full":true,"servers":[]}`
 		}
 		if kind := <-received; kind != c.want {
@@ -152,7 +152,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the second instance is not called")
 	}
-	if kind := <-received; kind != lynxspool.ListFull {
+	if kind := <-received; kind != bramblelock.ListFull {
 		t.Errorf("the module received %v", kind)
 	}
 }
@@ -177,7 +177,7 @@
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	d.Watch()
-	if kind := <-received; kind != lynxspool.ListFailed {
+	if kind := <-received; kind != bramblelock.ListFailed {
 		t.Errorf("received %v", kind)
 	}
 	if n := len(calls); n != 2 {
@@ -216,9 +216,9 @@
 	defer cancel()
 	go NewDiscovery(&Config{Discovery: strings.TrimPrefix(srv.URL, "http://")}).Run(ctx, received)
 	for n := range 5 {
-		want := lynxspool.ListChanges
+		want := bramblelock.ListChanges
 		if n == 0 {
-			want = lynxspool.ListFull
+			want = bramblelock.ListFull
 		}
 		select {
 		case kind := <-received:
@@ -254,7 +254,7 @@
 	d.Watch()
 	select {
 	case kind := <-received:
-		if kind != lynxspool.ListChanges {
+		if kind != bramblelock.ListChanges {
 			t.Errorf("received %v, want changes", kind)
 		}
 	case <-time.After(5 * time.Second):
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // fakeDiscovery is a discovery service with a list of its own: each call gets the whole list and
@@ -164,7 +164,7 @@
 	})
 	usable := func(id string) (ok bool) {
 		known := make(chan bool, 1)
-		loop.post(func(lynxspool.Time) {
+		loop.post(func(bramblelock.Time) {
 			h := loop.hosts[hostID(id)]
 			known <- h != nil && h.usable.Load()
 		})
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // exchange is one request of a client and its one final answer. The handler creates it; the loop
@@ -34,7 +34,7 @@
 	finished atomic.Bool // answered or abandoned; set once, by claimAnswer
 	answer   chan answer // receives the one final answer
 
-	id       lynxspool.RequestID
+	id       bramblelock.RequestID
 	attempts []*attempt
 	inFlight int // attempts that have not ended
 }
--- a/internal/gateway/framing_test.go
+++ b/internal/gateway/framing_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // sendParts sends text to the gateway, in parts that are separated by |, and returns the statuses of
@@ -222,8 +222,8 @@
 		})
 		closeIdle(g)
 		<-c.ended
-		taken := make(chan lynxspool.RequestID)
-		g.loop.post(func(lynxspool.Time) { taken <- g.loop.lastID })
+		taken := make(chan bramblelock.RequestID)
+		g.loop.post(func(bramblelock.Time) { taken <- g.loop.lastID })
 		if n := <-taken; n != 1 {
 			t.Errorf("%s: %d requests were accepted, want only the first", name, n)
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // testGateway is a gateway in this process that listens on a loopback address.
@@ -37,12 +37,12 @@
 		Zones: map[string]int{}, Kinds: map[string]int{},
 		Rules: Rules{
 			Classes: map[string]int{"look": 0, "book": 1, "report": 2},
-			Settings: lynxspool.Settings{
+			Settings: bramblelock.Settings{
 				Instances: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: second, EventInterval: 5 * time.Millisecond,
-				Classes: []lynxspool.Class{
+				Classes: []bramblelock.Class{
 					{LatencyTarget: 10 * second, Deadline: 60 * second},
-					{LatencyTarget: 10 * second, Deadline: 60 * second, Effect: lynxspool.AtMostOnce},
-					{LatencyTarget: 10 * second, Deadline: 60 * second, Effect: lynxspool.Deduplicated, DedupWindow: 30 * second},
+					{LatencyTarget: 10 * second, Deadline: 60 * second, Effect: bramblelock.AtMostOnce},
+					{LatencyTarget: 10 * second, Deadline: 60 * second, Effect: bramblelock.Deduplicated, DedupWindow: 30 * second},
 				},
 			},
 		},
@@ -74,7 +74,7 @@
 	go pool.Run(ctx)
 	go loop.Run(ctx)
 	go g.server.Serve(ln)
-	loop.HandleList(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(bramblelock.ListSaved, cfg.Known)
 	t.Cleanup(func() {
 		g.server.http.Close()
 		cancel()
@@ -113,7 +113,7 @@
 
 func (g *testGateway) openRequests() int {
 	n := make(chan int, 1)
-	g.loop.post(func(lynxspool.Time) { n <- len(g.loop.openRequests) })
+	g.loop.post(func(bramblelock.Time) { n <- len(g.loop.openRequests) })
 	return <-n
 }
 
@@ -267,7 +267,7 @@
 	host := newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(host))
 	stuck := make(chan struct{})
-	g.loop.post(func(lynxspool.Time) { <-stuck })
+	g.loop.post(func(bramblelock.Time) { <-stuck })
 	resp, _ := g.request("look", "/api/1", "", "X-Timeout", "0.2")
 	if resp.StatusCode != 502 {
 		t.Errorf("status %d, want a failure", resp.StatusCode)
@@ -286,12 +286,12 @@
 	if status := get(); status != 503 {
 		t.Errorf("with no hosts: status %d", status)
 	}
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	until(t, "health is good with a host", func() bool { return get() == 200 })
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
 	until(t, "health is bad with the last host draining", func() bool { return get() == 503 })
 	g.server.stopping.Store(true)
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
 		t.Errorf("while stopping: status %d", status)
 	}
@@ -305,7 +305,7 @@
 	member := func(id string, h *testHost, state string) Member {
 		return Member{ID: id, Addr: h.addr(), State: state}
 	}
-	applyList := func(what string, kind lynxspool.ListKind, want *testHost, list ...Member) {
+	applyList := func(what string, kind bramblelock.ListKind, want *testHost, list ...Member) {
 		g.loop.HandleList(kind, MemberList{Servers: list})
 		a, _, _ := first.counts()
 		b, _, _ := second.counts()
@@ -320,17 +320,17 @@
 			t.Errorf("%s: %d and %d requests", what, x-a, y-b)
 		}
 	}
-	applyList("draining", lynxspool.ListChanges, second, member("s-0", first, "draining"))
-	applyList("an unknown state", lynxspool.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
-	applyList("gone", lynxspool.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
-	applyList("absent from a full list", lynxspool.ListFull, first, member("s-0", first, "ready"))
-	applyList("moved", lynxspool.ListChanges, second, member("s-0", second, "ready"))
+	applyList("draining", bramblelock.ListChanges, second, member("s-0", first, "draining"))
+	applyList("an unknown state", bramblelock.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
+	applyList("gone", bramblelock.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
+	applyList("absent from a full list", bramblelock.ListFull, first, member("s-0", first, "ready"))
+	applyList("moved", bramblelock.ListChanges, second, member("s-0", second, "ready"))
 }
 
 // An id must have the same number at every gateway and after a restart, and different ids different
 // numbers.
 func TestHostIDs(t *testing.T) {
-	seen := map[lynxspool.HostID]string{}
+	seen := map[bramblelock.HostID]string{}
 	for i := range 1000 {
 		id := fmt.Sprintf("s-%08x", i)
 		if hostID(id) != hostID(strings.Clone(id)) || seen[hostID(id)] != "" {
@@ -348,7 +348,7 @@
 func TestStartTimesAgreeWithModuleClock(t *testing.T) {
 	c := clock{time.Now()}
 	at := time.Now().Add(-3 * time.Second)
-	started := lynxspool.Time(at.UnixMilli()) * lynxspool.Time(time.Millisecond)
+	started := bramblelock.Time(at.UnixMilli()) * bramblelock.Time(time.Millisecond)
 	if off := c.at(at) - started; off < 0 || off >= time.Millisecond {
 		t.Errorf("a host started 3 s ago is %v off", off)
 	}
@@ -495,7 +495,7 @@
 		return len(disco.calls) > 1
 	})
 	for len(received) > 0 {
-		if kind := <-received; kind == lynxspool.ListFailed {
+		if kind := <-received; kind == bramblelock.ListFailed {
 			t.Error("a failure was reported to the module, which would wait")
 		}
 	}
@@ -586,9 +586,9 @@
 	host := newHost(t, answerWith(errorAnswer))
 	g := startGateway(t, testConfig(host))
 	next := g.cfg.Rules
-	next.Settings.Classes = []lynxspool.Class{
-		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.AtMostOnce},
-		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: lynxspool.AtMostOnce},
+	next.Settings.Classes = []bramblelock.Class{
+		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: bramblelock.AtMostOnce},
+		{LatencyTarget: 10 * time.Second, Deadline: 60 * time.Second, Effect: bramblelock.AtMostOnce},
 	}
 	next.Classes = map[string]int{"look": 0, "haul": 1}
 	if resp, _ := g.request("haul", "/api/1", "b"); resp.StatusCode != 400 {
@@ -613,7 +613,7 @@
 func TestUpdateRulesDuringRequest(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	next := g.cfg.Rules
-	next.Settings.Classes = []lynxspool.Class{g.cfg.Settings.Classes[1]}
+	next.Settings.Classes = []bramblelock.Class{g.cfg.Settings.Classes[1]}
 	next.Classes = map[string]int{"book": 0}
 	for class, want := range map[string]answerKind{"book": answerServed, "look": answerRejected} {
 		x := newExchange("b")
@@ -647,12 +647,12 @@
 			return false
 		}
 	}
-	g.loop.HandleList(lynxspool.ListFailed, MemberList{})
+	g.loop.HandleList(bramblelock.ListFailed, MemberList{})
 	if listed() {
 		t.Error("a saved list, or a failed call, counts as a list from discovery")
 	}
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{})
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{})
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{})
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{})
 	if !listed() {
 		t.Error("a list from discovery does not count")
 	}
@@ -677,7 +677,7 @@
 	received []uint64
 }
 
-func (v *versionRecorder) HandleList(kind lynxspool.ListKind, l MemberList) {
+func (v *versionRecorder) HandleList(kind bramblelock.ListKind, l MemberList) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.received = append(v.received, l.Version)
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 const lookHead = "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: look\r\n\r\n"
@@ -41,7 +41,7 @@
 		}
 		until(t, name+": the requests of clients that left are released", func() bool { return g.openRequests() == 1 })
 		cfg.Known.Servers[0].State = "ready"
-		g.loop.HandleList(lynxspool.ListFull, cfg.Known)
+		g.loop.HandleList(bramblelock.ListFull, cfg.Known)
 		if resp, err := http.ReadResponse(bufio.NewReader(remaining), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%s: the client that stayed got %v, %v", name, resp, err)
 		}
@@ -66,7 +66,7 @@
 	c.Close()
 	x := make(chan bool, 1)
 	until(t, "the client is known to have left", func() bool {
-		g.loop.post(func(lynxspool.Time) {
+		g.loop.post(func(bramblelock.Time) {
 			over := true
 			for _, e := range g.loop.openRequests {
 				over = over && e.finished.Load()
@@ -163,7 +163,7 @@
 		return there == 1
 	})
 	cfg.Known.Servers[0].State = "ready"
-	g.loop.HandleList(lynxspool.ListFull, cfg.Known)
+	g.loop.HandleList(bramblelock.ListFull, cfg.Known)
 	if resp, err := http.ReadResponse(bufio.NewReader(remaining), nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("the client that stayed got %v, %v", resp, err)
 	}
--- a/internal/gateway/heldup.go
+++ b/internal/gateway/heldup.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // processStall is the time after the process was stalled (stopped, or without its CPU core), during
@@ -15,7 +15,7 @@
 }
 
 // deferTimers returns whether timers have to wait, since one of them is later than stallThreshold.
-func (l *Loop) deferTimers(now lynxspool.Time) bool {
+func (l *Loop) deferTimers(now bramblelock.Time) bool {
 	if len(l.timers) == 0 {
 		return false
 	}
--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 const (
@@ -166,7 +166,7 @@
 }
 
 // attemptOnce runs one attempt with plenty of time.
-func attemptOnce(t *testing.T, p *Pool, h *host, x *exchange) (lynxspool.Result, answer) {
+func attemptOnce(t *testing.T, p *Pool, h *host, x *exchange) (bramblelock.Result, answer) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -184,43 +184,43 @@
 func TestAnswersAndTheirResults(t *testing.T) {
 	tests := []struct {
 		name, answer string
-		want         lynxspool.Result
+		want         bramblelock.Result
 		wantConns    int // connections kept for the next attempt
 	}{
-		{"good", okAnswer, lynxspool.OK, 1},
-		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, lynxspool.OK, 1},
-		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.OK, 1},
-		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", lynxspool.OK, 0},
-		{"error", errorAnswer, lynxspool.Failed, 1},
-		{"request at fault", "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", lynxspool.Rejected, 1},
-		{"request without an id", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", lynxspool.Rejected, 1},
-		{"no answer of a host's", "HTTP/1.1 302 Elsewhere\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"turned away", notProcessedAnswer, lynxspool.Full, 1},
-		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", lynxspool.Full, 1},
-		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", lynxspool.Failed, 1},
-		{"longer than announced", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\ngood", lynxspool.Failed, 0},
-		{"too long a failure", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), lynxspool.Failed, 0},
-		{"head without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), lynxspool.Failed, 0},
-		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
-		{"no status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
-		{"no header", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
-		{"no chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\ngood\r\n0\r\n\r\n", lynxspool.Failed, 0},
-		{"chunks in the old protocol", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.Failed, 0},
+		{"good", okAnswer, bramblelock.OK, 1},
+		{"good after 100", "HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, bramblelock.OK, 1},
+		{"good, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", bramblelock.OK, 1},
+		{"good, then closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ngood", bramblelock.OK, 0},
+		{"error", errorAnswer, bramblelock.Failed, 1},
+		{"request at fault", "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", bramblelock.Rejected, 1},
+		{"request without an id", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", bramblelock.Rejected, 1},
+		{"no answer of a host's", "HTTP/1.1 302 Elsewhere\r\nContent-Length: 0\r\n\r\n", bramblelock.Failed, 1},
+		{"turned away", notProcessedAnswer, bramblelock.Full, 1},
+		{"turned away as over", "HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", bramblelock.Full, 1},
+		{"503 without the proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", bramblelock.Failed, 1},
+		{"proof on another status", "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", bramblelock.Failed, 1},
+		{"proof that is none", "HTTP/1.1 503 Full\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", bramblelock.Failed, 1},
+		{"longer than announced", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\ngood", bramblelock.Failed, 0},
+		{"too long a failure", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), bramblelock.Failed, 0},
+		{"head without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), bramblelock.Failed, 0},
+		{"another protocol", "ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood", bramblelock.Failed, 0},
+		{"no status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood", bramblelock.Failed, 0},
+		{"no header", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\ngood", bramblelock.Failed, 0},
+		{"no chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\ngood\r\n0\r\n\r\n", bramblelock.Failed, 0},
+		{"chunks in the old protocol", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", bramblelock.Failed, 0},
 		{"chunks in the old protocol behind a long head", "HTTP/1.0 200 OK\r\nX-Pad: " + strings.Repeat("x", 9<<10) +
-			"\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.Failed, 0},
+			"\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", bramblelock.Failed, 0},
 		{"a good one of the old protocol with a long head", "HTTP/1.0 200 OK\r\nX-Pad: " + strings.Repeat("x", 9<<10) +
-			"\r\nContent-Length: 4\r\n\r\ngood", lynxspool.OK, 0},
-		{"a good one of the old protocol", "HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.OK, 0},
-		{"a later protocol", "HTTP/2.0 200 OK\r\nContent-Length: 4\r\n\r\ngood", lynxspool.Failed, 0},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\ngood", lynxspool.Failed, 0},
-		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ngood", lynxspool.Failed, 0},
-		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: 4x\r\n\r\ngood", lynxspool.Failed, 0},
-		{"an encoding that is none", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chonked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", lynxspool.Failed, 0},
-		{"many ahead of the answer", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 4000) + okAnswer, lynxspool.Failed, 0},
-		{"no body by its status", "HTTP/1.1 204 None\r\n\r\n", lynxspool.Failed, 1},
-		{"no HTTP", "\x8f\x00\r\n\r\n", lynxspool.Failed, 0},
+			"\r\nContent-Length: 4\r\n\r\ngood", bramblelock.OK, 0},
+		{"a good one of the old protocol", "HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\ngood", bramblelock.OK, 0},
+		{"a later protocol", "HTTP/2.0 200 OK\r\nContent-Length: 4\r\n\r\ngood", bramblelock.Failed, 0},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\ngood", bramblelock.Failed, 0},
+		{"a length below 0", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ngood", bramblelock.Failed, 0},
+		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: 4x\r\n\r\ngood", bramblelock.Failed, 0},
+		{"an encoding that is none", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chonked\r\n\r\n4\r\ngood\r\n0\r\n\r\n", bramblelock.Failed, 0},
+		{"many ahead of the answer", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 4000) + okAnswer, bramblelock.Failed, 0},
+		{"no body by its status", "HTTP/1.1 204 None\r\n\r\n", bramblelock.Failed, 1},
+		{"no HTTP", "\x8f\x00\r\n\r\n", bramblelock.Failed, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -230,7 +230,7 @@
 			if got != tt.want {
 				t.Errorf("result %v, want %v", got, tt.want)
 			}
-			if body := string(a.body); (got == lynxspool.OK) != (body == "good") {
+			if body := string(a.body); (got == bramblelock.OK) != (body == "good") {
 				t.Errorf("result %v with the body %q", got, body)
 			}
 			if open, idle := p.counts(h); open != tt.wantConns || idle != tt.wantConns {
@@ -256,7 +256,7 @@
 			return false
 		})
 		h := newPoolHost(p, host.addr())
-		if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.Reset {
+		if got, _ := attemptOnce(t, p, h, newExchange("b")); got != bramblelock.Reset {
 			t.Errorf("%s: result %v, want Reset", name, got)
 		}
 		if open, _ := p.counts(h); open != 0 {
@@ -270,7 +270,7 @@
 	ln := listen(t, "127.0.0.1:0", nil)
 	h := newPoolHost(p, ln.Addr().String())
 	ln.Close()
-	if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.ConnectFailed {
+	if got, _ := attemptOnce(t, p, h, newExchange("b")); got != bramblelock.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 	if open, _ := p.counts(h); open != 0 {
@@ -322,12 +322,12 @@
 	for name, c := range map[string]struct {
 		dial, request time.Duration
 		cause         error
-		want          lynxspool.Result
+		want          bramblelock.Result
 	}{
-		"the dial's time":                       {100 * time.Millisecond, waitTimeout, nil, lynxspool.ConnectFailed},
-		"the request's time":                    {waitTimeout, 100 * time.Millisecond, context.DeadlineExceeded, lynxspool.ConnectFailed},
-		"canceled":                              {waitTimeout, 100 * time.Millisecond, context.Canceled, lynxspool.Canceled},
-		"deadline shortly after the dial began": {waitTimeout, waitTimeout, context.DeadlineExceeded, lynxspool.NotSent},
+		"the dial's time":                       {100 * time.Millisecond, waitTimeout, nil, bramblelock.ConnectFailed},
+		"the request's time":                    {waitTimeout, 100 * time.Millisecond, context.DeadlineExceeded, bramblelock.ConnectFailed},
+		"canceled":                              {waitTimeout, 100 * time.Millisecond, context.Canceled, bramblelock.Canceled},
+		"deadline shortly after the dial began": {waitTimeout, waitTimeout, context.DeadlineExceeded, bramblelock.NotSent},
 	} {
 		p, x := newTestPool(), newExchange("b")
 		p.dialer.Timeout, x.timeout = c.dial, c.request
@@ -376,14 +376,14 @@
 	p := newTestPool()
 	p.dialer.Control = smallBuffer(syscall.SO_SNDBUF)
 	h := newPoolHost(p, ln.Addr().String())
-	if got, _ := attemptOnce(t, p, h, newExchange(strings.Repeat("x", 4*maxBufferedBytes))); got != lynxspool.ConnectFailed {
+	if got, _ := attemptOnce(t, p, h, newExchange(strings.Repeat("x", 4*maxBufferedBytes))); got != bramblelock.ConnectFailed {
 		t.Errorf("result %v, want ConnectFailed", got)
 	}
 }
 
 func TestResetAfterTheLastByte(t *testing.T) {
 	p, host := newTestPool(), newHost(t, resetConn)
-	if got, _ := attemptOnce(t, p, newPoolHost(p, host.addr()), newExchange("b")); got != lynxspool.Reset {
+	if got, _ := attemptOnce(t, p, newPoolHost(p, host.addr()), newExchange("b")); got != bramblelock.Reset {
 		t.Errorf("result %v, want Reset", got)
 	}
 	if requests, _, _ := host.counts(); requests != 1 {
@@ -400,7 +400,7 @@
 	})
 	h := newPoolHost(p, host.addr())
 	for i := range 3 {
-		if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+		if got, _ := attemptOnce(t, p, h, newExchange("b")); got != bramblelock.OK {
 			t.Fatalf("attempt %d: result %v", i, got)
 		}
 		p.mu.Lock()
@@ -433,7 +433,7 @@
 	}
 	c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // causes an answer that nobody reads
 	until(t, "the answer is there", func() bool { return !c.quiet() })
-	if got, _ := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK {
+	if got, _ := attemptOnce(t, p, h, newExchange("b")); got != bramblelock.OK {
 		t.Errorf("result %v", got)
 	}
 	if _, accepted, _ := host.counts(); accepted != 2 {
@@ -460,7 +460,7 @@
 		})
 		p := newTestPool()
 		h := newPoolHost(p, host.addr())
-		if got, a := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK || string(a.body) != "good" {
+		if got, a := attemptOnce(t, p, h, newExchange("b")); got != bramblelock.OK || string(a.body) != "good" {
 			t.Errorf("%s: result %v, %q", name, got, a.body)
 		}
 		p.mu.Lock()
@@ -468,7 +468,7 @@
 		p.mu.Unlock()
 		close(late)
 		until(t, name+" is there", func() bool { return !c.quiet() })
-		if got, a := attemptOnce(t, p, h, newExchange("b")); got != lynxspool.OK || string(a.body) != "good" {
+		if got, a := attemptOnce(t, p, h, newExchange("b")); got != bramblelock.OK || string(a.body) != "good" {
 			t.Errorf("%s: the next has result %v, %q", name, got, a.body)
 		}
 		if open, idle := p.counts(h); open != 1 || idle != 1 {
@@ -538,19 +538,19 @@
 	for _, tt := range []struct {
 		name string
 		ctx  func() (context.Context, context.CancelFunc)
-		want lynxspool.Result
+		want bramblelock.Result
 	}{
 		{"deadline", func() (context.Context, context.CancelFunc) {
 			return context.WithTimeout(context.Background(), 300*time.Millisecond)
-		}, lynxspool.TimedOut},
+		}, bramblelock.TimedOut},
 		{"canceled", func() (context.Context, context.CancelFunc) {
 			return context.WithCancel(context.Background())
-		}, lynxspool.Canceled},
+		}, bramblelock.Canceled},
 	} {
 		p, host := newTestPool(), newHost(t, neverAnswer)
 		h := newPoolHost(p, host.addr())
 		ctx, cancel := tt.ctx()
-		if tt.want == lynxspool.Canceled {
+		if tt.want == bramblelock.Canceled {
 			go func() {
 				for requests := 0; requests == 0; requests, _, _ = host.counts() {
 					time.Sleep(pollInterval)
@@ -562,7 +562,7 @@
 		requests, _, _ := host.counts()
 		want := tt.want
 		if requests == 0 {
-			want = lynxspool.NotSent // the machine was so slow that nothing was sent
+			want = bramblelock.NotSent // the machine was so slow that nothing was sent
 		}
 		if got != want {
 			t.Errorf("%s: result %v, want %v", tt.name, got, want)
@@ -599,7 +599,7 @@
 		p.put(a)
 		p.put(b)
 		ctx, cancel := context.WithCancel(context.Background())
-		done := make(chan lynxspool.Result, 1)
+		done := make(chan bramblelock.Result, 1)
 		go func() {
 			x := newExchange("b")
 			x.uri = "/hang"
@@ -614,7 +614,7 @@
 			attemptOnce(t, p, h, newExchange("b"))
 		}
 		cancel()
-		if got := <-done; got != lynxspool.Canceled {
+		if got := <-done; got != bramblelock.Canceled {
 			t.Errorf("result %v, want Canceled", got)
 		}
 		want := 0
@@ -639,7 +639,7 @@
 			change(p, h, x)
 			return nil
 		}
-		if got, _ := attemptOnce(t, p, h, x); got != lynxspool.NotSent {
+		if got, _ := attemptOnce(t, p, h, x); got != bramblelock.NotSent {
 			t.Errorf("%s: result %v, want NotSent", name, got)
 		}
 		p.closeIdle(h)
@@ -692,7 +692,7 @@
 	a, b := newPoolHost(p, first.addr()), newPoolHost(p, second.addr())
 	attemptOnce(t, p, a, newExchange("b"))
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan lynxspool.Result, 1)
+	done := make(chan bramblelock.Result, 1)
 	go func() {
 		got, _ := p.runAttempt(ctx, b, newExchange("b"), newAttempt())
 		done <- got
@@ -701,12 +701,12 @@
 		requests, _, _ := second.counts()
 		return requests == 1
 	})
-	if got, _ := attemptOnce(t, p, a, newExchange("b")); got != lynxspool.NotSent {
+	if got, _ := attemptOnce(t, p, a, newExchange("b")); got != bramblelock.NotSent {
 		t.Errorf("beyond the budget: result %v, want NotSent", got)
 	}
 	cancel()
 	<-done
-	if got, _ := attemptOnce(t, p, a, newExchange("b")); got != lynxspool.OK {
+	if got, _ := attemptOnce(t, p, a, newExchange("b")); got != bramblelock.OK {
 		t.Errorf("within the budget again: result %v", got)
 	}
 }
--- a/internal/gateway/local_test.go
+++ b/internal/gateway/local_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // localErrors are failures of the gateway's own machine: no descriptor, buffer, memory or port.
@@ -41,8 +41,8 @@
 // after its last byte was written, may have run. No connection is kept or counted.
 func TestLocalFailuresAreNotChargedToHost(t *testing.T) {
 	for _, errno := range localErrors {
-		for step, want := range map[string]lynxspool.Result{
-			"socket": lynxspool.NotSent, "connect": lynxspool.NotSent, "write": lynxspool.NotSent, "read": lynxspool.Canceled,
+		for step, want := range map[string]bramblelock.Result{
+			"socket": bramblelock.NotSent, "connect": bramblelock.NotSent, "write": bramblelock.NotSent, "read": bramblelock.Canceled,
 		} {
 			failed := os.NewSyscallError(step, errno)
 			p := newTestPool()
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -11,14 +11,14 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // Loop owns the Balancer. Other goroutines post events to it, which it handles one at a time, and
 // it carries out what the Balancer decides. It never blocks: work that takes time runs in its own
 // goroutine and posts its result as an event.
 type Loop struct {
-	events chan func(now lynxspool.Time)
+	events chan func(now bramblelock.Time)
 	done   chan struct{} // closed when Run has returned
 	ready  atomic.Bool   // a host that takes requests is known
 	rules  atomic.Pointer[Rules]
@@ -27,14 +27,14 @@
 	// The fields below are owned by the goroutine of Run.
 	clock         clock
 	wallClock     func() time.Time // wall clock, which may be stepped; time.Now except in tests
-	balancer      *lynxspool.Balancer
-	actions       []lynxspool.Action
+	balancer      *bramblelock.Balancer
+	actions       []bramblelock.Action
 	timers        timerHeap
 	pool          *Pool
 	requestWatch  func() // requests a watch from discovery
-	hosts         map[lynxspool.HostID]*host
-	openRequests  map[lynxspool.RequestID]*exchange // requests without an answer or with an attempt in flight
-	lastID        lynxspool.RequestID
+	hosts         map[bramblelock.HostID]*host
+	openRequests  map[bramblelock.RequestID]*exchange // requests without an answer or with an attempt in flight
+	lastID        bramblelock.RequestID
 	zones         map[string]int
 	kinds         map[string]int
 	everListed    map[string]bool // ids of hosts that were ever listed
@@ -52,10 +52,10 @@
 	start time.Time
 }
 
-func (c clock) now() lynxspool.Time { return c.at(time.Now()) }
+func (c clock) now() bramblelock.Time { return c.at(time.Now()) }
 
-func (c clock) at(t time.Time) lynxspool.Time {
-	return lynxspool.Time(c.start.UnixNano()) + t.Sub(c.start)
+func (c clock) at(t time.Time) bramblelock.Time {
+	return bramblelock.Time(c.start.UnixNano()) + t.Sub(c.start)
 }
 
 // maxStartMS is an upper limit on start times, in Unix ms. Later ones would overflow.
@@ -66,33 +66,33 @@
 // one. So the time is converted both with the wall clock at the start and with the present one, and
 // the later result counts: a host that counts as cold for too long gets less traffic for a while,
 // but one that wrongly counts as warm is overloaded.
-func (c clock) startTime(unixMS int64, wall time.Time) lynxspool.Time {
+func (c clock) startTime(unixMS int64, wall time.Time) bramblelock.Time {
 	if unixMS <= 0 {
 		return 0 // long ago
 	}
 	unixMS = min(unixMS, maxStartMS)
 	now := c.now()
-	byStart := lynxspool.Time(unixMS) * lynxspool.Time(time.Millisecond)
-	byNow := now - lynxspool.Time(wall.UnixMilli()-unixMS)*lynxspool.Time(time.Millisecond)
+	byStart := bramblelock.Time(unixMS) * bramblelock.Time(time.Millisecond)
+	byNow := now - bramblelock.Time(wall.UnixMilli()-unixMS)*bramblelock.Time(time.Millisecond)
 	return min(now, max(byStart, byNow))
 }
 
 // timeOf converts a time of the module to a time.Time with a monotonic reading.
-func (c clock) timeOf(t lynxspool.Time) time.Time {
-	return c.start.Add(t - lynxspool.Time(c.start.UnixNano()))
+func (c clock) timeOf(t bramblelock.Time) time.Time {
+	return c.start.Add(t - bramblelock.Time(c.start.UnixNano()))
 }
 
 // NewLoop returns a Loop that sends attempts through pool. It calls requestWatch when the Balancer
 // asks for changes of the list; requestWatch must not block.
 func NewLoop(cfg *Config, pool *Pool, requestWatch func()) (*Loop, error) {
-	balancer, err := lynxspool.New(cfg.Settings, cfg.Seed)
+	balancer, err := bramblelock.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	l := &Loop{
-		events: make(chan func(lynxspool.Time), 1024), done: make(chan struct{}),
+		events: make(chan func(bramblelock.Time), 1024), done: make(chan struct{}),
 		clock: clock{time.Now()}, wallClock: time.Now, balancer: balancer, pool: pool, requestWatch: requestWatch,
-		hosts: map[lynxspool.HostID]*host{}, openRequests: map[lynxspool.RequestID]*exchange{},
+		hosts: map[bramblelock.HostID]*host{}, openRequests: map[bramblelock.RequestID]*exchange{},
 		zones: cfg.Zones, kinds: cfg.Kinds, everListed: map[string]bool{}, inMaintenance: map[string]bool{},
 		firstList: make(chan struct{}),
 	}
@@ -126,7 +126,7 @@
 }
 
 // post passes an event to the loop.
-func (l *Loop) post(handle func(now lynxspool.Time)) {
+func (l *Loop) post(handle func(now bramblelock.Time)) {
 	select {
 	case l.events <- handle:
 	case <-l.done:
@@ -139,7 +139,7 @@
 // Submit passes a request to the Balancer. Its answer is sent on x.answer unless x is finished
 // otherwise.
 func (l *Loop) Submit(x *exchange) {
-	l.post(func(now lynxspool.Time) {
+	l.post(func(now bramblelock.Time) {
 		if rules := l.rules.Load(); rules != x.rules {
 			// The rules changed after the head of the request was read. The rules in force now
 			// apply, as the module knows the classes by their index in them.
@@ -156,7 +156,7 @@
 			left = max(0, l.clock.at(x.deadline)-now)
 			waited = max(0, now-l.clock.at(x.receivedAt()))
 		}
-		l.balancer.Request(now, lynxspool.Request{
+		l.balancer.Request(now, bramblelock.Request{
 			ID: x.id, Class: x.class, Tenant: x.tenant, ClientRetry: x.clientRetry, Remaining: left, Age: waited, Upload: x.upload != nil,
 		})
 	})
@@ -164,7 +164,7 @@
 
 // UpdateRules puts other rules into force. They must have been validated.
 func (l *Loop) UpdateRules(rules *Rules) {
-	l.post(func(now lynxspool.Time) {
+	l.post(func(now bramblelock.Time) {
 		if err := l.balancer.UpdateSettings(now, rules.Settings); err != nil {
 			slog.Error("failed to change the settings", "err", err)
 			return
@@ -176,15 +176,15 @@
 // Abandon reports to the Balancer that a request was finished without it, as its client has left or
 // has been answered.
 func (l *Loop) Abandon(x *exchange) {
-	l.post(func(now lynxspool.Time) {
+	l.post(func(now bramblelock.Time) {
 		l.balancer.ClientGone(now, x.id)
 		l.releaseIfDone(x)
 	})
 }
 
 // HandleList passes a list of hosts, changes of it, or a loss of discovery to the Balancer.
-func (l *Loop) HandleList(kind lynxspool.ListKind, list MemberList) {
-	l.post(func(now lynxspool.Time) { l.applyList(now, kind, list) })
+func (l *Loop) HandleList(kind bramblelock.ListKind, list MemberList) {
+	l.post(func(now bramblelock.Time) { l.applyList(now, kind, list) })
 }
 
 // FleetStatus is the part of the fleet's state on which this instance's decisions depend.
@@ -196,9 +196,9 @@
 }
 
 // UpdatePeers passes changes of the fleet to the Balancer, and returns the status that results.
-func (l *Loop) UpdatePeers(peers []lynxspool.Peer) (status FleetStatus) {
+func (l *Loop) UpdatePeers(peers []bramblelock.Peer) (status FleetStatus) {
 	statuses := make(chan FleetStatus, 1)
-	l.post(func(now lynxspool.Time) {
+	l.post(func(now bramblelock.Time) {
 		l.balancer.UpdatePeers(now, peers)
 		var current FleetStatus
 		current.Live, current.SharedBy, current.Draws = l.balancer.FleetStatus()
@@ -219,7 +219,7 @@
 // Sync waits until all events posted before it have been handled.
 func (l *Loop) Sync() {
 	handled := make(chan struct{})
-	l.post(func(lynxspool.Time) { close(handled) })
+	l.post(func(bramblelock.Time) { close(handled) })
 	select {
 	case <-handled:
 	case <-l.done:
@@ -229,7 +229,7 @@
 // hostKnown returns whether a host was ever listed, or is in maintenance.
 func (l *Loop) hostKnown(id string) (known bool) {
 	answer := make(chan bool, 1)
-	l.post(func(lynxspool.Time) { answer <- l.everListed[id] || l.inMaintenance[id] })
+	l.post(func(bramblelock.Time) { answer <- l.everListed[id] || l.inMaintenance[id] })
 	select {
 	case known = <-answer:
 	case <-l.done:
@@ -240,7 +240,7 @@
 // setMaintenance puts a host into maintenance or ends its maintenance. Attempts that wait for a
 // connection to a host in maintenance are not sent.
 func (l *Loop) setMaintenance(id string, on bool) {
-	l.post(func(now lynxspool.Time) {
+	l.post(func(now bramblelock.Time) {
 		if on {
 			l.inMaintenance[id] = true
 		} else {
@@ -257,22 +257,22 @@
 // maintenanceEnded reports to the Balancer that the maintenance of a host was ended by a call to
 // another process.
 func (l *Loop) maintenanceEnded(id string, at time.Time) {
-	l.post(func(now lynxspool.Time) { l.balancer.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
+	l.post(func(now bramblelock.Time) { l.balancer.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
 }
 
-func (l *Loop) applyList(now lynxspool.Time, kind lynxspool.ListKind, list MemberList) {
+func (l *Loop) applyList(now bramblelock.Time, kind bramblelock.ListKind, list MemberList) {
 	if !kind.IsLoss() {
-		listed := map[lynxspool.HostID]bool{}
-		entries := make([]lynxspool.Host, 0, len(list.Servers))
-		var gone []lynxspool.HostID
+		listed := map[bramblelock.HostID]bool{}
+		entries := make([]bramblelock.Host, 0, len(list.Servers))
+		var gone []bramblelock.HostID
 		for i := range list.Servers {
 			m := &list.Servers[i]
-			e := lynxspool.Host{
+			e := bramblelock.Host{
 				ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
 				State: m.hostState(),
 			}
 			h := l.hosts[e.ID]
-			if h == nil && e.State == lynxspool.Removed {
+			if h == nil && e.State == bramblelock.Removed {
 				continue // it was removed before it was known here
 			} else if h == nil {
 				h = &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
@@ -292,12 +292,12 @@
 			e.Started = h.startedAt
 			listed[e.ID] = true
 			entries = append(entries, e)
-			l.pool.updateHost(h, m.Addr, m.StartedMS, e.State == lynxspool.Ready)
-			if e.State == lynxspool.Removed {
+			l.pool.updateHost(h, m.Addr, m.StartedMS, e.State == bramblelock.Ready)
+			if e.State == bramblelock.Removed {
 				gone = append(gone, e.ID)
 			}
 		}
-		if kind != lynxspool.ListChanges {
+		if kind != bramblelock.ListChanges {
 			for id, h := range l.hosts {
 				if !listed[id] {
 					gone = append(gone, id)
@@ -314,7 +314,7 @@
 		return
 	}
 	l.updateReady()
-	if kind == lynxspool.ListFull || kind == lynxspool.ListChanges {
+	if kind == bramblelock.ListFull || kind == bramblelock.ListChanges {
 		l.firstListOnce.Do(func() { close(l.firstList) })
 	}
 }
@@ -329,10 +329,10 @@
 }
 
 // hostID returns the number of a host id, which is the same at every gateway and after a restart.
-func hostID(id string) lynxspool.HostID {
+func hostID(id string) bramblelock.HostID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
-	return lynxspool.HostID(h.Sum64())
+	return bramblelock.HostID(h.Sum64())
 }
 
 // nameIndex returns the index of a name. A name that is not in the settings gets the next free
@@ -352,34 +352,34 @@
 	for i := range l.actions {
 		a := &l.actions[i]
 		switch a.Kind {
-		case lynxspool.Send:
+		case bramblelock.Send:
 			l.startAttempt(a)
-		case lynxspool.Cancel:
+		case bramblelock.Cancel:
 			if x := l.openRequests[a.Request]; x != nil && a.Attempt < len(x.attempts) {
 				x.attempts[a.Attempt].abort(context.Canceled)
 			}
-		case lynxspool.Refuse:
+		case bramblelock.Refuse:
 			l.finishRequest(a.Request, answer{kind: answerRefused, retryAfter: a.RetryAfter})
-		case lynxspool.Fail:
+		case bramblelock.Fail:
 			l.finishRequest(a.Request, answer{kind: answerFailed})
-		case lynxspool.Wake:
+		case bramblelock.Wake:
 			heap.Push(&l.timers, balancerTimer{a.At, a.Token})
-		case lynxspool.Close:
+		case bramblelock.Close:
 			if h := l.hosts[a.Host]; h != nil {
 				l.pool.closeIdle(h)
 			}
-		case lynxspool.Watch:
+		case bramblelock.Watch:
 			l.requestWatch()
-		case lynxspool.Log:
+		case bramblelock.Log:
 			slog.Info(a.Text)
-		case lynxspool.ColdOver:
+		case bramblelock.ColdOver:
 			recordViolation(&l.Audit.slowStartOverBudget, "cold server sent more than its budget", "host", l.nameOf(a.Host))
 		}
 	}
 }
 
 // nameOf returns the id of a host, for the log.
-func (l *Loop) nameOf(id lynxspool.HostID) string {
+func (l *Loop) nameOf(id bramblelock.HostID) string {
 	if h := l.hosts[id]; h != nil {
 		return h.id
 	}
@@ -387,7 +387,7 @@
 }
 
 // startAttempt starts an attempt. Its end is posted as exactly one event.
-func (l *Loop) startAttempt(a *lynxspool.Action) {
+func (l *Loop) startAttempt(a *bramblelock.Action) {
 	x, h := l.openRequests[a.Request], l.hosts[a.Host]
 	if x == nil || h == nil {
 		// The Balancer names only hosts and requests that it was given, and keeps no request for
@@ -415,10 +415,10 @@
 	}
 	att.onUploadComplete = func() {
 		timer = time.AfterFunc(time.Until(x.deadline), timeOut)
-		l.post(func(now lynxspool.Time) { l.balancer.UploadComplete(now, x.id, max(0, l.clock.at(x.deadline)-now)) })
+		l.post(func(now bramblelock.Time) { l.balancer.UploadComplete(now, x.id, max(0, l.clock.at(x.deadline)-now)) })
 	}
 	att.onResponseStarted = func() {
-		l.post(func(now lynxspool.Time) { l.balancer.ResponseStarted(now, x.id, n) })
+		l.post(func(now bramblelock.Time) { l.balancer.ResponseStarted(now, x.id, n) })
 	}
 	go func() {
 		result, body := l.pool.runAttempt(ctx, h, x, att)
@@ -426,17 +426,17 @@
 		if timer != nil {
 			timer.Stop()
 		}
-		l.post(func(now lynxspool.Time) { l.attemptEnded(now, x, n, result, body) })
+		l.post(func(now bramblelock.Time) { l.attemptEnded(now, x, n, result, body) })
 	}()
 }
 
 // attemptEnded handles the end of an attempt. The first good answer ends the request, and the
 // Balancer is notified of it.
-func (l *Loop) attemptEnded(now lynxspool.Time, x *exchange, n int, result lynxspool.Result, good answer) {
+func (l *Loop) attemptEnded(now bramblelock.Time, x *exchange, n int, result bramblelock.Result, good answer) {
 	x.inFlight--
 	x.attempts[n].ended, x.attempts[n].result = true, result
 	slog.Debug("attempt ended", "id", x.requestID(), "attempt", n, "result", result.String())
-	if result == lynxspool.OK {
+	if result == bramblelock.OK {
 		x.finish(good)
 	}
 	att := x.attempts[n]
@@ -444,14 +444,14 @@
 	if took == 0 {
 		took = max(0, now-l.clock.at(att.chargedFrom))
 	}
-	l.balancer.Outcome(now, lynxspool.Outcome{
+	l.balancer.Outcome(now, bramblelock.Outcome{
 		Request: x.id, Attempt: n, Result: result, Elapsed: took, Answered: x.finished.Load(), NotReplayable: x.bodyConsumed(),
 	})
 	l.releaseIfDone(x)
 }
 
 // finishRequest gives a request the final answer of the Balancer.
-func (l *Loop) finishRequest(id lynxspool.RequestID, a answer) {
+func (l *Loop) finishRequest(id bramblelock.RequestID, a answer) {
 	if x := l.openRequests[id]; x != nil {
 		slog.Debug("request ended by the module", "id", x.requestID(), "refused", a.kind == answerRefused, "attempts", len(x.attempts))
 		x.finish(a)
@@ -483,7 +483,7 @@
 
 // balancerTimer is a timer of the Balancer.
 type balancerTimer struct {
-	at    lynxspool.Time
+	at    bramblelock.Time
 	token uint64
 }
 
--- a/internal/gateway/notification_clock_test.go
+++ b/internal/gateway/notification_clock_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // These tests check how late changes of the list take effect. They run on a fake clock, over pipes,
@@ -332,7 +332,7 @@
 		t.Fatal(err)
 	}
 	go loop.Run(ctx)
-	loop.HandleList(lynxspool.ListSaved, cfg.Known)
+	loop.HandleList(bramblelock.ListSaved, cfg.Known)
 	go d.Run(ctx, loop)
 	return &bubbleGateway{cfg, loop, d}
 }
@@ -342,7 +342,7 @@
 	cfg.Seed, cfg.Discovery = uint64(rank), discovery
 	cfg.DialTimeout = 2 * time.Second
 	cfg.Settings.WatchHosts, cfg.Settings.Instances, cfg.Settings.Rank = onDemand, instances, rank
-	cfg.Settings.Classes = []lynxspool.Class{{LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second}}
+	cfg.Settings.Classes = []bramblelock.Class{{LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second}}
 	cfg.Classes = map[string]int{"look": 0}
 	for _, h := range hosts {
 		cfg.Known.Servers = append(cfg.Known.Servers, Member{ID: h.id, Addr: h.addr, State: "ready"})
@@ -353,7 +353,7 @@
 // usable returns whether a gateway would send requests to a host.
 func (g *bubbleGateway) usable(id string) bool {
 	known := make(chan bool, 1)
-	g.loop.post(func(lynxspool.Time) {
+	g.loop.post(func(bramblelock.Time) {
 		h := g.loop.hosts[hostID(id)]
 		known <- h != nil && h.usable.Load()
 	})
@@ -431,11 +431,11 @@
 	disco.silenceWatches()
 	disco.setNextCalls(next...)
 	disco.drain("s-0")
-	time.Sleep(lynxspool.NotifiedAfter + drainGrace)
+	time.Sleep(bramblelock.NotifiedAfter + drainGrace)
 	for rank, g := range gateways {
 		if g.usable("s-0") {
 			t.Errorf("gateway %d would send to a draining host %v after its watch fell silent", rank,
-				lynxspool.NotifiedAfter+drainGrace)
+				bramblelock.NotifiedAfter+drainGrace)
 		}
 		if !g.usable("s-1") {
 			t.Errorf("gateway %d does not send to a ready host", rank)
@@ -457,49 +457,49 @@
 const atOnce = 0
 
 var discoveryFaults = []discoveryFault{
-	{name: "silent after a line", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "silent after a line", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.sendBlankLine()
 			synctest.Wait()
 			d.silenceWatches()
 			return d
 		}},
-	{name: "silent before the first line", availableAfter: 4 * time.Second, notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "silent before the first line", availableAfter: 4 * time.Second, notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.setNextCalls(callSilent) // the silent call is made within 4 s, and its silence begins then
 			d.resetWatches()
 			return d
 		}},
-	{name: "reset", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+	{name: "reset", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: atOnce,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.resetWatches(); return d }},
-	{name: "ended", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+	{name: "ended", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: atOnce,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery { d.endWatches(); return d }},
-	{name: "503", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "503", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.setNextCalls(callBusy)
 			d.resetWatches()
 			return d
 		}},
-	{name: "Retry-After", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "Retry-After", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.setNextCalls(callRetryAfter)
 			d.resetWatches()
 			return d
 		}},
-	{name: "unanswered", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "unanswered", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.setNextCalls(callUnanswered)
 			d.resetWatches()
 			return d
 		}},
-	{name: "a slow dial", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "a slow dial", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.net.setDialDelay(d.addr, time.Hour)
 			d.resetWatches()
 			time.AfterFunc(time.Second, func() { d.net.setDialDelay(d.addr, 0) })
 			return d
 		}},
-	{name: "outage and return", availableAfter: 8 * time.Second, notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+	{name: "outage and return", availableAfter: 8 * time.Second, notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: atOnce,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.down()
 			time.AfterFunc(8*time.Second, d.up)
@@ -514,7 +514,7 @@
 			g.d.SetAddrs(moved.addr)
 			return moved
 		}},
-	{name: "versions started anew", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: lynxspool.NotifiedAfter,
+	{name: "versions started anew", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: bramblelock.NotifiedAfter,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.mu.Lock()
 			d.version = 1
@@ -522,7 +522,7 @@
 			d.resetWatches()
 			return d
 		}},
-	{name: "a full list without the host", notifiedOnDemand: lynxspool.NotifiedAfter, notifiedPushed: atOnce,
+	{name: "a full list without the host", notifiedOnDemand: bramblelock.NotifiedAfter, notifiedPushed: atOnce,
 		do: func(_ *bubbleGateway, d *bubbleDiscovery) *bubbleDiscovery {
 			d.omitDraining = true
 			d.resetWatches()
@@ -670,9 +670,9 @@
 			time.Sleep(5 * time.Second)
 			disco.resetWatches()
 			disco.drain("s-0")
-			time.Sleep(lynxspool.NotifiedAfter + drainGrace)
+			time.Sleep(bramblelock.NotifiedAfter + drainGrace)
 			if g.usable("s-0") {
-				t.Errorf("on demand %t: a drain is not in force %v after it began", onDemand, lynxspool.NotifiedAfter+drainGrace)
+				t.Errorf("on demand %t: a drain is not in force %v after it began", onDemand, bramblelock.NotifiedAfter+drainGrace)
 			}
 		})
 	}
@@ -748,7 +748,7 @@
 			disco.up()
 			time.Sleep(returns)
 			disco.down()
-			time.Sleep(lynxspool.NotifiedAfter - returns)
+			time.Sleep(bramblelock.NotifiedAfter - returns)
 			for rank, g := range gateways {
 				if g.usable("s-0") {
 					t.Errorf("down for %v: at gateway %d a drain is not in force 6 s after the return", away, rank)
--- a/internal/gateway/notified_test.go
+++ b/internal/gateway/notified_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // fleetTraffic sends each gateway a request every 25 ms until stop is closed.
@@ -106,7 +106,7 @@
 		bubbleFleet(t, ctx, n, disco, gateways)
 		before := disco.callCount()
 		disco.resetWatches()
-		time.Sleep(lynxspool.NotifiedAfter)
+		time.Sleep(bramblelock.NotifiedAfter)
 		if calls := disco.callCount() - before; calls != gateways {
 			t.Errorf("%d gateways made %d calls after their watches were reset", gateways, calls)
 		}
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/listener"
+	"bramblelock/internal/listener"
 )
 
 const (
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // startOperator serves an operators' address beside a gateway and returns the address.
@@ -140,11 +140,11 @@
 	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/maint")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if result, _ := attemptOnce(t, g.loop.pool, h, newExchange("b")); result != lynxspool.NotSent {
+	if result, _ := attemptOnce(t, g.loop.pool, h, newExchange("b")); result != bramblelock.NotSent {
 		t.Errorf("an attempt ends with %v, want it not sent", result)
 	}
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
-	g.loop.HandleList(lynxspool.ListFull, cfg.Known)
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
+	g.loop.HandleList(bramblelock.ListFull, cfg.Known)
 	for range 20 {
 		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
@@ -220,7 +220,7 @@
 		}
 	}
 	want(503, "no host is known")
-	g.loop.HandleList(lynxspool.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
 	g.loop.Sync()
 	want(200, "a host is known")
 	g.loop.setMaintenance("s-0", true)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 const (
@@ -52,7 +52,7 @@
 
 	// Owned by the loop: the start time that the list states, in Unix ms and on the module's clock.
 	startedMS int64
-	startedAt lynxspool.Time
+	startedAt bramblelock.Time
 }
 
 // conn is a connection to a host. It belongs to one attempt or, while idle, to the Pool.
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -8,7 +8,7 @@
 	"net"
 	"sync"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 const (
@@ -34,13 +34,13 @@
 	r := &Roster{loop: loop, hosts: map[string]Member{}}
 	if len(known.Servers) > 0 {
 		r.authoritative = true
-		r.merge(lynxspool.ListFull, known)
+		r.merge(bramblelock.ListFull, known)
 	}
 	return r
 }
 
 // HandleList applies a list from discovery, or changes of it, and passes it on.
-func (r *Roster) HandleList(kind lynxspool.ListKind, list MemberList) {
+func (r *Roster) HandleList(kind bramblelock.ListKind, list MemberList) {
 	if !kind.IsLoss() {
 		r.mu.Lock()
 		if !r.authoritative {
@@ -54,12 +54,12 @@
 }
 
 // merge applies a list. The caller holds r.mu, or r is not shared yet.
-func (r *Roster) merge(kind lynxspool.ListKind, list MemberList) {
-	if kind == lynxspool.ListFull {
+func (r *Roster) merge(kind bramblelock.ListKind, list MemberList) {
+	if kind == bramblelock.ListFull {
 		r.hosts = make(map[string]Member, len(list.Servers))
 	}
 	for _, m := range list.Servers {
-		if m.hostState() == lynxspool.Removed {
+		if m.hostState() == bramblelock.Removed {
 			delete(r.hosts, m.ID)
 		} else {
 			r.hosts[m.ID] = m
@@ -114,8 +114,8 @@
 	if r.authoritative || len(r.hosts) > 0 && list.Version <= r.version {
 		return nil // ours is not worse
 	}
-	r.merge(lynxspool.ListFull, list)
+	r.merge(bramblelock.ListFull, list)
 	slog.Info("list of hosts taken from a peer until discovery gives one", "version", list.Version, "hosts", len(list.Servers))
-	r.loop.HandleList(lynxspool.ListSaved, list)
+	r.loop.HandleList(bramblelock.ListSaved, list)
 	return nil
 }
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -6,17 +6,17 @@
 	"strings"
 	"testing"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 type receivedList struct {
-	kind lynxspool.ListKind
+	kind bramblelock.ListKind
 	list MemberList
 }
 
 type receivedLists []receivedList
 
-func (t *receivedLists) HandleList(kind lynxspool.ListKind, list MemberList) {
+func (t *receivedLists) HandleList(kind bramblelock.ListKind, list MemberList) {
 	*t = append(*t, receivedList{kind, list})
 }
 
@@ -58,8 +58,8 @@
 	if r.Take(listOf(8+maxVersionLead+1, "x")) != errVersionTooHigh {
 		t.Error("a version far ahead of the peer's list is accepted")
 	}
-	r.HandleList(lynxspool.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
-	r.HandleList(lynxspool.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
+	r.HandleList(bramblelock.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
+	r.HandleList(bramblelock.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
 	if err := r.Take(listOf(9, "a")); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	for _, x := range loop {
 		kinds = append(kinds, fmt.Sprint(x.kind, x.list.Version))
 	}
-	want := fmt.Sprint([]string{fmt.Sprint(lynxspool.ListSaved, 7), fmt.Sprint(lynxspool.ListSaved, 8), fmt.Sprint(lynxspool.ListFull, 5), fmt.Sprint(lynxspool.ListChanges, 6)})
+	want := fmt.Sprint([]string{fmt.Sprint(bramblelock.ListSaved, 7), fmt.Sprint(bramblelock.ListSaved, 8), fmt.Sprint(bramblelock.ListFull, 5), fmt.Sprint(bramblelock.ListChanges, 6)})
 	if fmt.Sprint(kinds) != want {
 		t.Errorf("the loop received %v, want %v", kinds, want)
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/listener"
+	"bramblelock"
+	"bramblelock/internal/listener"
 )
 
 // Shares of the descriptor limit in percent. The rest is left for the listener, discovery and
@@ -383,7 +383,7 @@
 			return fmt.Errorf("X-Tenant-Id: unknown tenant %q", x.header.Get("X-Tenant-Id"))
 		}
 	}
-	if rules.Settings.Classes[x.class].Effect == lynxspool.Deduplicated && x.header.Get("Idempotency-Key") == "" {
+	if rules.Settings.Classes[x.class].Effect == bramblelock.Deduplicated && x.header.Get("Idempotency-Key") == "" {
 		// Without a key no host could discard the duplicate that a retry of the module may be.
 		return errors.New("Idempotency-Key: missing, the class needs one")
 	}
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // A gateway of a fleet of 1,024 with 1,024 hosts applies the whole list and each change, and uses
@@ -42,9 +42,9 @@
 			if n := countServed(200); n != 200 {
 				t.Errorf("asked for %t: %d of 200 requests are served", ask, n)
 			}
-			var peers []lynxspool.Peer
+			var peers []bramblelock.Peer
 			for rank := range count {
-				peers = append(peers, lynxspool.Peer{Rank: rank, Rate: 20})
+				peers = append(peers, bramblelock.Peer{Rank: rank, Rate: 20})
 			}
 			if p := g.loop.UpdatePeers(peers); p.Live != count || p.Draws == 0 {
 				t.Errorf("asked for %t: the place in the fleet is %+v", ask, p)
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // The wall clock of all machines, or only of the gateway's, is stepped while the gateway runs, and
@@ -40,7 +40,7 @@
 	defer close(stop)
 	fleetTraffic([]*bubbleGateway{g}, stop)
 	time.Sleep(5 * time.Second)
-	g.loop.post(func(lynxspool.Time) {
+	g.loop.post(func(bramblelock.Time) {
 		g.loop.wallClock = func() time.Time { return time.Now().Add(step) }
 	})
 	began := time.Now()
@@ -48,7 +48,7 @@
 	if all {
 		started = began.Add(step)
 	}
-	g.loop.HandleList(lynxspool.ListChanges, MemberList{Version: 60, Servers: []Member{
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{Version: 60, Servers: []Member{
 		{ID: hosts[0].id, Addr: hosts[0].addr, State: "ready", StartedMS: started.UnixMilli()}}})
 	time.Sleep(warmAfter + 10*time.Second)
 	// At 40 requests a second a warm host gets half of them.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // settings is the part of the settings object that the balancer uses. Its fields are named after
@@ -49,7 +49,7 @@
 type micros float64
 
 // duration converts m. A value outside the range of time.Duration is clamped to it, so that
-// lynxspool.New rejects it: a wrapped value could be valid.
+// bramblelock.New rejects it: a wrapped value could be valid.
 func (m micros) duration() time.Duration {
 	if ns := float64(m) * float64(timeUnit); ns < math.MaxInt64 {
 		return time.Duration(max(ns, math.MinInt64))
@@ -58,14 +58,14 @@
 }
 
 // effectsByName maps the names of effects.
-var effectsByName = map[string]lynxspool.Effect{
-	"idempotent": lynxspool.Idempotent, "deduplicated": lynxspool.Deduplicated, "at_most_once": lynxspool.AtMostOnce,
+var effectsByName = map[string]bramblelock.Effect{
+	"idempotent": bramblelock.Idempotent, "deduplicated": bramblelock.Deduplicated, "at_most_once": bramblelock.AtMostOnce,
 }
 
 // dedupScopesByName maps the names of deduplication groups. The default is every host.
-var dedupScopesByName = map[string]lynxspool.DedupScope{
-	"": lynxspool.DedupAll, "all": lynxspool.DedupAll,
-	"zone": lynxspool.DedupZone, "cell": lynxspool.DedupCell,
+var dedupScopesByName = map[string]bramblelock.DedupScope{
+	"": bramblelock.DedupAll, "all": bramblelock.DedupAll,
+	"zone": bramblelock.DedupZone, "cell": bramblelock.DedupCell,
 }
 
 // watchByDiscovery maps each discovery mode to whether the balancer has to watch the host list. In
@@ -73,9 +73,9 @@
 var watchByDiscovery = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
 // ParseSettings decodes a JSON settings object, such as the one of an EventHello.
-func ParseSettings(text []byte) (lynxspool.Settings, error) {
+func ParseSettings(text []byte) (bramblelock.Settings, error) {
 	var decoded settings
-	var result lynxspool.Settings
+	var result bramblelock.Settings
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return result, fmt.Errorf("settings: %w", err)
 	}
@@ -83,7 +83,7 @@
 	if !ok {
 		return result, fmt.Errorf("settings: discovery: unknown mode %q", decoded.Discovery)
 	}
-	result = lynxspool.Settings{
+	result = bramblelock.Settings{
 		Instances: decoded.Balancers, Rank: decoded.Rank, EventInterval: decoded.Step.duration(),
 		MaxAttempts: decoded.Caps.MaxAttempts, CancelAllowed: decoded.Caps.Cancel, OverQuotaFactor: decoded.OverShareWorth,
 		WatchHosts: watch, MaxWatchGap: decoded.Obligations.AskWithin.duration(),
@@ -103,13 +103,13 @@
 		if !ok {
 			return result, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
-		result.Classes = append(result.Classes, lynxspool.Class{
+		result.Classes = append(result.Classes, bramblelock.Class{
 			Name: c.Name, LatencyTarget: c.Promise.duration(), Deadline: c.HardLimit.duration(), PriorityWeight: c.Importance,
 			Effect: effect, DedupScope: dedupScope, DedupWindow: c.Window.duration(),
 		})
 	}
 	for _, t := range decoded.Tenants {
-		result.Tenants = append(result.Tenants, lynxspool.Tenant{Quota: t.QuotaPerSecond})
+		result.Tenants = append(result.Tenants, bramblelock.Tenant{Quota: t.QuotaPerSecond})
 	}
 	return result, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's binary frames and the
-// events and actions of package lynxspool, and decodes the balancer's settings.
+// events and actions of package bramblelock, and decodes the balancer's settings.
 // It makes no decisions.
 package wire
 
@@ -12,7 +12,7 @@
 	"math"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // Event codes.
@@ -65,25 +65,25 @@
 	Seed     uint64 // EventHello
 	Settings []byte // EventHello; valid until the next ReadBatch
 
-	ListKind lynxspool.ListKind // EventHostList
-	Hosts    []lynxspool.Host   // EventHostList; valid until the next call of Next
+	ListKind bramblelock.ListKind // EventHostList
+	Hosts    []bramblelock.Host   // EventHostList; valid until the next call of Next
 
-	Request lynxspool.Request // EventRequest; EventClientGone and EventResponseStarted set only its ID
-	Attempt int               // EventResponseStarted
-	Outcome lynxspool.Outcome // EventAttemptEnded
-	Token   uint64            // EventTimer
+	Request bramblelock.Request // EventRequest; EventClientGone and EventResponseStarted set only its ID
+	Attempt int                 // EventResponseStarted
+	Outcome bramblelock.Outcome // EventAttemptEnded
+	Token   uint64              // EventTimer
 }
 
 // Reader reads batches of events. Each frame of the input holds one batch.
 type Reader struct {
 	in         *bufio.Reader
 	frameBuf   bytes.Buffer
-	frame      []byte           // contents of frameBuf: the frame without its length field
-	offset     int              // offset of the next record in frame
-	frameStart int64            // offset of the frame in the input
-	frameEnd   int64            // offset of the end of the frame in the input
-	remaining  uint32           // number of records of the batch not read yet
-	hosts      []lynxspool.Host // reused by every host list
+	frame      []byte             // contents of frameBuf: the frame without its length field
+	offset     int                // offset of the next record in frame
+	frameStart int64              // offset of the frame in the input
+	frameEnd   int64              // offset of the end of the frame in the input
+	remaining  uint32             // number of records of the batch not read yet
+	hosts      []bramblelock.Host // reused by every host list
 }
 
 // NewReader returns a Reader that reads from in.
@@ -93,7 +93,7 @@
 
 // ReadBatch reads the next batch and returns the time of its events. It returns io.EOF when the
 // input ends between batches.
-func (r *Reader) ReadBatch() (lynxspool.Time, error) {
+func (r *Reader) ReadBatch() (bramblelock.Time, error) {
 	var lengthField [4]byte
 	r.frameStart = r.frameEnd
 	if got, err := io.ReadFull(r.in, lengthField[:]); err == io.EOF {
@@ -116,7 +116,7 @@
 		return 0, r.errorf(0, "clock %d is out of range", clock)
 	}
 	r.remaining, r.offset = binary.LittleEndian.Uint32(r.frame[8:]), batchHeaderSize
-	return lynxspool.Time(clock) * timeUnit, nil
+	return bramblelock.Time(clock) * timeUnit, nil
 }
 
 // Next decodes the next event of the batch into e. It returns false after the last event.
@@ -166,7 +166,7 @@
 	case EventHostList:
 		return r.decodeHostList(e, f)
 	case EventRequest:
-		e.Request.ID = lynxspool.RequestID(f.u32())
+		e.Request.ID = bramblelock.RequestID(f.u32())
 		e.Request.Class = int(f.u8())
 		e.Request.Tenant = int(f.u16())
 		f.u32() // expected work
@@ -174,12 +174,12 @@
 		f.u64() // routing key
 		e.Request.ClientRetry = f.u8()&flagClientRetry != 0
 	case EventResponseStarted:
-		e.Request.ID = lynxspool.RequestID(f.u32())
+		e.Request.ID = bramblelock.RequestID(f.u32())
 		e.Attempt = int(f.u16())
 		f.hostID()
 		f.duration()
 	case EventAttemptEnded:
-		e.Outcome.Request = lynxspool.RequestID(f.u32())
+		e.Outcome.Request = bramblelock.RequestID(f.u32())
 		e.Outcome.Attempt = int(f.u16())
 		f.hostID()
 		code := f.u16()
@@ -191,7 +191,7 @@
 			return fmt.Errorf("unknown outcome %d", code)
 		}
 	case EventClientGone:
-		e.Request.ID = lynxspool.RequestID(f.u32())
+		e.Request.ID = bramblelock.RequestID(f.u32())
 	case EventTimer:
 		e.Token = f.u64()
 	case EventProbeResult:
@@ -219,13 +219,13 @@
 	}
 	switch mode {
 	case 0:
-		e.ListKind = lynxspool.ListFailed
+		e.ListKind = bramblelock.ListFailed
 	case 1:
-		e.ListKind = lynxspool.ListFull
+		e.ListKind = bramblelock.ListFull
 	case 3:
-		e.ListKind = lynxspool.ListSaved
+		e.ListKind = bramblelock.ListSaved
 	case 4:
-		e.ListKind = lynxspool.ListChanges
+		e.ListKind = bramblelock.ListChanges
 	default:
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
@@ -238,16 +238,16 @@
 		if started > math.MaxInt64/uint64(timeUnit) {
 			return fmt.Errorf("start time %d is out of range", started)
 		}
-		h := lynxspool.Host{Started: lynxspool.Time(started) * timeUnit, Kind: int(f.u8())}
+		h := bramblelock.Host{Started: bramblelock.Time(started) * timeUnit, Kind: int(f.u8())}
 		h.ID = f.hostID()
 		h.Zone, h.Cell = int(f.u16()), int(f.u16())
 		switch state := f.u8(); state {
 		case 3:
-			h.State = lynxspool.Ready
+			h.State = bramblelock.Ready
 		case 0:
-			h.State = lynxspool.Draining
+			h.State = bramblelock.Draining
 		case 2:
-			h.State = lynxspool.Removed
+			h.State = bramblelock.Removed
 		default:
 			return fmt.Errorf("unknown host state %d", state)
 		}
@@ -259,15 +259,15 @@
 }
 
 // resultsByCode maps the outcome codes of attempts.
-var resultsByCode = map[uint16]lynxspool.Result{
-	100: lynxspool.OK,
-	301: lynxspool.Failed,
-	302: lynxspool.Full,
-	303: lynxspool.TimedOut,
-	304: lynxspool.ConnectFailed,
-	305: lynxspool.Reset,
-	306: lynxspool.Canceled,
-	307: lynxspool.NotSent,
+var resultsByCode = map[uint16]bramblelock.Result{
+	100: bramblelock.OK,
+	301: bramblelock.Failed,
+	302: bramblelock.Full,
+	303: bramblelock.TimedOut,
+	304: bramblelock.ConnectFailed,
+	305: bramblelock.Reset,
+	306: bramblelock.Canceled,
+	307: bramblelock.NotSent,
 }
 
 // fieldReader reads little-endian fields from data. When data is too short for a field, truncated
@@ -319,9 +319,9 @@
 
 // hostID reads a host's address: the four address bytes are the lower 32 bits of the ID and the
 // port is the next 16.
-func (f *fieldReader) hostID() lynxspool.HostID {
+func (f *fieldReader) hostID() bramblelock.HostID {
 	addr := f.u32()
-	return lynxspool.HostID(addr) | lynxspool.HostID(f.u16())<<32
+	return bramblelock.HostID(addr) | bramblelock.HostID(f.u16())<<32
 }
 
 // Writer collects the actions of a batch and writes them as one reply.
@@ -347,37 +347,37 @@
 
 // WriteAction adds an action of an instance to the reply. Kinds of action without a code are
 // ignored.
-func (w *Writer) WriteAction(instance uint32, a *lynxspool.Action) {
+func (w *Writer) WriteAction(instance uint32, a *bramblelock.Action) {
 	switch a.Kind {
-	case lynxspool.Send:
+	case bramblelock.Send:
 		w.appendRecordHeader(actionSend, instance, 22)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
 		w.u64(uint64(a.At / timeUnit))
-	case lynxspool.Cancel:
+	case bramblelock.Cancel:
 		w.appendRecordHeader(actionCancel, instance, 10)
 		w.u32(uint32(a.Request))
 		w.u16(uint16(a.Attempt))
-	case lynxspool.Refuse:
+	case bramblelock.Refuse:
 		w.appendRecordHeader(actionRefuse, instance, 12)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.RetryAfter / timeUnit))
-	case lynxspool.Fail:
+	case bramblelock.Fail:
 		w.appendRecordHeader(actionFail, instance, 8)
 		w.u32(uint32(a.Request))
-	case lynxspool.Wake:
+	case bramblelock.Wake:
 		w.appendRecordHeader(actionWake, instance, 20)
 		w.u64(uint64((a.At + timeUnit - 1) / timeUnit))
 		w.u64(a.Token)
-	case lynxspool.Close:
+	case bramblelock.Close:
 		w.appendRecordHeader(actionClose, instance, 10)
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
-	case lynxspool.Watch:
+	case bramblelock.Watch:
 		w.appendRecordHeader(actionWatch, instance, 5)
 		w.buf = append(w.buf, 1)
-	case lynxspool.Log:
+	case bramblelock.Log:
 		w.appendTextRecord(actionLog, instance, a.Text)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // encodeFrame encodes a batch. The first byte of a record is its code, the others are its fields.
@@ -49,31 +49,31 @@
 		if !more || err != nil {
 			return clock, events, err
 		}
-		e.Hosts = append([]lynxspool.Host(nil), e.Hosts...)
+		e.Hosts = append([]bramblelock.Host(nil), e.Hosts...)
 		events = append(events, e)
 	}
 }
 
 func TestDecodeEvents(t *testing.T) {
-	host := lynxspool.HostID(0x00232b_074a120a)
+	host := bramblelock.HostID(0x00232b_074a120a)
 	tests := []struct {
 		name, fields string
 		want         Event
 	}{
 		{"request", "02 03000000 c4913a5d 01 0200 e02e0000 80a90300 640ad2557c3bf091 03",
-			Event{Code: EventRequest, Instance: 3, Request: lynxspool.Request{
+			Event{Code: EventRequest, Instance: 3, Request: bramblelock.Request{
 				ID: 0x5d3a91c4, Class: 1, Tenant: 2, Remaining: 240 * time.Millisecond, ClientRetry: true}}},
 		{"attempt ended", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
-			Event{Code: EventAttemptEnded, Instance: 3, Outcome: lynxspool.Outcome{Request: 0x5d3a91c4, Attempt: 1,
-				Result: lynxspool.Full, Elapsed: 18500 * time.Microsecond, Answered: true}}},
+			Event{Code: EventAttemptEnded, Instance: 3, Outcome: bramblelock.Outcome{Request: 0x5d3a91c4, Attempt: 1,
+				Result: bramblelock.Full, Elapsed: 18500 * time.Microsecond, Answered: true}}},
 		{"timer", "06 03000000 4d00000000000000", Event{Code: EventTimer, Instance: 3, Token: 77}},
 		{"client gone", "05 05000000 192b6f0e",
-			Event{Code: EventClientGone, Instance: 5, Request: lynxspool.Request{ID: 0x0e6f2b19}}},
+			Event{Code: EventClientGone, Instance: 5, Request: bramblelock.Request{ID: 0x0e6f2b19}}},
 		{"response started", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
-			Event{Code: EventResponseStarted, Instance: 3, Request: lynxspool.Request{ID: 0x5d3a91c4}, Attempt: 2}},
+			Event{Code: EventResponseStarted, Instance: 3, Request: bramblelock.Request{ID: 0x5d3a91c4}, Attempt: 2}},
 		{"host list", "01 03000000 04 2900000000000000 01000000 20145d0000000000 01 0a124a07 2b23 0100 0200 00 0000c07f",
-			Event{Code: EventHostList, Instance: 3, ListKind: lynxspool.ListChanges, Hosts: []lynxspool.Host{{ID: host,
-				Zone: 1, Cell: 2, Kind: 1, State: lynxspool.Draining, Started: 0x5d1420 * time.Microsecond}}}},
+			Event{Code: EventHostList, Instance: 3, ListKind: bramblelock.ListChanges, Hosts: []bramblelock.Host{{ID: host,
+				Zone: 1, Cell: 2, Kind: 1, State: bramblelock.Draining, Started: 0x5d1420 * time.Microsecond}}}},
 		{"probe result", "07 03000000 6400 78050000 0a9011f2 5423 00", Event{Code: EventProbeResult, Instance: 3}},
 		{"peer message", "08 03000000 0200 0400 68692037", Event{Code: EventPeerMessage, Instance: 3}},
 		{"stop", "09 03000000", Event{Code: EventStop, Instance: 3}},
@@ -156,23 +156,23 @@
 }
 
 func TestEncodeActions(t *testing.T) {
-	host := lynxspool.HostID(0x00232b_074a120a)
+	host := bramblelock.HostID(0x00232b_074a120a)
 	tests := []struct {
-		action lynxspool.Action
+		action bramblelock.Action
 		want   string
 	}{
-		{lynxspool.Action{Kind: lynxspool.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
+		{bramblelock.Action{Kind: bramblelock.Send, Request: 0x5d3a91c4, Host: host, At: 8492506 * time.Microsecond},
 			"40 16000000 03000000 c4913a5d 0a124a07 2b23 da95810000000000"},
-		{lynxspool.Action{Kind: lynxspool.Refuse, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
+		{bramblelock.Action{Kind: bramblelock.Refuse, Request: 0x5d3a91c4, RetryAfter: 250 * time.Millisecond},
 			"41 0c000000 03000000 c4913a5d 90d00300"},
-		{lynxspool.Action{Kind: lynxspool.Fail, Request: 0x0e6f2b19}, "42 08000000 03000000 192b6f0e"},
-		{lynxspool.Action{Kind: lynxspool.Cancel, Request: 0x5d3a91c4, Attempt: 2},
+		{bramblelock.Action{Kind: bramblelock.Fail, Request: 0x0e6f2b19}, "42 08000000 03000000 192b6f0e"},
+		{bramblelock.Action{Kind: bramblelock.Cancel, Request: 0x5d3a91c4, Attempt: 2},
 			"43 0a000000 03000000 c4913a5d 0200"},
-		{lynxspool.Action{Kind: lynxspool.Wake, At: 8911482*time.Microsecond - 1, Token: 77},
+		{bramblelock.Action{Kind: bramblelock.Wake, At: 8911482*time.Microsecond - 1, Token: 77},
 			"44 14000000 03000000 7afa870000000000 4d00000000000000"},
-		{lynxspool.Action{Kind: lynxspool.Log, Text: "hi 7"}, "48 0a000000 03000000 0400 68692037"},
-		{lynxspool.Action{Kind: lynxspool.Close, Host: 0x232b074a120a}, "46 0a000000 03000000 0a124a07 2b23"},
-		{lynxspool.Action{Kind: lynxspool.Watch}, "4a 05000000 03000000 01"},
+		{bramblelock.Action{Kind: bramblelock.Log, Text: "hi 7"}, "48 0a000000 03000000 0400 68692037"},
+		{bramblelock.Action{Kind: bramblelock.Close, Host: 0x232b074a120a}, "46 0a000000 03000000 0a124a07 2b23"},
+		{bramblelock.Action{Kind: bramblelock.Watch}, "4a 05000000 03000000 01"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
@@ -198,7 +198,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := lynxspool.New(parsed, 1); err == nil || !strings.Contains(err.Error(), "step") {
+		if _, err := bramblelock.New(parsed, 1); err == nil || !strings.Contains(err.Error(), "step") {
 			t.Errorf("step %s: error %v, want one that names the step", us, err)
 		}
 	}
@@ -217,16 +217,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := lynxspool.Settings{
+	want := bramblelock.Settings{
 		Instances: 4, Rank: 2, EventInterval: 2 * time.Millisecond, WatchHosts: true, MaxWatchGap: 10 * time.Second,
 		OverQuotaFactor: 0.05, CancelAllowed: true,
 		MaxAttempts: 3, MaxRetryAfter: 600 * time.Millisecond,
 		ColdCapacity: 0.31, OverloadWindow: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
-		Tenants: []lynxspool.Tenant{{Quota: 104}},
-		Classes: []lynxspool.Class{
+		Tenants: []bramblelock.Tenant{{Quota: 104}},
+		Classes: []bramblelock.Class{
 			{LatencyTarget: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2,
-				Effect: lynxspool.Deduplicated, DedupScope: lynxspool.DedupCell, DedupWindow: 5 * time.Second},
-			{Deadline: time.Microsecond, Effect: lynxspool.AtMostOnce},
+				Effect: bramblelock.Deduplicated, DedupScope: bramblelock.DedupCell, DedupWindow: 5 * time.Second},
+			{Deadline: time.Microsecond, Effect: bramblelock.AtMostOnce},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/notified.go
+++ b/notified.go
@@ -1,4 +1,4 @@
-package lynxspool
+package bramblelock
 
 // How long an instance may send by a host list that discovery no longer keeps current. A change
 // that a lost watch held back counts as notified after a fixed time, whether or not it arrived,
--- a/notified_test.go
+++ b/notified_test.go
@@ -1,4 +1,4 @@
-package lynxspool
+package bramblelock
 
 import (
 	"testing"
--- a/view.go
+++ b/view.go
@@ -1,4 +1,4 @@
-package lynxspool
+package bramblelock
 
 // What a view of the fleet changes: how many instances share a host, and which share of its traffic
 // each instance sends to each host of its subset.
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"lynxspool/internal/flow"
+	"bramblelock/internal/flow"
 )
 
 const (
