--- a/aperture.go
+++ b/aperture.go
@@ -10,7 +10,7 @@
 
 const (
 	subsetSamples   = 6    // samples that an instance needs of each host within the decay time
-	minSharers      = 4    // least instances that use a host: it must not depend on the view of one
+	minSharers      = 4    // least instances that use a host, so that its use does not depend on one alone
 	minSubset       = 3    // least hosts that an instance uses: two remain to choose from with one ejected
 	subsetMoveShare = 0.25 // least time between two moves of the subset, in WarmAfters: new hosts are cold
 
@@ -46,8 +46,8 @@
 // subsetSize is how many hosts this instance uses: as many as its traffic can give subsetSamples each
 // within the decay time, but enough for a choice of two with one ejected, and enough to give each host
 // minSharers instances. It acts where that is less than the whole list. It guards against scores and
-// limits without samples, and against a connection from every instance to every host, which fills the
-// hosts' connection tables.
+// limits that have no samples, and against a connection from every instance to every host, which fills
+// the hosts' connection tables.
 func (b *Balancer) subsetSize() int {
 	shared := float64(minSharers*len(b.hosts)) / float64(b.settings.Instances)
 	if b.peers != nil {
@@ -96,7 +96,8 @@
 	return b.ring[(int(start*float64(n))+k)%n]
 }
 
-// sharers is how many instances use a host.
+// sharers is the number of sharers of a host: the instances that use it, and among which its limits are
+// divided. It is the mean over all hosts and at least 1.
 func (b *Balancer) sharers() float64 {
 	return max(1, b.instances()*float64(b.subsetSize())/max(float64(len(b.hosts)), 1))
 }
--- a/api.go
+++ b/api.go
@@ -36,7 +36,7 @@
 type HostID uint64
 
 // RequestID names a client request and is below 1<<56. An ID must not be used again while the gateway
-// still holds a request or an attempt under it.
+// still has a request or an attempt under it.
 type RequestID uint64
 
 // Effect says what a repeat of a request may do.
@@ -82,7 +82,7 @@
 	Rank          int // number of this instance, from 0
 	Classes       []Class
 	Tenants       []Tenant      // optional
-	EventInterval time.Duration // least time between two times that events are handled; 0: at once
+	EventInterval time.Duration // the gateway handles events at most once in this time; 0: each event at once
 
 	MaxAttempts     int           // attempts of a request, one at a time; 0: 3
 	CancelAllowed   bool          // the gateway carries out Cancel actions
@@ -97,7 +97,9 @@
 	OverloadFactor float64       // multiple of its present capacity that overloads a cold host; 0: 2
 	OverloadWindow time.Duration // time for which a cold host must be overloaded to fail; 0: 1 s
 
-	DrainGrace time.Duration // sends may still begin this long after a host counts as draining or gone; 0: 1 s
+	// DrainGrace is how long sends to a host may still begin after its draining or removal counts as
+	// notified (see NotifiedAfter); 0: 1 s.
+	DrainGrace time.Duration
 }
 
 // HostState is the state of a host in the host list.
@@ -107,7 +109,7 @@
 const (
 	Ready    HostState = iota // takes requests
 	Draining                  // finishes its work, gets no new requests
-	Removed                   // no longer listed; only in ListChanges
+	Removed                   // no longer listed; of the lists that the gateway passes, only ListChanges has it
 )
 
 // Host is an entry of the host list.
@@ -127,14 +129,14 @@
 const (
 	ListFull    ListKind = iota // the whole list; hosts not on it are gone
 	ListChanges                 // only entries that changed
-	ListSaved                   // the whole list as saved earlier, perhaps stale
-	ListFailed                  // a call failed or a watch broke; no entries
+	ListSaved                   // a whole list that the gateway saved or got from a peer, not from discovery; perhaps stale
+	ListFailed                  // a call failed, or a watch broke with an error; no entries
 
-	// More specific kinds of loss, without entries as well.
-	ListEnded       // a watch ended in order: it may have held back a change
+	// More specific kinds of loss than ListFailed. They have no entries either.
+	ListEnded       // discovery closed a watch without an error, perhaps before it delivered a change
 	ListSilent      // a watch has been silent for SilentAfter; the gateway calls again by itself
 	ListMoved       // discovery has another address; the gateway calls it by itself
-	ListUnreachable // a call could not connect to the address of discovery
+	ListUnreachable // the address of discovery refused a connection; a dial that times out is a ListFailed
 )
 
 // IsLoss reports whether the kind stands for the loss of discovery, not for a list.
@@ -160,8 +162,7 @@
 // Result says how an attempt ended.
 type Result uint8
 
-// Results. Those marked so prove that the attempt never ran; after any other
-// it may have run.
+// Results of an attempt. Some prove that it never ran, as marked; after any other, it may have run.
 const (
 	OK            Result = iota
 	Failed               // the host answered with an error
--- a/asking.go
+++ b/asking.go
@@ -4,18 +4,20 @@
 // not overload it with calls, but each instance must get changes before they count as notified.
 
 const (
-	// NotifiedAfter is the time after which a change counts as notified, from when discovery has
-	// it and can be reached.
+	// NotifiedAfter is the time after which a change of the host list counts as notified, from when
+	// discovery has it and can be reached. Operators hold a gateway to a change from then on, whether
+	// or not it has arrived: sends to a draining or removed host must stop within DrainGrace of then.
 	NotifiedAfter = Time(6e9)
-	// SilentAfter is the silence after which a call or a watch has failed. A watch has a line
-	// every 2 s.
+	// SilentAfter is the silence after which a call or a watch has failed. An open watch brings a
+	// line every 2 s.
 	SilentAfter = NotifiedAfter / 2
 	// MaxWatchBackoff is the longest wait for the next call, whatever Instances and MaxWatchGap are.
 	MaxWatchBackoff = NotifiedAfter / 2
 
-	// A fleet whose watches ended calls again within maxResumeSpread: such a change counts as
-	// notified after 2 s. A watch that was open for less than minResumeWatch does not resume in
-	// this way, as it may end each time.
+	// A fleet whose watches discovery closed without an error calls again within maxResumeSpread, as
+	// a change that such a watch did not deliver counts as notified after 2 s (NotifiedAfterEnd). A
+	// watch that was open for less than minResumeWatch does not resume in this way, as it may end
+	// each time.
 	maxResumeSpread = Time(500e6)
 	minResumeWatch  = Time(500e6)
 
@@ -35,7 +37,7 @@
 }
 
 // resumeDelay is the time from the end of a watch to the next call: as short as it can be without all
-// instances of the fleet calling at the same moment. The queue of discovery then holds each instance
+// instances of the fleet calling at the same moment. The queue of discovery then has each instance
 // once, and the last is notified as soon as discovery can serve all, which no other order improves.
 func resumeDelay(set *Settings) Time {
 	spread := min(firstCallGap*Time(set.Instances), maxResumeSpread)
@@ -74,7 +76,7 @@
 }
 
 // nextUnreachableCall is the time of the next call of an instance that could not connect to
-// discovery's address. Such calls take no turn from others, and discovery may be back only for a
+// discovery's address. Such calls delay no call of another instance, and discovery may be back only for a
 // moment: changes that it has then count as notified NotifiedAfter later. So only fleetCallGap between
 // the calls of the whole fleet, and unreachableCallGap between those of one instance, are kept.
 func nextUnreachableCall(set *Settings, now Time, jitter float64) Time {
@@ -88,8 +90,8 @@
 	b.wake(b.watchAt, tokenWatch<<tokenShift)
 }
 
-// handleListLoss schedules a new call: soon after a watch that ended in order, and else in this rank's
-// slot. The last list stays in use.
+// handleListLoss schedules a new call: soon after a watch that discovery closed without an error, and
+// else in the slot of this instance's rank. The last list stays in use.
 func (b *Balancer) handleListLoss(kind ListKind) {
 	if b.settings.WatchHosts {
 		b.scheduleHold(kind)
@@ -99,7 +101,7 @@
 	}
 	resumes := kind == ListEnded && b.watching && b.now-b.watchingSince >= minResumeWatch
 	if b.watching || b.watchFails == 0 {
-		b.log(logLost, "host list lost, asking again")
+		b.log(logListLost, "host list lost, asking again")
 	}
 	fails := max(b.watchFails, 1)
 	if b.watching {
@@ -120,10 +122,10 @@
 	}
 }
 
-// handleListReceived notes that a watch is open and the list current.
+// handleListReceived records that a watch is open and the list current, which ends a hold of sends.
 func (b *Balancer) handleListReceived() {
 	if b.watchFails > 0 {
-		b.log(logFound, "host list regained")
+		b.log(logListRegained, "host list regained")
 	}
 	if !b.watching {
 		b.watchingSince = b.now
--- a/balancer.go
+++ b/balancer.go
@@ -9,9 +9,9 @@
 // atLimit (which hosts are ready), observe, adjustLimit and adjustRate (feedback), afterAttempt
 // to answerUnserved (retries and answers), enqueue to serveQueue, and checkSilence.
 //
-// The ordinary path is failure-aware peak EWMA with two choices: of two random
-// ready hosts the one with the lower estimate x (own pending + 1) gets the
-// request. Departures from it decide which hosts are ready, and each says when it acts.
+// The ordinary path is failure-aware peak EWMA with two choices: of two random ready hosts, the one with
+// the lower estimate x (own pending + 1) is used. Departures from this path decide which hosts are ready;
+// the comment of each says when it acts.
 
 import (
 	"math"
@@ -28,26 +28,26 @@
 	maxKinds          = 255       // highest kind of host with an RTT mean of its own
 	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
 	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
-	meanWeight        = 0.1       // weight of a sample in a mean: about the last ten count
+	meanWeight        = 0.1       // weight of a sample in a mean of about the last ten
 	longTermWeight    = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
 	backoffTargets    = 2         // duration of a first ejection
 	backoffDoublings  = 5         // most doublings of that duration
-	silenceDeviations = 4         // deviations above the mean RTT after which a host counts as silent
+	silenceDeviations = 4         // deviations above the mean RTT from which a host is silent
 	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
 	rateSpanWindows   = 4         // time constant of the event rates, in OverloadWindows
-	initialLimit      = 4         // in-flight attempts that the whole fleet may have at a new host
+	initialFleetLimit = 4         // in-flight attempts that the whole fleet may have at a new host
 	limitTargets      = 0.375     // RTT goal of a host's in-flight limit, in class targets
 	limitFactor       = 2         // RTT goal of the limit in mean RTTs of the class, where that is lower
 	aloneFactor       = 1.25      // RTT goal of the limit in RTTs of lone attempts, where that is higher
 	maxLimitTargets   = 0.5       // highest RTT goal of the limit, in class targets
 	recentTargets     = 0.5       // time constant of a host's mean RTT: a collapse of a host takes longer
 	maxRecentWeight   = 0.5       // highest weight of an answer in that mean: it may be an outlier
-	minLimit          = 2         // least in-flight limit of the fleet at a host: one runs, the next arrives
-	limitGrowth       = 0.3       // growth of the fleet's limit while requests wait, in attempts a round
+	minFleetLimit     = 2         // least in-flight limit of the fleet at a host: one runs, the next arrives
+	fleetLimitGrowth  = 0.3       // growth of the fleet's limit while requests wait, in attempts a round
 	overdueTargets    = 0.5       // age of an attempt, in class targets, that blocks its host
 	rateTargets       = 0.45      // RTT goal of the send rate, in class targets: the rest is for variation
 	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, where that is lower
-	maxRateRatio      = 3         // most that an answer counts, in RTT goals: it may be an outlier
+	maxRateRatio      = 3         // highest ratio of an answer to its RTT goal: it may be an outlier
 	rateRatioWeight   = 1.0 / 8   // weight of an answer in the mean RTT ratio, which has few samples
 	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has under one attempt
 	rateGrowthDecays  = 2         // time in which the rate limit grows by a factor of e, in decay times
@@ -66,7 +66,7 @@
 	tokenDeadline            // answer a request that nears its deadline
 )
 
-const tokenShift = 56 // a token holds its kind above the bits of a request ID
+const tokenShift = 56 // bits of a token below its kind, which can contain a request ID
 
 // New returns a Balancer for the settings, or an error if they are invalid.
 func New(set Settings, seed uint64) (*Balancer, error) {
@@ -136,17 +136,17 @@
 	}
 }
 
-// UpdateHosts applies a host list, or the loss of the watch on it.
+// UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
 func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
 	b.now = now
 	if kind.IsLoss() {
 		b.handleListLoss(kind)
 		return
 	}
-	if kind != ListSaved {
+	if kind != ListSaved { // a saved list is not from discovery, so it ends neither a loss nor a hold
 		b.handleListReceived()
 	}
-	if kind != ListChanges {
+	if kind != ListChanges { // the list is whole: hosts without an entry stay Removed
 		for _, h := range b.hosts {
 			h.State = Removed
 		}
@@ -154,20 +154,20 @@
 	for _, e := range list {
 		b.applyEntry(e)
 	}
-	for i := len(b.hosts) - 1; i >= 0; i-- {
+	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
 		b.dropIfRemoved(b.hosts[i])
 	}
 	b.buildRing()
 	for _, h := range b.hosts {
-		if h.limit == 0 { // it is new
-			h.limit = initialLimit / b.sharers()
+		if h.limit == 0 { // it is new; sharers depends on the number of hosts, now complete
+			h.limit = initialFleetLimit / b.sharers()
 		}
 	}
-	b.processQueues()
+	b.processQueues() // hosts may have become ready, and a list from discovery ends a hold of sends
 }
 
-// SetMaintenance puts a host into maintenance or ends it. It is keyed by ID alone and holds whatever
-// the host list says meanwhile. A host back from maintenance may be another process on another
+// SetMaintenance puts a host into maintenance or ends it. It is keyed by ID alone and stays in force
+// whatever the host list says meanwhile. A host back from maintenance may be another process on another
 // machine: its statistics are reset, and it is cold.
 func (b *Balancer) SetMaintenance(now Time, id HostID, on bool) {
 	b.now = now
@@ -380,8 +380,7 @@
 	}
 }
 
-// dispatch sends the request if a host is ready for it and else queues it. It does not overtake queued
-// requests.
+// dispatch sends the request if no request is queued and a host is ready for it, and else queues it.
 func (b *Balancer) dispatch(r *request, retry bool) {
 	if b.queued == 0 {
 		if h := b.pick(r); h != nil {
@@ -399,7 +398,7 @@
 		return nil
 	}
 	if b.holding() {
-		b.log(logHold, "sending nothing: discovery does not say who drains")
+		b.log(logSendsHeld, "sending nothing: discovery does not say who drains")
 		return nil
 	}
 	b.updateSubset()
@@ -449,8 +448,7 @@
 // score is the load of a host for the comparison of two: estimate x (own pending + 1).
 func (b *Balancer) score(h *host) float64 { return b.estimate(h) * float64(h.pending+1) }
 
-// estimate is the RTT estimate, decayed toward zero so that a host that was penalized and then left
-// idle drifts back into use.
+// estimate is the RTT estimate, decayed toward zero so that a penalized and then idle host is used again.
 func (b *Balancer) estimate(h *host) float64 {
 	if !h.sampled {
 		return b.initialRTT(h) * b.decayWeight(h)
@@ -490,7 +488,7 @@
 	return math.Exp(-(b.now - h.rttAt).Seconds() / b.effectiveDecay(h))
 }
 
-// addSample adds an RTT sample: above the decayed estimate it replaces it, below it is blended in.
+// addSample adds an RTT sample. One above the decayed estimate replaces it, one below is blended in.
 func (b *Balancer) addSample(h *host, rtt float64) {
 	w := b.decayWeight(h)
 	if old := b.estimate(h); rtt > old {
@@ -528,8 +526,7 @@
 	return c.Effect == Deduplicated && b.now <= b.repeatDeadline(c, first)
 }
 
-// ejected reports whether a failed host is excluded: until its backoff ends, and then for all but one
-// trial at a time.
+// ejected reports whether a host is excluded: until its backoff ends, then for all but one trial at a time.
 func (b *Balancer) ejected(h *host) bool {
 	return h.ejections > 0 && (b.now < h.ejectUntil || h.trialInFlight)
 }
@@ -543,26 +540,25 @@
 	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.randFloat()))
 	h.ejections++
 	if h.ejections == 1 {
-		b.log(logEject, "host %x ejected: %s", h.ID, reason)
+		b.log(logHostEjected, "host %x ejected: %s", h.ID, reason)
 	}
 }
 
-// atLimit reports whether a host has as many attempts from this instance as it may. A limit below one,
-// at a host whose mean RTT is above the goal, means that it is used for that share of the time.
+// atLimit reports whether a host is at its in-flight limit, idles or has an overdue attempt. A limit below
+// one, at a host whose mean RTT is above the goal, means that it is used for that share of the time.
 func (b *Balancer) atLimit(h *host) bool {
 	oldest, n := h.notOvertaken()
 	if h.ejections > 0 && !b.ejected(h) {
 		// Its pending attempts caused the ejection; a trial shows whether only those are lost.
 		oldest, n = nil, 0
 	}
-	return n > 0 && float64(n+1) > h.limit || b.now < h.idleUntil || b.overTarget(oldest)
+	return n > 0 && float64(n+1) > h.limit || b.now < h.idleUntil || b.overdue(oldest)
 }
 
-// overTarget reports whether the oldest attempt that a host has yet to answer has already taken longer
-// than overdueTargets.
-func (b *Balancer) overTarget(oldest *attempt) bool {
-	return oldest != nil &&
-		float64(b.now-oldest.sent) > overdueTargets*float64(oldest.request.class.LatencyTarget)
+// overdue reports whether an attempt, which may be nil, has taken longer than overdueTargets.
+func (b *Balancer) overdue(a *attempt) bool {
+	return a != nil &&
+		float64(b.now-a.sent) > overdueTargets*float64(a.request.class.LatencyTarget)
 }
 
 // rateSpan is the time constant of the event rates in seconds.
@@ -597,16 +593,16 @@
 	if a.sent < h.resetAt {
 		return // it ran on a former process of that host
 	}
-	// The ratio is the RTT in class targets, scaled so that the RTT goal of the limit is limitTargets:
-	// limitFactor mean RTTs of the class count as limitTargets where that gives a higher ratio.
-	ratio := rtt / a.request.class.LatencyTarget.Seconds()
+	// The ratio of the RTT to the class target is scaled so that the RTT goal of the limit is limitTargets:
+	// limitFactor mean RTTs of the class are the goal where they are lower, which gives a higher ratio.
+	rttRatio := rtt / a.request.class.LatencyTarget.Seconds()
 	if l := &a.request.class.rtt; l.seen {
-		ratio = max(ratio, limitTargets/limitFactor*rtt/l.mean)
+		rttRatio = max(rttRatio, limitTargets/limitFactor*rtt/l.mean)
 	}
 	// Where fewer than rateMinSharers instances share a host, a lone attempt seldom meets congestion, so the
 	// usual RTT of lone attempts raises the goal. With more sharers, lone attempts meet those of others.
 	if l := &a.request.class.aloneRTT; l.seen && b.sharers() < rateMinSharers {
-		ratio /= min(max(1, aloneFactor*l.mean/(limitTargets*a.request.class.LatencyTarget.Seconds())),
+		rttRatio /= min(max(1, aloneFactor*l.mean/(limitTargets*a.request.class.LatencyTarget.Seconds())),
 			maxLimitTargets/limitTargets)
 	}
 	if a.trial {
@@ -624,7 +620,7 @@
 			h.warmRTT.addTimed(max(normalized, 1e-6)*b.coldShare(h), b.now,
 				b.settings.OverloadWindow.Seconds())
 		}
-		b.adjustLimit(h, ratio, a.request.class.LatencyTarget, a.sent)
+		b.adjustLimit(h, rttRatio, a.request.class.LatencyTarget, a.sent)
 		b.adjustRate(a, rtt)
 		if !h.cold && b.activeHosts > 0 {
 			b.served.add(b.now, b.rateSpan())
@@ -634,11 +630,12 @@
 		}
 		b.readmit(h)
 	case Full:
-		// A refusal comes at once but counts as an RTT of at least the latency target. By its true RTT, a
+		// A refusal comes at once but is taken as an RTT of at least the latency target. By its true RTT, a
 		// host that only refuses would attract all queued requests.
-		b.adjustLimit(h, max(ratio, 1), a.request.class.LatencyTarget, a.sent)
-		// The limit does not act on a host without pending attempts. It idles until some of its work can
-		// have ended (one that drains unlisted takes no more), but not too long to retry what is bound to it.
+		b.adjustLimit(h, max(rttRatio, 1), a.request.class.LatencyTarget, a.sent)
+		// The limit does not act on a host without pending attempts. Such a host idles until some of its work
+		// can have ended (one that drains but is not listed as draining takes no more requests), but not too
+		// long to retry requests that are bound to it.
 		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
 		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
 		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
@@ -660,7 +657,7 @@
 		if a.sent < h.servedSentAt {
 			return // the host lost this one but answers others: it is not congested
 		}
-		b.adjustLimit(h, ratio, a.request.class.LatencyTarget, a.sent)
+		b.adjustLimit(h, rttRatio, a.request.class.LatencyTarget, a.sent)
 		b.adjustRate(a, rtt)
 	case ConnectFailed, Reset:
 		b.addSample(h, rtt)
@@ -673,48 +670,51 @@
 	}
 }
 
-// adjustLimit steers a host's in-flight limit so that its mean RTT stays at a share of the latency
-// target. It guards against congestion, which wastes work on requests that are answered too late and
-// can drive a host into a slow state. It acts when the mean RTT passes that share, and then once a
-// round: only an attempt sent after the last cut can show whether that was enough.
-func (b *Balancer) adjustLimit(h *host, ratio float64, target, sent Time) {
-	h.rttRatio.addTimed(ratio, b.now, recentTargets*b.shortestTarget.Seconds())
+// adjustLimit adjusts a host's in-flight limit to keep the mean of its RTT ratios (see observe) at the goal,
+// limitTargets. It guards against congestion, which wastes work on requests that are answered too late and
+// can drive a host into a state in which it is slow. It cuts the limit when the mean exceeds the goal, and
+// then once a round (one RTT): only an attempt sent after the last cut can show whether that was enough.
+// With a limit below one, it also makes the host idle for a time. While the mean does not exceed the goal
+// and requests are queued, it raises the limit of a host that is at its limit.
+func (b *Balancer) adjustLimit(h *host, rttRatio float64, latencyTarget, sent Time) {
+	h.rttRatio.addTimed(rttRatio, b.now, recentTargets*b.shortestTarget.Seconds())
 	sharers := b.sharers()
 	if h.rttRatio.mean > limitTargets {
 		if sent >= h.limitCutAt {
-			h.limit = max(minLimit/sharers, h.limit*limitTargets/h.rttRatio.mean)
+			h.limit = max(minFleetLimit/sharers, h.limit*limitTargets/h.rttRatio.mean)
 			h.limitCutAt = b.now
 		}
 		if h.limit < 1 {
-			h.idleUntil = b.now + Time(float64(target)*h.rttRatio.mean*(1/h.limit-1))
+			// The host is busy for about one mean RTT; with this idle time, busy/(busy+idle) is h.limit.
+			h.idleUntil = b.now + Time(float64(latencyTarget)*h.rttRatio.mean*(1/h.limit-1))
 		}
-	} else if h.pending+1 >= int(h.limit) && b.queued > 0 {
-		h.limit += limitGrowth / (sharers * h.limit)
+	} else if h.pending+1 >= int(h.limit) && b.queued > 0 { // +1: this attempt is not pending now
+		h.limit += fleetLimitGrowth / (sharers * h.limit)
 	}
 }
 
-// adjustRate steers this instance's send rate by the RTT of its last answers, against the mean of
-// their class and its latency target. It guards the fleet against overload, once a round, where
-// rateMinSharers instances or more share a host and have less than one attempt each there. A cold host
-// is guarded by its pacing; its answers only let the limit grow.
+// adjustRate adjusts the limit on this instance's send rate to keep the RTT of its last answers at a goal,
+// which follows from the mean RTT and the latency target of their class. It guards the fleet against
+// overload, once a round, where rateMinSharers instances or more share a host and have less than one attempt
+// each there. A cold host is guarded by its pacing; its answers only let the limit grow.
 func (b *Balancer) adjustRate(a *attempt, rtt float64) {
-	target := rateTargets * a.request.class.LatencyTarget.Seconds()
+	rttGoal := rateTargets * a.request.class.LatencyTarget.Seconds()
 	if l := &a.request.class.rtt; l.seen {
-		target = min(target, rateFactor*l.mean)
+		rttGoal = min(rttGoal, rateFactor*l.mean)
 	}
 	if !a.host.cold {
-		b.rttRatio.blend(min(rtt/target, maxRateRatio), rateRatioWeight)
+		b.rateRatio.blend(min(rtt/rttGoal, maxRateRatio), rateRatioWeight)
 	}
 	switch {
 	case b.sharers() < rateMinSharers:
 		b.rateLimit = 0 // without effect here: cuts must not accumulate
-	case b.rttRatio.mean > 1 && a.sent >= b.rateCutAt && !a.host.cold:
+	case b.rateRatio.mean > 1 && a.sent >= b.rateCutAt && !a.host.cold:
 		if sends := b.sends.value(b.now, b.rateSpan()); b.rateLimit == 0 || sends < b.rateLimit {
 			b.rateLimit = sends
 		}
-		b.rateLimit = max(b.rateLimit/b.rttRatio.mean, 1/b.rateSpan())
-		b.rttRatio.mean, b.rateCutAt, b.rateGrownAt = 1, b.now, b.now
-	case b.rateLimit > 0 && b.rttRatio.mean <= 1:
+		b.rateLimit = max(b.rateLimit/b.rateRatio.mean, 1/b.rateSpan())
+		b.rateRatio.mean, b.rateCutAt, b.rateGrownAt = 1, b.now, b.now
+	case b.rateLimit > 0 && b.rateRatio.mean <= 1:
 		b.rateLimit *= math.Exp((b.now - b.rateGrownAt).Seconds() / (rateGrowthDecays * b.decay))
 		b.rateGrownAt = b.now
 		if b.rateLimit > 2*b.arrivals.value(b.now, b.rateSpan()) {
@@ -741,7 +741,7 @@
 		return
 	}
 	h.ejections = 0
-	b.log(logReturn, "host %x is back", h.ID)
+	b.log(logHostBack, "host %x is back", h.ID)
 }
 
 // afterAttempt decides what follows the end of an attempt: nothing if the request has its answer,
@@ -799,7 +799,7 @@
 func (b *Balancer) processQueues() {
 	for i := range b.queues {
 		for n := b.queues[i].head; n != nil && b.now >= n.item.expires; n = b.queues[i].head {
-			b.log(logRefuse, "refusing: hosts are full, %d requests wait", b.queued)
+			b.log(logRequestRefused, "refusing: hosts are full, %d requests wait", b.queued)
 			b.answerUnserved(n.item)
 		}
 	}
@@ -811,8 +811,8 @@
 	b.scheduleSweep()
 }
 
-// serveQueue sends the requests of a queue. A retry that is bound to its DedupScope does not block
-// those behind it. It reports whether no host is ready for a request without an attempt.
+// serveQueue sends the requests of a queue. A retry that is bound to its DedupScope does not block those
+// behind it. It reports whether no host is ready for a request without an attempt that may have run.
 func (b *Balancer) serveQueue(queue *list[request]) (noneReady bool) {
 	for n := queue.head; n != nil; {
 		r, next := n.item, n.next
@@ -827,7 +827,7 @@
 	return false
 }
 
-// silenceTimeout is how long an attempt may take before its host counts as silent.
+// silenceTimeout is how long an attempt may take before checkSilence takes its host to be silent.
 func (b *Balancer) silenceTimeout(r *request) Time {
 	if l := &r.class.rtt; l.seen {
 		return Time(1e9 * (l.mean + silenceDeviations*l.dev))
@@ -858,7 +858,7 @@
 }
 
 // cancelLost cancels attempts that a host has lost: later ones were answered, and they are older than
-// the latency target, after which an answer has no value. Each holds one of the few connections that
+// the latency target, after which an answer has no value. Each occupies one of the few connections that
 // the host accepts. An idempotent request goes elsewhere while there is time, as soon as its attempt
 // is overdue and should have been answered; only once, as a request that is slow on any host gains
 // nothing from a restart.
@@ -870,7 +870,7 @@
 		case r.done || r.streaming || !b.settings.CancelAllowed:
 		case age >= r.class.LatencyTarget:
 			b.answerUnserved(r)
-		case r.class.Effect == Idempotent && !r.attemptLost && b.overTarget(a) &&
+		case r.class.Effect == Idempotent && !r.attemptLost && b.overdue(a) &&
 			age >= b.silenceTimeout(r) && b.mayRetry(r):
 			r.attemptLost = true
 			b.cancelAttempts(r, -1)
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -369,9 +369,9 @@
 			g.advance(600 * ms)
 		}
 		g.outcome(id, 0, Canceled, 600*ms)
-		if h.sampled == clientGone || (h.idleUntil > g.now) == clientGone || (g.b.rttRatio.seen) == clientGone {
+		if h.sampled == clientGone || (h.idleUntil > g.now) == clientGone || (g.b.rateRatio.seen) == clientGone {
 			t.Errorf("client gone %v: sampled %v, idle until %v at %v, RTT ratio %+v",
-				clientGone, h.sampled, h.idleUntil, g.now, g.b.rttRatio)
+				clientGone, h.sampled, h.idleUntil, g.now, g.b.rateRatio)
 		}
 	}
 }
@@ -385,12 +385,12 @@
 	g := startGateway(t, set, testHosts(10)...)
 	quick := func(HostID) time.Duration { return 40 * ms }
 	g.serve(100, 0, quick)
-	if ratio := g.b.rttRatio.mean; ratio > 1 || g.b.rateLimit != 0 {
+	if ratio := g.b.rateRatio.mean; ratio > 1 || g.b.rateLimit != 0 {
 		t.Fatalf("RTT ratio %v, rate limit %v at usual RTTs, want a ratio up to 1 and no limit", ratio, g.b.rateLimit)
 	}
 	g.serve(12, 0, func(HostID) time.Duration { return 100 * ms }) // a quarter of the latency target
 	if g.b.rateLimit == 0 {
-		t.Errorf("no rate limit at two and a half times the usual RTT, RTT ratio %v", g.b.rttRatio.mean)
+		t.Errorf("no rate limit at two and a half times the usual RTT, RTT ratio %v", g.b.rateRatio.mean)
 	}
 	if rtt := g.b.classes[0].rtt.mean; rtt > 0.05 {
 		t.Errorf("mean RTT %v s of the class after a short congestion, want about 0.04", rtt)
@@ -404,11 +404,11 @@
 	set.Instances = 100
 	g := startGateway(t, set, testHosts(10)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 20 * ms })
-	before := g.b.rttRatio.mean
+	before := g.b.rateRatio.mean
 	g.request(0, time.Second)
 	g.onlyAction(Send)
 	g.advance(300 * ms)
-	if ratio := g.b.rttRatio.mean; ratio <= before {
+	if ratio := g.b.rateRatio.mean; ratio <= before {
 		t.Errorf("RTT ratio %v after 300 ms without an answer, %v before, want it raised", ratio, before)
 	}
 }
@@ -784,7 +784,7 @@
 	h := g.b.hosts[0]
 	took := func(HostID) time.Duration { return 10 * ms }
 	g.serve(30, 0, took)
-	h.limit = minLimit // two in flight
+	h.limit = minFleetLimit // two in flight
 	lost := g.request(2, time.Second)
 	g.onlyAction(Send)
 	g.serve(90, 0, took) // each must be sent at once
@@ -905,7 +905,7 @@
 			sent[a.Request] = true
 		}
 	}
-	if maxInFlight := 2 * initialLimit; len(sent) != maxInFlight {
+	if maxInFlight := 2 * initialFleetLimit; len(sent) != maxInFlight {
 		t.Fatalf("%d in flight at two new hosts, want %d", len(sent), maxInFlight)
 	}
 	urgent := g.request(2, time.Second)
@@ -964,7 +964,7 @@
 		g.b.now += 300 * ms
 		g.b.adjustLimit(h, 0.8, g.b.shortestTarget, g.b.now)
 	}
-	if h.limit != minLimit {
+	if h.limit != minFleetLimit {
 		t.Errorf("limit %v after slow answers, want the least limit", h.limit)
 	}
 	g.b.now += time.Second
@@ -972,7 +972,7 @@
 		g.b.now += 300 * ms
 		g.b.adjustLimit(h, 0.01, g.b.shortestTarget, g.b.now)
 	}
-	if h.limit != minLimit {
+	if h.limit != minFleetLimit {
 		t.Errorf("limit %v, want no growth while no request is queued", h.limit)
 	}
 	g.b.queued = 1
@@ -1207,7 +1207,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := startGateway(t, basicSettings(), testHosts(1)...)
-			for range initialLimit {
+			for range initialFleetLimit {
 				g.request(0, time.Second)
 			}
 			tt.retry.ID = 1000
--- a/cold.go
+++ b/cold.go
@@ -54,7 +54,7 @@
 // A cold host fails when it gets more requests of mean work than that in an OverloadWindow, where n is
 // OverloadFactor times what it can serve in that time. Random arrivals with the mean n have a standard
 // deviation of sqrt(n), so the budget leaves room for two deviations and two requests. For n below 30,
-// where such counts are skewed toward high values, it leaves room for three of both.
+// it leaves room for three deviations and three requests.
 func coldBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/cold_test.go
+++ b/cold_test.go
@@ -108,7 +108,7 @@
 // it stayed as low as it had been cut for as long as all hosts were cold.
 func TestRateLimitGrowsOnColdAnswers(t *testing.T) {
 	g := startAllCold(t, 8, 0, 2)
-	g.b.rateLimit, g.b.rateGrownAt, g.b.rttRatio.mean = 0.5, g.now, 1
+	g.b.rateLimit, g.b.rateGrownAt, g.b.rateRatio.mean = 0.5, g.now, 1
 	for range 60 {
 		g.request(0, time.Second)
 		for _, a := range append(append([]Action(nil), g.actions...), g.advance(50*ms)...) {
--- a/notified.go
+++ b/notified.go
@@ -1,59 +1,66 @@
 package bramblelock
 
-// How long an instance may send by a host list that discovery no longer keeps current. A change
-// that a lost watch held back counts as notified after a fixed time, whether or not it arrived,
-// and sends to a draining host have to stop DrainGrace after that. Discovery may take longer to
-// answer a whole fleet in turn. An instance that it has not answered by then cannot know which
-// hosts drain, and a draining host answers as usual, so its answers do not show it either: the
-// instance sends nothing until it gets a list, but for no longer than holdLimit after the loss.
+// How long an instance may use a host list that discovery no longer keeps current. A change of the
+// list that a lost watch did not deliver counts as notified after a fixed time, whether or not it has
+// arrived: from then on, operators hold the gateway to it (see NotifiedAfter), and sends to a draining
+// or removed host must stop within DrainGrace. Discovery may take longer to answer a whole fleet in
+// turn. An instance that it has not answered by then cannot know which hosts drain, and a draining
+// host answers as usual, so its answers do not show it either. Such an instance holds its sends: it
+// sends nothing until discovery gives it a list, or until holdEndAfterLoss has passed since the loss.
 
 const (
-	// NotifiedAfterEnd is the time after which a change held back by a watch that ended in order
-	// counts as notified.
+	// NotifiedAfterEnd is the time after which a change counts as notified that a watch did not
+	// deliver before discovery closed it without an error. It starts at the end of the watch.
 	NotifiedAfterEnd = Time(2e9)
-	// NotifiedAfterMove is the same for a change known at the address that discovery moved to.
+	// NotifiedAfterMove is the time after which a change counts as notified that discovery has at a
+	// new address. It starts when the gateway reports the new address (ListMoved).
 	NotifiedAfterMove = Time(4e9)
 
-	holdMargin = Time(200e6) // sends stop this long before they must: a process may stall for 150 ms
-	// Sends resume at the latest this long after a loss, with or without a list: a discovery that
-	// answers nobody must not end service.
-	maxHoldDelay = 2 * NotifiedAfter
+	// holdMargin is how long before the end of DrainGrace sends stop: a process may stall for 150 ms.
+	holdMargin = Time(200e6)
+	// maxHoldEnd is the latest end of a hold, counted from the loss. Sends then resume with or
+	// without a list: a discovery that answers nobody must not end service.
+	maxHoldEnd = 2 * NotifiedAfter
 )
 
-// scheduleHold notes that discovery no longer keeps the list current, and from when sends are held for
-// that.
+// scheduleHold sets the times from which and until which sends are held after a loss of discovery. Of
+// two losses, the one whose hold starts earlier sets both times.
 func (b *Balancer) scheduleHold(kind ListKind) {
 	var notified Time
 	switch kind {
 	case ListEnded:
 		notified = NotifiedAfterEnd
 	case ListSilent:
-		notified = NotifiedAfter - SilentAfter
+		notified = NotifiedAfter - SilentAfter // the silence has lasted SilentAfter already
 	case ListMoved:
 		notified = NotifiedAfterMove
 	case ListUnreachable:
-		b.holdFrom = 0 // discovery is down: changes count as notified only after it is back
+		// Discovery is down. A change counts as notified only NotifiedAfter after discovery can be
+		// reached again, so there is no time yet by which sends must stop.
+		b.holdFrom = 0
 		return
 	default:
-		return // two calls fit into the notification time after such a loss
+		// After a ListFailed, two calls fit into NotifiedAfter (see NextWatchCall).
+		return
 	}
 	if holdFrom := b.now + notified + b.settings.DrainGrace - holdMargin; b.holdFrom == 0 ||
 		holdFrom < b.holdFrom {
-		b.holdFrom, b.holdUntil = holdFrom, b.now+holdLimit(&b.settings)
+		b.holdFrom, b.holdUntil = holdFrom, b.now+holdEndAfterLoss(&b.settings)
 	}
 }
 
-// holdLimit is the time after a loss within which a discovery with the capacity given by the settings
-// has answered a whole fleet: each instance may call once in MaxWatchGap.
-func holdLimit(set *Settings) Time { return min(set.MaxWatchGap, maxHoldDelay) }
+// holdEndAfterLoss is the time from a loss to the end of the hold that follows it. MaxWatchGap shows the
+// capacity of discovery: each instance may call once in that time, so discovery is expected to answer
+// a whole fleet within it.
+func holdEndAfterLoss(set *Settings) Time { return min(set.MaxWatchGap, maxHoldEnd) }
 
 // holding reports whether sends are held until a list arrives.
 func (b *Balancer) holding() bool {
 	return b.holdFrom > 0 && b.now >= b.holdFrom && b.now < b.holdUntil
 }
 
-// sendDeadline is the time until which an attempt that starts now may be written: within the window of
-// a deduplicated request, and before sends are held. 0 means no limit.
+// sendDeadline is the time until which an attempt that starts now may be written: within the
+// DedupWindow of a deduplicated request, and before sends are held. 0 means no limit.
 func (b *Balancer) sendDeadline(r *request) Time {
 	writeBy := b.repeatDeadline(&r.class.Class, r.firstMayHaveRun())
 	if b.now < b.holdFrom && (writeBy == 0 || b.holdFrom < writeBy) {
--- a/state.go
+++ b/state.go
@@ -41,13 +41,13 @@
 
 	shortestTarget Time            // shortest latency target of any class
 	decay          float64         // decay time of RTT estimates in seconds
-	penalty        float64         // least RTT in seconds that an error counts as
+	penalty        float64         // least RTT in seconds that is recorded for an error
 	meanRTT        movingAverage   // RTT in seconds of good answers of any class
 	kindRTT        []movingAverage // RTT in seconds by kind of host, scaled to the mean over all classes
 	warmRate       movingAverage   // good answers a second that this instance gets of a warm host
 	quotas         []tokenBucket   // quotas of the tenants, by index in Settings.Tenants
 
-	rttRatio     movingAverage // RTT of the last attempts at warm hosts, in RTT goals of adjustRate
+	rateRatio    movingAverage // mean ratio of the RTTs of the last attempts at warm hosts to the RTT goal of adjustRate
 	rateCutAt    Time          // time of the last cut of the rate limit
 	rateGrownAt  Time          // time of the last growth of the rate limit
 	rateLimit    float64       // sends a second; 0: not limited
@@ -64,9 +64,9 @@
 	watching      bool // a watch of the host list is open
 	watchAt       Time // time of the next call to discovery
 	watchFails    int  // calls to discovery that failed in a row
-	watchingSince Time // start of the open watch: discovery keeps the list current since then
-	holdFrom      Time // time from which sends are held until a list arrives; 0: sends are not held
-	holdUntil     Time // time at which held sends resume without a list
+	watchingSince Time // start of the open watch: discovery has kept the list current since then
+	holdFrom      Time // time from which nothing is sent until discovery gives a list; 0: sends are not held
+	holdUntil     Time // time at which sends resume even without a list
 	logLines      [logKinds]logLine
 }
 
@@ -88,12 +88,15 @@
 	pendingList   list[attempt] // pending attempts in the order of sending
 	answeredAt    Time          // time of the last answer of any kind
 	connFailedAt  Time          // time at which a connection last failed
-	resetAt       Time          // time of the last end of maintenance; attempts sent before it are not counted
+	resetAt       Time          // time of the last end of maintenance; attempts sent before it do not enter the statistics
 	servedSentAt  Time          // send time of the latest attempt that the host has served
-	limit         float64       // in-flight attempts that the host may have from this instance
-	rttRatio      movingAverage // mean of the RTT ratios of observe, weighted by time and not decayed between samples; the goal is limitTargets
-	limitCutAt    Time          // time of the last cut of the limit
-	idleUntil     Time          // time before which the host gets no requests, after a refusal or with a limit below one
+	limit         float64       // in-flight attempts that the host may have from this instance, its portion of the fleet's limit there; 0: not set yet
+	// rttRatio is the mean of the RTT ratios of observe: RTTs in latency targets of the class, scaled so
+	// that the goal is limitTargets. A sample gets more weight the longer ago the last one is (addTimed);
+	// the mean does not decay between samples.
+	rttRatio   movingAverage
+	limitCutAt Time // time of the last cut of the limit
+	idleUntil  Time // time before which the host gets no attempts, after a refusal or with a limit below one
 
 	ejections     int  // ejections in a row since the last answer
 	ejectUntil    Time // end of the last backoff
@@ -217,7 +220,7 @@
 	r.perSecond, r.updatedAt = r.value(now, span)+1/span, now
 }
 
-// list is a doubly linked list whose items hold their own nodes, so that nothing is allocated.
+// list is a doubly linked list whose items contain their own nodes, so that nothing is allocated.
 type list[T any] struct{ head, tail *node[T] }
 
 type node[T any] struct {
@@ -287,7 +290,7 @@
 }
 
 // addPending adds an attempt to those that its host has yet to answer: they are the load of the host,
-// and their times count for its statistics. An attempt whose request is still being uploaded, or whose
+// and their times enter its statistics. An attempt whose request is still being uploaded, or whose
 // response has begun, is not among them: its time depends on the client, and it is no load at the
 // host.
 func (b *Balancer) addPending(a *attempt) {
@@ -330,7 +333,7 @@
 	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].result == Rejected
 }
 
-// mayHaveRun reports whether an attempt that ended so may have run.
+// mayHaveRun reports whether an attempt that ended with this result may have run.
 func (r Result) mayHaveRun() bool { return !r.ProvesNotRun() }
 
 // finish closes a request that has its answer or needs none.
@@ -358,7 +361,7 @@
 	h.rtt, h.rttAt, h.sampled, h.rttRatio = 0, b.now, false, movingAverage{}
 	h.ejections, h.ejectUntil, h.trialInFlight, h.idleUntil = 0, 0, false, 0
 	h.answeredAt, h.servedSentAt, h.resetAt = b.now, b.now, b.now
-	h.limit = initialLimit / b.sharers()
+	h.limit = initialFleetLimit / b.sharers()
 }
 
 // scheduleSweep schedules the next check of queued requests and pending attempts, if there are any.
@@ -469,14 +472,14 @@
 
 // Kinds of log line. The rate of each kind is limited separately.
 const (
-	logEject = iota
-	logReturn
-	logFailOpen
-	logRefuse
-	logLost
-	logFound
-	logHold
-	logKinds
+	logHostEjected    = iota // a host is ejected
+	logHostBack              // an ejected host has answered and is used again
+	logFailOpen              // most hosts are ejected, and they are used all the same
+	logRequestRefused        // a request has waited too long in a queue and is answered unserved
+	logListLost              // the watch of the host list, or a first call for it, has failed
+	logListRegained          // discovery has given a list again after a loss
+	logSendsHeld             // a request is not sent, as the host list is outdated
+	logKinds                 // number of kinds
 )
 
 // logInterval is the least time between two log lines of a kind.
@@ -484,21 +487,22 @@
 
 // logLine is the state of the rate limit of a kind of log line.
 type logLine struct {
-	loggedAt   Time
-	logged     bool
-	suppressed int // lines held back since loggedAt
+	loggedAt Time
+	logged   bool
+	heldBack int // lines not logged since loggedAt
 }
 
-// log emits a log line for operators, at most one of a kind in a logInterval.
+// log queues a Log action, whose text the gateway writes to its log for operators. Of each kind of line,
+// at most one per logInterval is logged; the next one gives the number of those held back.
 func (b *Balancer) log(kind int, format string, args ...any) {
 	l := &b.logLines[kind]
 	if l.logged && b.now-l.loggedAt < logInterval {
-		l.suppressed++
+		l.heldBack++
 		return
 	}
 	text := fmt.Sprintf(format, args...)
-	if l.suppressed > 0 {
-		text += fmt.Sprintf(" (%d more such lines held back)", l.suppressed)
+	if l.heldBack > 0 {
+		text += fmt.Sprintf(" (%d more such lines held back)", l.heldBack)
 	}
 	*l = logLine{loggedAt: b.now, logged: true}
 	b.emit(Action{Kind: Log, Text: text})
--- a/view.go
+++ b/view.go
@@ -1,7 +1,7 @@
 package bramblelock
 
-// What a view of the fleet changes: how many instances share a host, and which share of its traffic
-// each instance sends to each host of its subset.
+// A view of the fleet is the list of instances that are present. With a view, an instance knows how many
+// instances share a host, and decides which share of its traffic it sends to each host of its subset.
 
 import (
 	"math"
@@ -13,14 +13,14 @@
 const (
 	scatteredHosts    = 8    // first hosts of an instance's preference order that are far apart
 	viewMinSharers    = 7    // least instances that use a host: with six the fitted loads stay uneven
-	viewMaxShrink     = 3    // a view counts as at least the settings' Instances divided by this
+	viewMaxShrink     = 3    // divisor of the settings' Instances for the least size of a view
 	rebalanceInterval = 1e9  // nanoseconds between two fits of the traffic shares
 	peakHold          = 30e9 // nanoseconds that a peak of the instance count is kept
 	peakDecaySeconds  = 30.0 // time constant of the decay of that peak afterwards
 	fitRounds         = 30   // rounds of the fit: loads then differ by some hundredths
 	maxTrafficShare   = 0.5  // largest share of its traffic that an instance sends a host: a pick takes two
 	peerRateSpan      = 30.0 // time constant in seconds of the request rate reported to peers
-	minPeerRate       = 0.01 // least request rate a second that a peer counts with
+	minPeerRate       = 0.01 // least request rate a second that is assumed of a peer
 )
 
 // UpdatePeers applies a new view of the fleet: the instances that are present, with suspect ones and
