--- a/asking.go
+++ b/asking.go
@@ -21,9 +21,9 @@
 	maxResumeSpread = Time(500e6)
 	minResumeWatch  = Time(500e6)
 
-	firstCallGap       = Time(6e6)   // between the first calls of two ranks: 1.8 s for a fleet of 300
+	firstCallGap       = Time(6e6)   // time between the first calls of two ranks: 1.8 s for a fleet of 300
 	firstCallShare     = 0.25        // share of MaxWatchGap within which all first calls are made
-	fleetCallGap       = Time(10e6)  // between two calls of the fleet while discovery fails: 100 a second
+	fleetCallGap       = Time(10e6)  // time between calls of the fleet while discovery fails: 100 a second
 	unreachableCallGap = Time(500e6) // least gap of an instance while discovery's address is unreachable
 	minBackoffShare    = 1.0 / 16    // first backoff in a small fleet, in MaxWatchGaps
 	maxBackoffShare    = 0.25        // longest backoff in a small fleet, after doublings, in MaxWatchGaps
--- a/settings.go
+++ b/settings.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// UpdateSettings replaces the settings. Open requests and their attempts keep the rules that they came
-// under; statistics of a class stay with its name. Invalid settings change nothing.
+// UpdateSettings replaces the settings. Open requests and their attempts keep the rules under which they
+// arrived; statistics of a class stay with its name. Invalid settings change nothing.
 func (b *Balancer) UpdateSettings(now Time, set Settings) error {
 	b.now = now
 	if err := checkSettings(&set); err != nil {
--- a/state.go
+++ b/state.go
@@ -191,7 +191,7 @@
 	m.mean += weight * (x - m.mean)
 }
 
-// minEvents is the number of events from which a rate is known, to about a third.
+// minEvents is the number of events from which a rate is known to within about a third.
 const minEvents = 10
 
 // eventRate is an exponentially decaying rate of events a second.
@@ -373,7 +373,7 @@
 }
 
 // trafficShare is a host's share of this instance's traffic. A host without a fitted share, as it is
-// cold or new, has that of an even spread.
+// cold or new, has the share that an even spread would give it.
 func (b *Balancer) trafficShare(h *host) float64 {
 	if h.trafficShare > 0 {
 		return h.trafficShare
@@ -536,8 +536,8 @@
 	return min(rate, b.longArrivals.value(now, peerRateSpan)*peerRateSpan) // counted over at least one second
 }
 
-// FleetStatus returns the number of instances in the view, the number by which the limits of hosts are
-// shared, and the number of hosts that this instance uses.
+// FleetStatus returns the number of instances in the view, the number of instances among which the limits
+// of hosts are divided, and the number of hosts that this instance uses.
 func (b *Balancer) FleetStatus() (live int, sharedBy float64, hostsUsed int) {
 	return len(b.peers), b.instances(), len(b.subset)
 }
