--- a/cmd/gateway/bank.go
+++ b/cmd/gateway/bank.go
@@ -19,12 +19,12 @@
 	loop    *gateway.Loop
 	roster  *gateway.Roster
 	rank    atomic.Int64 // configured rank of this gateway, updated by a reload
-	status  atomic.Pointer[fleetStatus]
+	status  atomic.Pointer[reportedStatus]
 }
 
-// fleetStatus is the state of the fleet as the decision module uses it, with the reason for its last
-// change. It is part of the answer to GET /members.
-type fleetStatus struct {
+// reportedStatus is the status of this gateway in the fleet as the answer to GET /members states it. The
+// time and the reason are those of the last change of Rank, Live or SubsetHosts.
+type reportedStatus struct {
 	Rank int `json:"rank"`
 	gateway.FleetStatus
 	ChangedAt time.Time `json:"changed"`
@@ -59,15 +59,15 @@
 			peers = append(peers, bramblelock.Peer{Rank: p.Rank, Rate: p.Rate})
 		}
 	}
-	place := f.loop.UpdatePeers(peers)
-	f.members.AnnounceLoad(rank, place.Rate)
+	status := f.loop.UpdatePeers(peers)
+	f.members.AnnounceLoad(rank, status.RequestRate)
 	previous := f.status.Load()
-	current := &fleetStatus{Rank: rank, FleetStatus: place, ChangedAt: time.Now(), Reason: f.members.LastChange()}
-	if previous != nil && previous.Live == place.Live && previous.Draws == place.Draws && previous.Rank == rank {
+	current := &reportedStatus{Rank: rank, FleetStatus: status, ChangedAt: time.Now(), Reason: f.members.LastChange()}
+	if previous != nil && previous.Live == status.Live && previous.SubsetHosts == status.SubsetHosts && previous.Rank == rank {
 		current.ChangedAt, current.Reason = previous.ChangedAt, previous.Reason
 	} else {
-		slog.Info("place in the bank", "rank", rank, "live", place.Live, "caps_shared_by", place.SharedBy,
-			"draws", place.Draws, "why", current.Reason)
+		slog.Info("place in the bank", "rank", rank, "live", status.Live, "caps_shared_by", status.EffectiveInstances,
+			"draws", status.SubsetHosts, "why", current.Reason)
 	}
 	f.status.Store(current)
 }
@@ -75,7 +75,7 @@
 // membersResponse returns the body of the answer to GET /members, to be encoded as JSON.
 func (f *fleetSynchronizer) membersResponse() any {
 	return struct {
-		Place *fleetStatus      `json:"place"`
+		Place *reportedStatus   `json:"place"`
 		Peers []membership.Peer `json:"peers"`
 	}{f.status.Load(), f.members.View()}
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -101,12 +101,12 @@
 	serveErrors := make(chan error, 2)
 	serveOperators := func(*fleetSynchronizer) {}
 	if cfg.Operator != "" {
-		bans, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
+		maintenance, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
 		if err != nil {
 			return err
 		}
 		// Restored before the host list is applied, so that nothing is sent to a host in maintenance.
-		if err := bans.Refresh(loop); err != nil {
+		if err := maintenance.Refresh(loop); err != nil {
 			return err
 		}
 		operatorListener, err := net.Listen("tcp", cfg.Operator)
@@ -115,9 +115,9 @@
 		}
 		sharesListener := cfg.AcceptFD != 0
 		if sharesListener {
-			go bans.Watch(loop, ctx.Done())
+			go maintenance.Watch(loop, ctx.Done())
 		}
-		operator := gateway.NewOperator(loop, server, bans, sharesListener)
+		operator := gateway.NewOperator(loop, server, maintenance, sharesListener)
 		serveOperators = func(synchronizer *fleetSynchronizer) {
 			if synchronizer != nil {
 				operator.Members = synchronizer.membersResponse
--- a/cmd/gateway/membership_test.go
+++ b/cmd/gateway/membership_test.go
@@ -68,7 +68,7 @@
 	}
 	defer resp.Body.Close()
 	var response struct {
-		Place fleetStatus
+		Place reportedStatus
 		Peers []membership.Peer
 	}
 	json.NewDecoder(resp.Body).Decode(&response)
--- a/internal/faultnet/link.go
+++ b/internal/faultnet/link.go
@@ -40,10 +40,10 @@
 	target  string
 	ln      net.Listener // nil in mode Refuse and after Close
 	mode    Mode
-	delay   time.Duration // added before each chunk forwarded
-	changed chan struct{} // closed and replaced when Set sets the mode
-	conns   map[net.Conn]struct{}
-	closed  bool
+	delay   time.Duration         // added before each chunk forwarded
+	changed chan struct{}         // closed and replaced when Set sets the mode
+	conns   map[net.Conn]struct{} // open connections of both sides: accepted ones and those to the target
+	closed  bool                  // Close was called
 }
 
 // NewLink returns a Link that listens on a free loopback port and forwards to target.
@@ -120,7 +120,7 @@
 	l.resetConnsLocked()
 }
 
-// resetConnsLocked resets all tracked connections. The caller holds l.mu.
+// resetConnsLocked resets all connections in l.conns. The caller holds l.mu.
 func (l *Link) resetConnsLocked() {
 	for c := range l.conns {
 		if tc, ok := c.(*net.TCPConn); ok {
@@ -131,8 +131,8 @@
 	}
 }
 
-// track records a connection, so that it can be reset. If the link is closed, it closes the
-// connection and returns false.
+// track adds a connection to l.conns, so that Set and Close reset it. If Close was already called,
+// track closes the connection and returns false.
 func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -21,28 +21,31 @@
 const (
 	pathMembers = "/catalog/members"
 
-	// An instance of discovery answers a call within a second or rejects it; one that is cut off
-	// says nothing. If there are several instances, all of them are tried within allCallsTimeout.
+	// A server of discovery answers a call within a second or rejects it; one that is cut off does
+	// not answer. If there are several addresses, all of them are called within allCallsTimeout.
 	callTimeout     = 2 * time.Second
 	minCallTimeout  = 500 * time.Millisecond
 	allCallsTimeout = 3 * bramblelock.NotifiedAfter / 4
-	// If there is one instance, a call that is given up keeps its place in the queue of discovery
-	// and the next call gets another one, so a call is given enough time to be served in turn.
-	// After a watch that ended, the deadline for notifications leaves no time for a second call
-	// anyway. The factors are multiples of the time after which a watch counts as silent.
-	urgentTimeoutFactor = 1 // the time since the loss has run for a while, or is short
+	// If there is one address, a call that is given up keeps its place in the queue of discovery
+	// and the next call gets another one, so a call is given enough time to be served in turn. Its
+	// timeout is one of these factors times silenceTimeout. After a watch that ended, the deadline
+	// for notifications leaves no time for a second call anyway. After a watch that fell silent,
+	// part of the time until that deadline has passed, and after a change of addresses that time is
+	// short, so the factor of both is the smallest.
+	urgentTimeoutFactor = 1
 	usualTimeoutFactor  = 1.5
 	endedTimeoutFactor  = 2
 	watchDialTimeout    = 500 * time.Millisecond
-	// If lists are pushed, what the gateway's own agent has counts as notified whether or not a
-	// watch is open, so a new watch is begun soon. maxWatchBackoff is half of the longest wait.
+	// If lists are pushed (onDemand is false), a change that the gateway's own agent has counts as
+	// notified whether or not a watch is open, so a new watch begins soon. With its jitter, a wait
+	// may be up to twice maxWatchBackoff.
 	minWatchBackoff = 50 * time.Millisecond // wait before a new watch, doubled up to maxWatchBackoff
 	maxWatchBackoff = 300 * time.Millisecond
 	maxListBytes    = 4 << 20 // a list of 2,000 hosts has 250 kB
-	// A list with a version lower than ours is rejected for this long. If every address still
-	// offers only such lists after that, discovery has started its versions anew (a catalog that
-	// was rebuilt empty) and its full list is applied: what it has counts as notified, whatever its
-	// version.
+	// versionResetAfter is for how long lists with a lower version than the list in use are
+	// rejected. If every address still offers only such lists after that, discovery has started its
+	// versions anew (a catalog that was rebuilt empty) and its full list is applied, because changes
+	// that discovery has count as notified whatever their version.
 	versionResetAfter = bramblelock.NotifiedAfter / 4
 	// listAgeLogInterval is the time between two log lines on the age of the list in use while
 	// discovery is unreachable.
@@ -78,40 +81,42 @@
 	return bramblelock.Draining
 }
 
-// Discovery watches the list of hosts and passes it on to a ListHandler.
+// Discovery watches the list of hosts by calls to the discovery service, and passes the list and its
+// changes on to a ListHandler. A watch is a call whose answer stays open and streams lists.
 type Discovery struct {
 	addrsChanged    chan struct{} // signals that there are other addresses to watch
-	onDemand        bool          // a watch begins only when the module asks for it
+	onDemand        bool          // a watch begins only when Watch is called, as the Balancer decides
 	watchRequested  chan struct{}
-	version         uint64 // of the list that was passed on last; owned by Run
-	needFullList    bool   // a full list is requested, whatever version there is; owned by Run
+	version         uint64 // version of the list that was passed on last; owned by Run
+	needFullList    bool   // the next call requests a full list, not the changes since version; owned by Run
 	unansweredCalls int    // consecutive calls without an answer; owned by Run
 	client          http.Client
 	syncLists       func()        // returns once the lists that were passed on are in force
-	silenceTimeout  time.Duration // a watch that is silent for this long is dead
+	silenceTimeout  time.Duration // a watch on which nothing arrives for this long is given up
 	timeoutFactor   float64       // time that the next call may take, as a multiple of silenceTimeout; owned by Run
-	answerTimeout   time.Duration // time that a call may go without an answer if there are other instances
+	answerTimeout   time.Duration // time that a call may go without an answer if there are several addresses
 	lastHeardAt     time.Time     // when discovery last sent anything; owned by Run
-	olderListSince  time.Time     // since when only lists older than ours were offered; owned by Run
+	olderListSince  time.Time     // since when only lists older than the one in use were offered; zero if none was; owned by Run
 	haveList        bool          // a list is in use; owned by Run
 	maxRetryDelay   time.Duration // longest delay that discovery can request with Retry-After
-	retryAt         time.Time     // discovery asked not to be called before; owned by Run
+	retryAt         time.Time     // time before which discovery asked not to be called; owned by Run
 
 	mu          sync.Mutex
-	addrs       []string                // instances of one discovery service, tried in turn
+	addrs       []string                // addresses of one discovery service, called in turn
 	addrIndex   int                     // index of the address in use
 	addrsUnused bool                    // addrs have changed and none of them has been called yet
 	cancelWatch context.CancelCauseFunc // ends the present watch; nil if there is none
 	callConn    *watchConn              // connection of the present or the last call
 }
 
-// ListHandler receives lists of hosts, changes of them and reports that discovery was lost. Loop
-// and Roster implement it.
+// ListHandler receives lists of hosts, changes of them and reports of a loss of discovery. Loop and
+// Roster implement it.
 type ListHandler interface {
 	HandleList(kind bramblelock.ListKind, list MemberList)
 }
 
-// splitAddrs parses GW_DISCOVERY: one address, or several of one service, separated by commas.
+// splitAddrs parses the value of GW_DISCOVERY: one address, or several addresses of one service that
+// are separated by commas.
 func splitAddrs(s string) []string {
 	var out []string
 	for _, a := range strings.Split(s, ",") {
@@ -143,7 +148,7 @@
 	return d
 }
 
-// dial connects to discovery for a call.
+// dial connects to discovery for a call and makes the connection the current one.
 func (d *Discovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{Timeout: watchDialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -167,14 +172,14 @@
 // called before Run.
 func (d *Discovery) SetSync(sync func()) { d.syncLists = sync }
 
-// UpdateOverdue returns whether discovery has written something that should be in force by now.
+// UpdateOverdue returns whether discovery has written data that should be in force by now and is not.
 // That happens after the process was stalled: a change counts as notified from when it was written.
 func (d *Discovery) UpdateOverdue() bool {
 	c := d.currentConn()
 	return c != nil && c.updateOverdue()
 }
 
-// Watch requests a watch, if the module has to ask for watches.
+// Watch requests a watch. The request has an effect only if watches begin on demand.
 func (d *Discovery) Watch() {
 	select {
 	case d.watchRequested <- struct{}{}:
@@ -201,16 +206,16 @@
 	}
 }
 
-// Run watches the list until ctx ends. After a watch breaks it begins a new one at the next
-// address, after a capped exponential backoff with jitter. If the module asks for watches, Run
-// reports the loss instead, and the module decides when to watch again. After a change of addresses
-// a watch begins at once, as the request for it still holds. While no address answers, the last
+// Run watches the list until ctx ends. After a watch was lost, Run begins a new one at the next
+// address, after a capped exponential backoff with jitter. If watches begin on demand, Run reports
+// the loss instead, and the Balancer decides when to watch again. After a change of addresses a watch
+// begins at once, as the request for the watch before still holds. While no address answers, the last
 // list stays in use, and its age is logged every listAgeLogInterval.
 func (d *Discovery) Run(ctx context.Context, loop ListHandler) {
 	backoff, watchLost := minWatchBackoff, false
-	var lostSince, loggedAt time.Time      // time of the loss, and of the last log line about it
-	callAgain, failedInstances := false, 0 // whether the next watch begins without being requested; instances that failed in this round
-	retriedUnanswered := false             // an unanswered call has already been repeated at once
+	var lostSince, loggedAt time.Time  // time of the loss, and of the last log line about it
+	callAgain, failedAddrs := false, 0 // callAgain: the next watch begins without a request; failedAddrs: calls that failed in this round through the addresses
+	retriedUnanswered := false         // an unanswered call has already been repeated at once
 	for ctx.Err() == nil {
 		if d.onDemand && !callAgain {
 			select {
@@ -240,9 +245,9 @@
 			continue
 		}
 		// A watch that fell silent has missed changes that count as notified by now. It is reopened
-		// at once, and a failure is reported to the module only if that fails, as the module waits
-		// before the next call. A call without an answer is also repeated at once, but only once:
-		// if no call is answered, the module spaces the calls of the fleet.
+		// at once, and a failure is reported to the Balancer only if the new call fails, as the
+		// Balancer waits before the next call. A call without an answer is also repeated at once, but only
+		// once: if no call is answered, the Balancer spaces the calls of the fleet.
 		callAgain = errors.Is(err, errSilent) && (received || !retriedUnanswered)
 		switch {
 		case callAgain && received:
@@ -256,14 +261,14 @@
 		retriedUnanswered = callAgain && !received
 		d.mu.Lock()
 		d.addrIndex = (d.addrIndex + 1) % len(d.addrs)
-		instances := len(d.addrs)
+		addrCount := len(d.addrs)
 		d.mu.Unlock()
-		// Another instance may be available: each is tried once before a failure is reported, unless
-		// one has asked not to be called.
-		if failedInstances++; !received && failedInstances < instances && time.Now().After(d.retryAt) {
+		// Another address may be available: each one is called once before a loss is reported, unless
+		// discovery has asked not to be called yet.
+		if failedAddrs++; !received && failedAddrs < addrCount && time.Now().After(d.retryAt) {
 			callAgain = true
 		} else {
-			failedInstances = 0
+			failedAddrs = 0
 		}
 		switch now := time.Now(); {
 		case !watchLost:
@@ -290,8 +295,9 @@
 	}
 }
 
-// watch holds one watch until it ends. It returns whether the watch received anything, or was open
-// when it fell silent.
+// watch makes one call and handles the lists of its answer until the watch ends. It returns the reason
+// for the end and whether data was received, which is false if a malformed or older list ended the
+// watch. If silence or a change of addresses ended it, received is true once the call was answered.
 func (d *Discovery) watch(ctx context.Context, loop ListHandler) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -351,16 +357,16 @@
 	}
 	answered = true
 	silenceTimer.Reset(d.silenceTimeout)
-	upToDate := d.haveList && index == d.version && index > 0 // otherwise the list is still to come
+	upToDate := d.haveList && index == d.version && index > 0 // else a list is still to come
 	reader := &listReader{body: resp.Body, onData: func(blank bool) {
 		silenceTimer.Reset(d.silenceTimeout)
 		received, d.lastHeardAt = true, time.Now()
-		if blank && upToDate { // the list has not changed since our version
+		if blank && upToDate { // the first data is white space: the list has not changed since d.version
 			loop.HandleList(bramblelock.ListChanges, MemberList{Version: index})
 		}
 		upToDate = false
 	}}
-	lists := json.NewDecoder(reader) // not by lines, as a list may be indented
+	lists := json.NewDecoder(reader) // does not split at line ends, as a list may be indented
 	for {
 		var list MemberList
 		err := lists.Decode(&list)
@@ -371,7 +377,7 @@
 		case reader.readErr != nil:
 			return received, reader.readErr
 		case err == io.EOF:
-			return received, io.ErrUnexpectedEOF // a watch never ends in order
+			return received, io.ErrUnexpectedEOF // a watch is not meant to end; the deferred function wraps it in errEnded
 		case isMalformedList(err):
 			d.needFullList = true // the changes in it are lost
 			return false, fmt.Errorf("discovery's list: %w", err)
@@ -383,7 +389,7 @@
 				d.olderListSince = time.Now()
 			}
 			if time.Since(d.olderListSince) < versionResetAfter || !list.Full {
-				d.needFullList = true // if its versions start anew, ours is not one of them
+				d.needFullList = true // discovery may have started its versions anew, and then has no changes since d.version
 				return false, fmt.Errorf("%w: %d, ours %d", errOlderList, list.Version, d.version)
 			}
 			slog.Error("discovery counts anew: its whole list is taken", "version", list.Version, "ours", d.version)
@@ -398,11 +404,12 @@
 	}
 }
 
-// listReader calls onData for every read that returns data, and fails if a list is too long.
+// listReader reads from body, calls onData for every read that returns data, and fails with
+// errListTooLong if a list is longer than maxListBytes.
 type listReader struct {
 	body           io.Reader
-	onData         func(blank bool) // blank means that there is only white space
-	bytesSinceList int              // bytes read since the last whole list
+	onData         func(blank bool) // blank means that the data is only white space
+	bytesSinceList int              // bytes read since the last whole list was decoded
 	readErr        error            // error other than io.EOF that ended the connection
 }
 
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -16,8 +16,8 @@
 
 // This file computes how long calls for the list may take and when they are repeated.
 
-// applyRetryAfter applies the value of a Retry-After header, in seconds, within the limits of the
-// module. It ignores a value that is not such a number, and caps one that is too long.
+// applyRetryAfter sets retryAt from the value of a Retry-After header in seconds. It ignores a value
+// that is not a number of seconds, and cuts one that is longer than retryDelay allows.
 func (d *Discovery) applyRetryAfter(retryAfter string) {
 	if retryAfter == "" {
 		return
@@ -27,19 +27,20 @@
 		slog.Warn("discovery's Retry-After is no number of seconds, ignored", "value", retryAfter[:min(len(retryAfter), 40)])
 		return
 	}
-	asked := time.Duration(math.MaxInt64)
-	if s < asked.Seconds() {
-		asked = time.Duration(s * float64(time.Second))
+	requested := time.Duration(math.MaxInt64)
+	if s < requested.Seconds() {
+		requested = time.Duration(s * float64(time.Second))
 	}
-	wait := d.retryDelay(asked, rand.Float64())
-	if wait < asked {
+	wait := d.retryDelay(requested, rand.Float64())
+	if wait < requested {
 		slog.Warn("discovery's Retry-After is longer than changes may go unheard, cut", "value", retryAfter[:min(len(retryAfter), 40)])
 	}
 	d.retryAt = time.Now().Add(wait)
 }
 
-// nextCallTimeout returns how long the next call may go without an answer. If the last call had
-// none, it may have waited in the queue of a busy discovery, so the next one gets more time.
+// nextCallTimeout returns how long the next call may go without an answer. If there is one address and
+// the last call got no answer, that call may have waited in the queue of a busy discovery, so the next
+// one gets more time.
 func (d *Discovery) nextCallTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,10 +54,11 @@
 	return time.Duration(factor * float64(d.silenceTimeout))
 }
 
-// errEnded marks a watch whose connection ended in order.
+// errEnded marks a watch whose call was answered and whose answer then ended without an error of the
+// connection, such as a reset. The Balancer gets ListEnded for it.
 var errEnded = errors.New("the watch ended")
 
-// lossKind returns the kind of a loss of discovery that is reported to the module.
+// lossKind returns the kind of the loss of discovery that is reported to the Balancer for err.
 func lossKind(err error) bramblelock.ListKind {
 	switch {
 	case errors.Is(err, errEnded):
@@ -67,11 +69,13 @@
 	return bramblelock.ListFailed
 }
 
-// retryDelay returns how long to wait before the next call after discovery asked for a delay. It
-// adds up to a quarter, in proportion to jitter (0 to 1), so that gateways that were given the same
-// delay do not call together. It does not exceed the longest time that a list may go without a
-// call; with a list, the limit follows from the deadline for notifications.
-func (d *Discovery) retryDelay(asked time.Duration, jitter float64) time.Duration {
+// retryDelay returns how long to wait before the next call after discovery requested a delay. The
+// result is the requested delay and up to a quarter more, in proportion to jitter (0 to 1), so that
+// gateways that were given the same delay do not call together. The result does not exceed the longest
+// time that a list may go without a call, which is maxRetryDelay (listAgeLogInterval if that is not
+// set). With a list, it does not exceed bramblelock.MaxWatchBackoff either, which follows from the
+// deadline for notifications.
+func (d *Discovery) retryDelay(requested time.Duration, jitter float64) time.Duration {
 	maxDelay := d.maxRetryDelay
 	if maxDelay <= 0 {
 		maxDelay = listAgeLogInterval
@@ -79,12 +83,13 @@
 	if d.haveList {
 		maxDelay = min(maxDelay, bramblelock.MaxWatchBackoff)
 	}
-	asked = min(asked, maxDelay)
-	return min(asked+time.Duration(jitter/4*float64(asked)), maxDelay)
+	requested = min(requested, maxDelay)
+	return min(requested+time.Duration(jitter/4*float64(requested)), maxDelay)
 }
 
-// startSilenceTimer calls onSilence after a time unless the timer is reset before. If there is
-// unread data then, the process was stalled and not discovery silent, so the data is read first.
+// startSilenceTimer returns a timer that calls onSilence after the given time unless it is reset or
+// stopped before. If there is unread data when the timer fires, the process was stalled and discovery
+// was not silent, so the data is read first.
 func (d *Discovery) startSilenceTimer(after time.Duration, onSilence func()) (timer *time.Timer) {
 	timerSet := make(chan struct{})
 	timer = time.AfterFunc(after, func() {
@@ -104,7 +109,7 @@
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(3*d/2) }
 
 // logCall logs the result of a call for the list. If changes reach a fleet late, the durations of
-// its calls show which gateway was served when.
+// the calls of its gateways show which gateway was served when.
 func logCall(ctx context.Context, index uint64, took time.Duration, resp *http.Response, err error) {
 	status := 0
 	if resp != nil {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -128,21 +128,21 @@
 			return moved
 		},
 	} {
-		for _, ask := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, asked for %t", name, ask), func(t *testing.T) {
+		for _, onDemand := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, on demand %t", name, onDemand), func(t *testing.T) {
 				t.Parallel()
-				testDrainDespiteFault(t, ask, fault)
+				testDrainDespiteFault(t, onDemand, fault)
 			})
 		}
 	}
 }
 
-func testDrainDespiteFault(t *testing.T, ask bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
+func testDrainDespiteFault(t *testing.T, onDemand bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
 	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	r := newFakeDiscovery(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
-	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = ask, time.Second
+	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = onDemand, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
 	d.silenceTimeout = 300 * time.Millisecond
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -14,40 +14,42 @@
 	"bramblelock"
 )
 
-// Loop owns the Balancer. Other goroutines post events to it, which it handles one at a time, and
-// it carries out what the Balancer decides. It never blocks: work that takes time runs in its own
-// goroutine and posts its result as an event.
+// Loop owns the Balancer, which is the decision module (package bramblelock). Other goroutines post
+// events to the Loop. It handles them one at a time and performs the actions that the Balancer
+// decides on. It never blocks: work that takes time runs in its own goroutine and posts its result
+// as an event.
 type Loop struct {
 	events chan func(now bramblelock.Time)
-	done   chan struct{} // closed when Run has returned
-	ready  atomic.Bool   // a host that takes requests is known
+	done   chan struct{} // closed when Run returns
+	ready  atomic.Bool   // a host that takes new requests is known
 	rules  atomic.Pointer[Rules]
 	Audit  Audit
 
 	// The fields below are owned by the goroutine of Run.
 	clock         clock
-	wallClock     func() time.Time // wall clock, which may be stepped; time.Now except in tests
+	wallClock     func() time.Time // returns the wall-clock time, which may be stepped; time.Now except in tests
 	balancer      *bramblelock.Balancer
 	actions       []bramblelock.Action
 	timers        timerHeap
 	pool          *Pool
-	requestWatch  func() // requests a watch from discovery
+	requestWatch  func() // requests a watch from Discovery; does not block
 	hosts         map[bramblelock.HostID]*host
 	openRequests  map[bramblelock.RequestID]*exchange // requests without an answer or with an attempt in flight
-	lastID        bramblelock.RequestID
-	zones         map[string]int
-	kinds         map[string]int
-	everListed    map[string]bool // ids of hosts that were ever listed
-	inMaintenance map[string]bool // ids of hosts in maintenance
-	ctx           context.Context // context of all attempts
-	stall         *processStall   // timers wait until what has arrived has been read; nil if the process is not stalled
-
-	firstList     chan struct{} // closed when discovery has sent a list
+	lastID        bramblelock.RequestID               // of the request submitted last
+	zones         map[string]int                      // indices of the zones by name; see nameIndex
+	kinds         map[string]int                      // indices of the kinds of hosts by name; see nameIndex
+	everListed    map[string]bool                     // ids of hosts that were ever listed
+	inMaintenance map[string]bool                     // ids of hosts in maintenance
+	ctx           context.Context                     // context of all attempts
+	stall         *processStall                       // set while timers wait, after a stall of the process, until what has arrived has been read; else nil
+
+	firstList     chan struct{} // closed once discovery has sent or confirmed a list
 	firstListOnce sync.Once
 }
 
-// clock is the module's clock: Unix time as it was at the start, monotonic from then on. Steps of
-// the wall clock do not affect it.
+// clock gives the time that the Balancer uses: nanoseconds since the Unix epoch, taken from the wall
+// clock at start and counted by the monotonic clock from then on. Later steps of the wall
+// clock do not affect it.
 type clock struct {
 	start time.Time
 }
@@ -61,14 +63,15 @@
 // maxStartMS is an upper limit on start times, in Unix ms. Later ones would overflow.
 const maxStartMS = math.MaxInt64 / 4 / int64(time.Millisecond)
 
-// startTime returns when a host started by the module's clock. The host states a time of the wall
-// clock, which may have been stepped since the start of this process, on all machines or on this
-// one. So the time is converted both with the wall clock at the start and with the present one, and
-// the later result counts: a host that counts as cold for too long gets less traffic for a while,
-// but one that wrongly counts as warm is overloaded.
+// startTime converts the start time of a host, in Unix ms of the wall clock, to the Balancer's time.
+// wall is the present time of the wall clock, which may have been stepped since the start of this
+// process, on all machines or on this one. So the start time is converted both with the wall clock
+// at the start of this process and with the present one, and the later result counts: a host that
+// counts as cold for too long gets less traffic for a while, but one that wrongly counts as warm is
+// overloaded.
 func (c clock) startTime(unixMS int64, wall time.Time) bramblelock.Time {
 	if unixMS <= 0 {
-		return 0 // long ago
+		return 0 // the start time is not known and counts as long ago
 	}
 	unixMS = min(unixMS, maxStartMS)
 	now := c.now()
@@ -77,7 +80,7 @@
 	return min(now, max(byStart, byNow))
 }
 
-// timeOf converts a time of the module to a time.Time with a monotonic reading.
+// timeOf converts a time of the Balancer to a time.Time with a monotonic reading.
 func (c clock) timeOf(t bramblelock.Time) time.Time {
 	return c.start.Add(t - bramblelock.Time(c.start.UnixNano()))
 }
@@ -101,7 +104,7 @@
 	return l, nil
 }
 
-// Run handles events until ctx ends, which also ends all attempts.
+// Run handles events and timers until ctx ends, which also ends all attempts.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	l.ctx = ctx
@@ -125,7 +128,8 @@
 	}
 }
 
-// post passes an event to the loop.
+// post passes an event to the goroutine of Run, which calls handle. After Run has returned, the event
+// is dropped.
 func (l *Loop) post(handle func(now bramblelock.Time)) {
 	select {
 	case l.events <- handle:
@@ -133,16 +137,16 @@
 	}
 }
 
-// Ready returns whether requests can be served: a host that takes them is known.
+// Ready returns whether requests can be served: a host that takes new requests is known.
 func (l *Loop) Ready() bool { return l.ready.Load() }
 
-// Submit passes a request to the Balancer. Its answer is sent on x.answer unless x is finished
-// otherwise.
+// Submit passes a request to the Balancer. The final answer is sent on x.answer unless x is finished
+// without the Balancer.
 func (l *Loop) Submit(x *exchange) {
 	l.post(func(now bramblelock.Time) {
 		if rules := l.rules.Load(); rules != x.rules {
 			// The rules changed after the head of the request was read. The rules in force now
-			// apply, as the module knows the classes by their index in them.
+			// apply, as the Balancer knows the classes by their index in its settings.
 			if err := x.resolve(rules); err != nil {
 				x.finish(answer{kind: answerRejected, err: err})
 				return
@@ -162,7 +166,7 @@
 	})
 }
 
-// UpdateRules puts other rules into force. They must have been validated.
+// UpdateRules replaces the rules in force. The new rules must have been validated.
 func (l *Loop) UpdateRules(rules *Rules) {
 	l.post(func(now bramblelock.Time) {
 		if err := l.balancer.UpdateSettings(now, rules.Settings); err != nil {
@@ -173,7 +177,7 @@
 	})
 }
 
-// Abandon reports to the Balancer that a request was finished without it, as its client has left or
+// Abandon reports to the Balancer that a request was finished without it, as the client has left or
 // has been answered.
 func (l *Loop) Abandon(x *exchange) {
 	l.post(func(now bramblelock.Time) {
@@ -182,27 +186,32 @@
 	})
 }
 
-// HandleList passes a list of hosts, changes of it, or a loss of discovery to the Balancer.
+// HandleList applies a list of hosts, changes of the list, or a loss of discovery, and passes it to
+// the Balancer.
 func (l *Loop) HandleList(kind bramblelock.ListKind, list MemberList) {
 	l.post(func(now bramblelock.Time) { l.applyList(now, kind, list) })
 }
 
-// FleetStatus is the part of the fleet's state on which this instance's decisions depend.
+// FleetStatus is the state of the fleet on which the decisions of this instance depend. Instances are
+// the gateways of the fleet.
 type FleetStatus struct {
-	Live     int     `json:"live"`           // instances in the fleet
-	SharedBy float64 `json:"caps_shared_by"` // instances that share the caps of a host
-	Draws    int     `json:"draws"`          // hosts from which this instance draws
-	Rate     float64 `json:"rate"`           // recent requests a second
+	Live               int     `json:"live"`           // alive and suspect instances in the view, this one included
+	EffectiveInstances float64 `json:"caps_shared_by"` // number of instances by which limits of hosts are shared: Live or, if larger, a recent peak, which decays
+	SubsetHosts        int     `json:"draws"`          // hosts in the subset that this instance uses, cold and ejected ones included
+	RequestRate        float64 `json:"rate"`           // recent requests per second to this instance
 }
 
-// UpdatePeers passes changes of the fleet to the Balancer, and returns the status that results.
+// UpdatePeers passes the present view of the fleet to the Balancer: all instances that are alive or
+// suspect, this one included. It returns the status after that. SubsetHosts does not follow from the
+// new view yet, as the Balancer updates the subset when it next picks a host. If Run has returned, the
+// status is zero.
 func (l *Loop) UpdatePeers(peers []bramblelock.Peer) (status FleetStatus) {
 	statuses := make(chan FleetStatus, 1)
 	l.post(func(now bramblelock.Time) {
 		l.balancer.UpdatePeers(now, peers)
 		var current FleetStatus
-		current.Live, current.SharedBy, current.Draws = l.balancer.FleetStatus()
-		current.Rate = l.balancer.RequestRate(now)
+		current.Live, current.EffectiveInstances, current.SubsetHosts = l.balancer.FleetStatus()
+		current.RequestRate = l.balancer.RequestRate(now)
 		statuses <- current
 	})
 	select {
@@ -212,11 +221,11 @@
 	return status
 }
 
-// Listed returns a channel that is closed once discovery has sent a list to this process: what it
-// knew before may be old.
+// Listed returns a channel that is closed once discovery has sent or confirmed a list. A list that
+// the process had before, from the start or from a peer, may be old.
 func (l *Loop) Listed() <-chan struct{} { return l.firstList }
 
-// Sync waits until all events posted before it have been handled.
+// Sync waits until all events posted before the call have been handled, or Run has returned.
 func (l *Loop) Sync() {
 	handled := make(chan struct{})
 	l.post(func(bramblelock.Time) { close(handled) })
@@ -226,7 +235,8 @@
 	}
 }
 
-// hostKnown returns whether a host was ever listed, or is in maintenance.
+// hostKnown returns whether a host was ever listed, or is in maintenance. It returns false if Run has
+// returned.
 func (l *Loop) hostKnown(id string) (known bool) {
 	answer := make(chan bool, 1)
 	l.post(func(bramblelock.Time) { answer <- l.everListed[id] || l.inMaintenance[id] })
@@ -254,12 +264,14 @@
 	})
 }
 
-// maintenanceEnded reports to the Balancer that the maintenance of a host was ended by a call to
-// another process.
+// maintenanceEnded reports to the Balancer that the maintenance of a host ended at the given time, by
+// an operator's call to another process of this instance.
 func (l *Loop) maintenanceEnded(id string, at time.Time) {
 	l.post(func(now bramblelock.Time) { l.balancer.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
 }
 
+// applyList updates the hosts from a list, or from changes of it, and passes them to the Balancer. For
+// a loss of discovery there are no entries, and only the kind is passed.
 func (l *Loop) applyList(now bramblelock.Time, kind bramblelock.ListKind, list MemberList) {
 	if !kind.IsLoss() {
 		listed := map[bramblelock.HostID]bool{}
@@ -273,20 +285,20 @@
 			}
 			h := l.hosts[e.ID]
 			if h == nil && e.State == bramblelock.Removed {
-				continue // it was removed before it was known here
+				continue // the host was removed before this process knew it
 			} else if h == nil {
 				h = &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
 				l.hosts[e.ID] = h
 				l.everListed[m.ID] = true
-				// The module's log lines name a host by its number. One line a host is not too
-				// many.
+				// The Balancer's log lines name a host by its number, so the number of each host is
+				// logged. One line per host is not too many.
 				slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(e.ID), 16), "addr", m.Addr)
 			} else if h.id != m.ID {
 				// Two names with one HostID would be taken for one host.
 				slog.Error("host ignored: the hash of its id collides with another host's", "host", m.ID, "other", h.id)
 				continue
 			}
-			if h.startedMS != m.StartedMS { // usually stated again unchanged
+			if h.startedMS != m.StartedMS { // most lists state the same start time again
 				h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
 			}
 			e.Started = h.startedAt
@@ -319,7 +331,7 @@
 	}
 }
 
-// updateReady sets ready by whether any host is usable.
+// updateReady sets l.ready to whether any host is usable.
 func (l *Loop) updateReady() {
 	ready := false
 	for _, h := range l.hosts {
@@ -328,15 +340,16 @@
 	l.ready.Store(ready)
 }
 
-// hostID returns the number of a host id, which is the same at every gateway and after a restart.
+// hostID returns the number by which the Balancer knows a host: a hash of its id, so that the number
+// is the same at every gateway and after a restart.
 func hostID(id string) bramblelock.HostID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return bramblelock.HostID(h.Sum64())
 }
 
-// nameIndex returns the index of a name. A name that is not in the settings gets the next free
-// index, so that two unknown zones do not count as one.
+// nameIndex returns the index of the name of a zone or a kind. A name that is not in the settings is
+// added with the next free index, so that two unknown zones do not count as one.
 func nameIndex(index map[string]int, name string) int {
 	n, ok := index[name]
 	if !ok {
@@ -346,7 +359,7 @@
 	return n
 }
 
-// performActions carries out what the Balancer has decided.
+// performActions performs the actions that the Balancer has decided on.
 func (l *Loop) performActions() {
 	l.actions = l.balancer.TakeActions(l.actions[:0])
 	for i := range l.actions {
@@ -378,7 +391,7 @@
 	}
 }
 
-// nameOf returns the id of a host, for the log.
+// nameOf returns the id of a host for the log, or an empty string for an unknown host.
 func (l *Loop) nameOf(id bramblelock.HostID) string {
 	if h := l.hosts[id]; h != nil {
 		return h.id
@@ -386,12 +399,13 @@
 	return ""
 }
 
-// startAttempt starts an attempt. Its end is posted as exactly one event.
+// startAttempt starts an attempt. When the attempt ends, exactly one event is posted, which calls
+// attemptEnded.
 func (l *Loop) startAttempt(a *bramblelock.Action) {
 	x, h := l.openRequests[a.Request], l.hosts[a.Host]
 	if x == nil || h == nil {
-		// The Balancer names only hosts and requests that it was given, and keeps no request for
-		// longer than the loop.
+		// The Balancer names only hosts and requests that the loop passed to it, and the loop keeps
+		// each request for at least as long as the Balancer does.
 		panic("gateway: attempt of an unknown request or host")
 	}
 	until := x.deadline
@@ -430,8 +444,8 @@
 	}()
 }
 
-// attemptEnded handles the end of an attempt. The first good answer ends the request, and the
-// Balancer is notified of it.
+// attemptEnded handles the end of an attempt and reports its outcome to the Balancer. The first
+// attempt with the result OK gives the final answer of the request.
 func (l *Loop) attemptEnded(now bramblelock.Time, x *exchange, n int, result bramblelock.Result, good answer) {
 	x.inFlight--
 	x.attempts[n].ended, x.attempts[n].result = true, result
@@ -450,7 +464,7 @@
 	l.releaseIfDone(x)
 }
 
-// finishRequest gives a request the final answer of the Balancer.
+// finishRequest gives a request the final answer that the Balancer decided on.
 func (l *Loop) finishRequest(id bramblelock.RequestID, a answer) {
 	if x := l.openRequests[id]; x != nil {
 		slog.Debug("request ended by the module", "id", x.requestID(), "refused", a.kind == answerRefused, "attempts", len(x.attempts))
@@ -459,16 +473,17 @@
 	}
 }
 
-// releaseIfDone removes a request that has been answered and has no attempt in flight.
+// releaseIfDone removes a request from openRequests if it is finished and has no attempt in flight.
 func (l *Loop) releaseIfDone(x *exchange) {
 	if x.finished.Load() && x.inFlight == 0 {
 		delete(l.openRequests, x.id)
 	}
 }
 
-// runTimers handles the timers that are due. A timer that is set meanwhile waits for the next call,
-// so that timers cannot keep events from being handled. After the process was stalled, what has
-// arrived meanwhile is handled first: an unread answer does not mean that its host is silent.
+// runTimers handles at most as many due timers as there are timers now. A timer that is set meanwhile
+// may have to wait for the next call, so that timers cannot keep events from being handled. After the
+// process was stalled, timers wait until what arrived meanwhile has been handled: an unread answer does
+// not mean that its host is silent.
 func (l *Loop) runTimers() {
 	now := l.clock.now()
 	if l.deferTimers(now) {
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -13,12 +13,13 @@
 
 const (
 	maxPeerListHosts = 20_000  // limit on the hosts of a list from a peer
-	maxVersionLead   = 1 << 20 // a list from a peer is refused if its version is further ahead of ours
+	maxVersionLead   = 1 << 20 // limit on how far the version of a list from a peer may be ahead of the list here
 )
 
 // Roster passes lists from discovery to the loop and keeps the present list of hosts, which it
-// shares with peers. A gateway without a list uses one from a peer until discovery confirms or
-// replaces it; a gateway with its own list keeps that.
+// shares with peers (the other gateways of the fleet). A gateway without a list uses one from a peer
+// until discovery sends one. A gateway whose list is from discovery, or was known at the start, uses
+// none from a peer.
 type Roster struct {
 	loop ListHandler
 
@@ -39,12 +40,13 @@
 	return r
 }
 
-// HandleList applies a list from discovery, or changes of it, and passes it on.
+// HandleList applies a list from discovery or changes of it, and passes them on to the loop. A loss of
+// discovery is only passed on.
 func (r *Roster) HandleList(kind bramblelock.ListKind, list MemberList) {
 	if !kind.IsLoss() {
 		r.mu.Lock()
 		if !r.authoritative {
-			r.hosts = map[string]Member{} // a peer's list counts only until discovery sends one
+			r.hosts = map[string]Member{} // discovery replaces a list from a peer
 		}
 		r.authoritative = true
 		r.merge(kind, list)
@@ -53,7 +55,8 @@
 	r.loop.HandleList(kind, list)
 }
 
-// merge applies a list. The caller holds r.mu, or r is not shared yet.
+// merge replaces the hosts by a full list, or applies changes to them. The caller holds r.mu, or r is
+// not shared yet.
 func (r *Roster) merge(kind bramblelock.ListKind, list MemberList) {
 	if kind == bramblelock.ListFull {
 		r.hosts = make(map[string]Member, len(list.Servers))
@@ -68,7 +71,7 @@
 	r.version, r.encoded = list.Version, nil
 }
 
-// Empty returns whether there is no list.
+// Empty returns whether there is no list, or one without hosts.
 func (r *Roster) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,11 +94,12 @@
 
 var errVersionTooHigh = errors.New("its version is far ahead of ours, which is kept")
 
-// Take accepts a list from a peer if this gateway has no list of its own, and passes it on as a
-// saved list, which does not count as a notification. An error says why the list is refused.
-func (r *Roster) Take(text []byte) error {
+// Take handles an encoded list from a peer. If the list here is not from discovery, was not known at
+// the start and is not as new as the peer's, the peer's list replaces it and is passed on to the loop
+// as a saved list, which does not count as a notification. An error says why an invalid list is refused.
+func (r *Roster) Take(encoded []byte) error {
 	var list MemberList
-	if err := json.Unmarshal(text, &list); err != nil {
+	if err := json.Unmarshal(encoded, &list); err != nil {
 		return err
 	}
 	if len(list.Servers) == 0 || len(list.Servers) > maxPeerListHosts {
@@ -112,7 +116,7 @@
 		return errVersionTooHigh
 	}
 	if r.authoritative || len(r.hosts) > 0 && list.Version <= r.version {
-		return nil // ours is not worse
+		return nil // the list here is authoritative or at least as new
 	}
 	r.merge(bramblelock.ListFull, list)
 	slog.Info("list of hosts taken from a peer until discovery gives one", "version", list.Version, "hosts", len(list.Servers))
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -13,14 +13,14 @@
 // the ready hosts and no others, with or without a view of the fleet.
 func TestThousandHostsAndGateways(t *testing.T) {
 	const count = 1024
-	for _, ask := range []bool{true, false} {
+	for _, onDemand := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, count)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer endBubble(cancel, disco)
-			cfg := bubbleConfig(ask, count, count-1, disco.addr, nil) // no saved list: the list of discovery is all it has
+			cfg := bubbleConfig(onDemand, count, count-1, disco.addr, nil) // no saved list: the list of discovery is all it has
 			g := startBubble(t, ctx, n, cfg)
 			time.Sleep(5 * time.Second)
 			if !g.usable("s-0") || !g.usable("s-1023") {
@@ -40,17 +40,17 @@
 				return good
 			}
 			if n := countServed(200); n != 200 {
-				t.Errorf("asked for %t: %d of 200 requests are served", ask, n)
+				t.Errorf("on demand %t: %d of 200 requests are served", onDemand, n)
 			}
 			var peers []bramblelock.Peer
 			for rank := range count {
 				peers = append(peers, bramblelock.Peer{Rank: rank, Rate: 20})
 			}
-			if p := g.loop.UpdatePeers(peers); p.Live != count || p.Draws == 0 {
-				t.Errorf("asked for %t: the place in the fleet is %+v", ask, p)
+			if p := g.loop.UpdatePeers(peers); p.Live != count || p.SubsetHosts == 0 {
+				t.Errorf("on demand %t: the fleet status is %+v", onDemand, p)
 			}
 			if n := countServed(200); n != 200 {
-				t.Errorf("asked for %t: with a view %d of 200 requests are served", ask, n)
+				t.Errorf("on demand %t: with a view %d of 200 requests are served", onDemand, n)
 			}
 			for _, h := range hosts[1:] { // one host is left
 				disco.mu.Lock()
@@ -63,11 +63,11 @@
 			countServed(20)
 			for _, h := range hosts[1:] {
 				if h.requestsBetween(before, time.Now()) > 0 {
-					t.Fatalf("asked for %t: %s got a request after it began to drain", ask, h.id)
+					t.Fatalf("on demand %t: %s got a request after it began to drain", onDemand, h.id)
 				}
 			}
 			if hosts[0].requestsBetween(before, time.Now()) == 0 {
-				t.Errorf("asked for %t: the host that is left got nothing", ask)
+				t.Errorf("on demand %t: the host that is left got nothing", onDemand)
 			}
 		})
 	}
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// watchConn is a connection to discovery that knows whether the data read from it is in force. Its
-// reader reads more only after all whole lists have been passed to the loop.
+// watchConn is a connection to discovery that knows whether the data that arrived on it is in force,
+// which means that the loop has handled the lists in it. The caller of Read must have passed all whole
+// lists that it read to the loop before it calls Read again.
 type watchConn struct {
 	net.Conn
 	raw        syscall.RawConn // of Conn; nil if there is no socket, as in some tests
@@ -20,7 +21,7 @@
 
 	mu            sync.Mutex
 	delayedReads  int       // reads of data that had been unread for stallThreshold
-	appliedReads  int       // the value of delayedReads up to which all data is in force
+	appliedReads  int       // all data of the first appliedReads delayed reads is in force
 	lastReadAt    time.Time // when data was last read
 	closed        bool
 	unreadDelayed bool // result of checkDelay
@@ -33,7 +34,7 @@
 	return w
 }
 
-// Read reads data as it arrives.
+// Read reads data, and waits for it if there is none.
 func (c *watchConn) Read(p []byte) (int, error) {
 	if c.raw == nil {
 		return c.Conn.Read(p)
@@ -51,14 +52,15 @@
 	return n, nil
 }
 
-// readNow reads the available data and checks how long it has been unread, in one step under c.mu.
+// readNow reads the available data and checks how long it has been unread. It holds c.mu for both, so
+// that updateOverdue sees the data either as unread or as counted in delayedReads.
 func (c *watchConn) readNow(fd int, p []byte, _ *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delayed := hasDelayedData(fd)
 	n, err = retryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
 	if err == syscall.EAGAIN {
-		c.noteHandedOn()
+		c.noteListsPassed()
 		return 0, false, nil
 	}
 	if n > 0 {
@@ -70,9 +72,9 @@
 	return n, true, err
 }
 
-// noteHandedOn records that all data read so far has been passed to the loop. The caller holds
-// c.mu.
-func (c *watchConn) noteHandedOn() {
+// noteListsPassed is called when all lists read so far have been passed to the loop. It waits in a
+// goroutine until the loop has handled them and then sets appliedReads. The caller holds c.mu.
+func (c *watchConn) noteListsPassed() {
 	if c.delayedReads == c.appliedReads {
 		return
 	}
@@ -85,8 +87,7 @@
 	}()
 }
 
-// Close closes the connection. Unread data on it is lost, so that nothing waits for it to be in
-// force.
+// Close closes the connection. Unread data on it is lost, so from then on updateOverdue returns false.
 func (c *watchConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -12,29 +12,31 @@
 	"time"
 )
 
-// maxQueuedBytes limits the log lines that wait to be written. A write in progress may hold as
-// many bytes again.
+// maxQueuedBytes limits the log lines in the queue. The lines of a write in progress are no longer
+// in the queue and may take as many bytes again.
 const maxQueuedBytes = 128 << 10
 
 // Writer is an io.Writer that queues lines and writes them from a goroutine of its own. While the
-// reader of the output is too slow, stopped or gone, whole lines are dropped; their number is
-// logged as soon as a line can be written again. A Writer is safe for concurrent use.
+// reader of the output is too slow, stopped or gone, whole lines are dropped. Their number is logged
+// after the next lines that are written from the queue; while the queue is empty, that waits for a
+// further line. A Writer is safe for concurrent use.
 type Writer struct {
 	out   io.Writer
-	limit int
+	limit int // of queue, in bytes
 
-	mu        sync.Mutex
-	changed   *sync.Cond // signals changes of queue and writing, and the timeout of Flush
-	queue     []byte
-	writing   bool
-	lost      int // lines dropped since the last message about dropped lines
-	totalLost int // lines dropped since the start
+	mu           sync.Mutex
+	stateChanged *sync.Cond // signalled when queue or writing changes and when a Flush times out
+	queue        []byte     // lines that run has not taken yet
+	writing      bool       // run is writing lines that it has taken from queue
+	unreported   int        // dropped lines that no message about dropped lines has counted yet
+	totalDropped int        // lines dropped since the start
 }
 
-// New returns a Writer to out that holds at most twice limit bytes of lines.
+// New returns a Writer to out that holds at most twice limit bytes of lines: limit in the queue, and
+// as many in the write in progress.
 func New(out io.Writer, limit int) *Writer {
 	w := &Writer{out: out, limit: limit}
-	w.changed = sync.NewCond(&w.mu)
+	w.stateChanged = sync.NewCond(&w.mu)
 	go w.run()
 	return w
 }
@@ -54,78 +56,81 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue)+len(line) > w.limit {
-		w.addLost(1)
+		w.addDropped(1)
 		return len(line), nil
 	}
 	w.queue = append(w.queue, line...)
-	w.changed.Broadcast()
+	w.stateChanged.Broadcast()
 	return len(line), nil
 }
 
-// Lost returns the total number of lines dropped.
-func (w *Writer) Lost() int {
+// Dropped returns the number of lines dropped since the start, because the queue was full or a write
+// failed.
+func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.totalLost
+	return w.totalDropped
 }
 
-// Flush waits until all lines are written, but no longer than wait, and reports whether they are.
+// Flush waits until no line is queued or being written, but no longer than wait, and reports whether
+// that is so. Lines of a failed write are dropped and not waited for.
 func (w *Writer) Flush(wait time.Duration) bool {
 	timedOut := false
 	timer := time.AfterFunc(wait, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		timedOut = true
-		w.changed.Broadcast()
+		w.stateChanged.Broadcast()
 	})
 	defer timer.Stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for (len(w.queue) > 0 || w.writing) && !timedOut {
-		w.changed.Wait()
+		w.stateChanged.Wait()
 	}
 	return len(w.queue) == 0 && !w.writing
 }
 
-// run writes queued lines for as long as the process runs.
+// run writes queued lines for as long as the process runs. It uses two buffers in turn: while one is
+// written, Write fills the other as the queue.
 func (w *Writer) run() {
 	var lines []byte
 	for {
 		w.mu.Lock()
 		for len(w.queue) == 0 {
-			w.changed.Wait()
+			w.stateChanged.Wait()
 		}
 		lines, w.queue = w.queue, lines[:0]
 		w.writing = true
-		lost := w.lost
-		w.lost = 0
+		dropped := w.unreported
+		w.unreported = 0
 		w.mu.Unlock()
-		if lost > 0 {
-			lines = append(lines, lostLinesMessage(lost)...) // these lines were dropped after the queued ones
+		if dropped > 0 {
+			lines = append(lines, droppedLinesMessage(dropped)...) // at the end: a full queue drops lines that come after the queued ones
 		}
 		written, err := w.out.Write(lines)
 		w.mu.Lock()
 		w.writing = false
 		if err != nil {
-			w.addLost(bytes.Count(lines[written:], []byte("\n")))
-			if lost > 0 {
-				w.lost, w.totalLost = w.lost+lost-1, w.totalLost-1 // does not count the message about dropped lines itself
+			w.addDropped(bytes.Count(lines[written:], []byte("\n")))
+			if dropped > 0 {
+				w.unreported, w.totalDropped = w.unreported+dropped-1, w.totalDropped-1 // addDropped counted the message itself, which is no dropped line
 			}
 		}
-		w.changed.Broadcast()
+		w.stateChanged.Broadcast()
 		w.mu.Unlock()
 	}
 }
 
-// addLost counts dropped lines. The caller holds w.mu.
-func (w *Writer) addLost(lines int) {
-	w.lost += lines
-	w.totalLost += lines
+// addDropped counts dropped lines. The caller holds w.mu.
+func (w *Writer) addDropped(lines int) {
+	w.unreported += lines
+	w.totalDropped += lines
 }
 
-// lostLinesMessage returns the log line that reports dropped lines.
-func lostLinesMessage(lost int) []byte {
+// droppedLinesMessage returns the log line that reports dropped lines.
+func droppedLinesMessage(dropped int) []byte {
 	var line bytes.Buffer
-	slog.New(slog.NewTextHandler(&line, nil)).Warn("log lines lost, the log was not read", "lines", lost)
+	slog.New(slog.NewTextHandler(&line, nil)).Warn("log lines lost, the log was not read", "lines", dropped)
 	return line.Bytes()
 }
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -64,7 +64,7 @@
 	if !w.Flush(10 * time.Second) {
 		t.Fatal("the queued lines were not written within 10 s")
 	}
-	lost := w.Lost()
+	dropped := w.Dropped()
 	fmt.Fprintln(w, "the last")
 	w.Flush(10 * time.Second)
 	text := out.String()
@@ -76,11 +76,11 @@
 		}
 		logged += n
 	}
-	if logged != lost || !strings.HasSuffix(text, "the last\n") {
-		t.Errorf("%d lines were dropped, but the log reports %d; it ends with %q", lost, logged, text[max(0, len(text)-200):])
+	if logged != dropped || !strings.HasSuffix(text, "the last\n") {
+		t.Errorf("%d lines were dropped, but the log reports %d; it ends with %q", dropped, logged, text[max(0, len(text)-200):])
 	}
-	if got := strings.Count(text, "line 0"); got+lost != lines {
-		t.Errorf("%d lines were written and %d dropped, of %d", got, lost, lines)
+	if got := strings.Count(text, "line 0"); got+dropped != lines {
+		t.Errorf("%d lines were written and %d dropped, of %d", got, dropped, lines)
 	}
 	if !strings.HasPrefix(text, "line 0000\nline 0001\n") {
 		t.Errorf("the log begins with %q", text[:20])
@@ -103,7 +103,7 @@
 	if text := out.String(); !strings.HasPrefix(text, "after it\n") || !strings.HasSuffix(text, "lines=3\n") {
 		t.Errorf("the log is %q, want the line after the failures and a count of 3", text)
 	}
-	if got := w.Lost(); got != 3 {
+	if got := w.Dropped(); got != 3 {
 		t.Errorf("%d lines dropped, want 3", got)
 	}
 }
--- a/internal/membership/lists.go
+++ b/internal/membership/lists.go
@@ -23,22 +23,23 @@
 }
 
 const (
-	listMagic         = "bl-list1"
-	maxListBytes      = 1 << 20 // of an encoded list; a longer one is neither sent nor accepted
-	listRequestPrefix = "want-list:"
-	listPrefix        = "list:"
-	maxListRequests   = 3 // peers that one call of RequestLists asks
+	listFrameMagic    = "bl-list1"   // begins the frame of a list, in messages and in state exchanges
+	maxListBytes      = 1 << 20      // of an encoded list; a longer one is neither sent nor accepted
+	listRequestPrefix = "want-list:" // begins a message that requests a list; the name of its sender follows
+	listMessagePrefix = "list:"      // begins a message that answers such a request; a framed list follows
+	maxListRequests   = 3            // number of peers to which one call of RequestLists sends a request
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frameList prepends the magic string and the CRC-32C to an encoded list. It returns nil for an
-// empty list and for one longer than maxListBytes.
+// frameList returns a frame of an encoded list: listFrameMagic, the CRC-32C of the list, and the list.
+// It returns nil if there is no list to send, as it is empty, and if the list is longer than
+// maxListBytes.
 func frameList(list []byte) []byte {
 	if len(list) == 0 || len(list) > maxListBytes {
 		return nil
 	}
-	frame := binary.LittleEndian.AppendUint32([]byte(listMagic), crc32.Checksum(list, castagnoli))
+	frame := binary.LittleEndian.AppendUint32([]byte(listFrameMagic), crc32.Checksum(list, castagnoli))
 	return append(frame, list...)
 }
 
@@ -50,7 +51,7 @@
 
 // parseListFrame returns the encoded list from a frame that frameList made.
 func parseListFrame(b []byte) ([]byte, error) {
-	payload, ok := bytes.CutPrefix(b, []byte(listMagic))
+	payload, ok := bytes.CutPrefix(b, []byte(listFrameMagic))
 	if !ok || len(payload) < 4 {
 		return nil, errListFormat
 	}
@@ -64,7 +65,8 @@
 	return list, nil
 }
 
-// receiveList checks the integrity of a list from a peer and passes it to Lists.Take.
+// receiveList checks the integrity of a framed host list from a peer and passes the list to
+// Lists.Take. A list that either of them refuses is logged and counted as unreadable.
 func (n *Node) receiveList(b []byte) {
 	if n.lists == nil || len(b) == 0 {
 		return
@@ -79,8 +81,9 @@
 	}
 }
 
-// sendList sends the list to the named peer, which requested it, unless the rate limit of this
-// node is exhausted.
+// sendList sends the host list that Lists.Offer returns to the named peer, which requested it. The
+// request is dropped without an answer if listLimiter does not admit it or if there is no list that
+// can be sent.
 func (n *Node) sendList(name string) {
 	if n.lists == nil || !n.listLimiter.Allow() {
 		return
@@ -91,7 +94,7 @@
 	}
 	for _, m := range n.ml.Members() {
 		if m.Name == name {
-			if err := n.ml.SendReliable(m, append([]byte(listPrefix), list...)); err != nil {
+			if err := n.ml.SendReliable(m, append([]byte(listMessagePrefix), list...)); err != nil {
 				slog.Info("membership: list not sent to peer", "peer", name, "err", err)
 			}
 			return
@@ -99,25 +102,26 @@
 	}
 }
 
-// RequestLists asks a few randomly chosen peers for their host list. Answers arrive later, by
-// Lists.Take; a peer without a list does not answer.
+// RequestLists asks up to maxListRequests randomly chosen peers for their host list. The lists that
+// they send are passed to Lists.Take later; a peer without a list does not answer.
 func (n *Node) RequestLists() {
 	members := n.ml.Members()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-	asked := 0
+	sent := 0
 	for _, m := range members {
-		if m.Name != n.name && asked < maxListRequests {
+		if m.Name != n.name && sent < maxListRequests {
 			n.ml.SendBestEffort(m, []byte(listRequestPrefix+n.name))
-			asked++
+			sent++
 		}
 	}
 }
 
-// newListLimiter limits the lists sent on request to 50 per second, because each may be 1 MB long.
+// newListLimiter returns a limiter for the lists that this node sends on request: 50 per second,
+// because each may be 1 MB long. It does not apply to the lists of the state exchange of a join.
 func newListLimiter() *rate.Limiter { return rate.NewLimiter(50, 50) }
 
-// LocalState returns the framed list for the state exchange of a join, which runs in both
-// directions. It implements memberlist.Delegate.
+// LocalState returns the framed host list for the state exchange of a join, in which each side sends
+// its state to the other. It returns nil in other state exchanges. It implements memberlist.Delegate.
 func (d *delegate) LocalState(join bool) []byte {
 	if !join || d.lists == nil {
 		return nil
@@ -125,7 +129,8 @@
 	return frameList(d.lists.Offer())
 }
 
-// MergeRemoteState receives the result of the peer's LocalState. It implements memberlist.Delegate.
+// MergeRemoteState receives the framed host list that the peer's LocalState returned. It implements
+// memberlist.Delegate.
 func (d *delegate) MergeRemoteState(buf []byte, join bool) { (*Node)(d).receiveList(buf) }
 
 var _ memberlist.Delegate = (*delegate)(nil)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,8 @@
-// Package membership maintains a gateway's view of the other gateways of its fleet, based on
-// hashicorp/memberlist (SWIM with suspicion and Lifeguard). The view has each peer's state,
-// incarnation and the time at which the peer was last confirmed alive. The package also shares
-// each gateway's load and host list with its peers.
+// Package membership maintains a gateway's view of its fleet, based on hashicorp/memberlist (SWIM with
+// suspicion and Lifeguard). The view has an entry for each known gateway, this one included, with its
+// state, its incarnation and the time at which it was last confirmed alive. The other gateways are the
+// peers. The package also announces this gateway's request rate to its peers and shares its host list
+// with them.
 package membership
 
 import (
@@ -27,9 +28,9 @@
 // The states of a peer in the view.
 const (
 	Alive   = "alive"
-	Suspect = "suspect"
-	Left    = "left" // announced that it leaves, as on SIGTERM
-	Dead    = "dead" // answered neither probes nor indirect probes until the suspicion timeout
+	Suspect = "suspect" // a probe by this gateway failed; the suspicion timeout has not expired
+	Left    = "left"    // the peer announced that it leaves, as on SIGTERM
+	Dead    = "dead"    // the peer answered neither probes nor indirect probes until the suspicion timeout
 )
 
 // Peer is the view's entry of one gateway.
@@ -37,14 +38,14 @@
 	Name  string `json:"name"`
 	Addr  string `json:"addr"`
 	State string `json:"state"`
-	// Incarnation identifies the peer's process. It comes from the peer's metadata: its start
-	// time in Unix ms, or one more than the highest incarnation that another peer knew. Messages
-	// with a lower incarnation than the view's are ignored; the peer is sent the known one and
-	// announces a higher one.
+	// Incarnation identifies the peer's process. It comes from the peer's metadata and is the
+	// start time of the process in Unix ms, or one more than the highest incarnation that another
+	// gateway knew of the peer. Events with a lower incarnation than the view's are ignored: the
+	// peer is sent the known incarnation and then announces a higher one.
 	Incarnation uint64    `json:"incarnation"`
 	Confirmed   time.Time `json:"confirmed"` // when the peer was last confirmed alive
 	Since       time.Time `json:"since"`     // when the peer entered its present state
-	Rank        int       `json:"rank"`      // rank in the peer's settings
+	Rank        int       `json:"rank"`      // rank in the peer's settings, as last announced
 	Rate        float64   `json:"rate"`      // requests per second received by the peer, as last announced
 	leaving     bool      // the peer announced that it leaves, so it ends as Left, not as Dead
 }
@@ -59,28 +60,28 @@
 	// Local selects memberlist's timing for a single machine (a probe timeout of 200 ms)
 	// instead of its LAN timing (500 ms). Both probe one peer per second.
 	Local bool
-	// Lists is the host list to share with peers; nil disables sharing.
+	// Lists gives access to the host list to share with peers; nil disables sharing.
 	Lists Lists
 }
 
 // Node is this gateway's participation in the membership protocol. It is safe for concurrent use.
 type Node struct {
-	ml          *memberlist.Memberlist
-	name        string
-	incarnation atomic.Uint64 // incarnation of this process
-	unreadable  atomic.Int64  // packets and streams that could not be decoded, and refused lists
+	ml          *memberlist.Memberlist // runs the protocol; nil until Start has created it
+	name        string                 // unique name of this gateway
+	incarnation atomic.Uint64          // incarnation of this process
+	unreadable  atomic.Int64           // packets and streams that memberlist could not decode, plus refused lists
 	// leaving is announced in the metadata before memberlist's own leave message, because
 	// memberlist delivers the same event for a peer that left and for one that died.
 	leaving atomic.Bool
 
 	lists       Lists
-	listLimiter *rate.Limiter
-	stopped     chan struct{} // closed by Leave
-	announced   atomic.Pointer[announcedLoad]
+	listLimiter *rate.Limiter                 // limits the lists that are sent on request
+	stopped     chan struct{}                 // closed by Leave
+	announced   atomic.Pointer[announcedLoad] // nil before the first announcement
 
 	mu         sync.Mutex
-	view       map[string]*Peer
-	lastChange string // last change of the view, as "name state"
+	view       map[string]*Peer // by name; includes this gateway
+	lastChange string           // last change of the view, as "name state"
 }
 
 // nodeMetadata is the metadata that a gateway publishes through memberlist, as JSON.
@@ -91,15 +92,15 @@
 	Rate        float64 `json:"rate,omitempty"`
 }
 
-// announcedLoad is the rank and traffic that this gateway last announced to its peers.
+// announcedLoad is the rank and the requests per second that this gateway last announced to its peers.
 type announcedLoad struct {
 	rank int
 	rate float64
 	at   time.Time
 }
 
-// Start starts a Node, which maintains the view and joins absent peers in the background until
-// Leave.
+// Start starts a Node, which maintains the view and joins absent peers in the background until Leave
+// is called.
 func Start(opt Options) (*Node, error) {
 	host, portText, err := net.SplitHostPort(opt.Bind)
 	if err != nil {
@@ -130,16 +131,16 @@
 	return n, nil
 }
 
-// Waits between two attempts to join peers that the view lacks.
+// Limits on the time between two joins of configured peers that are absent from the view.
 const (
 	minJoinWait      = 200 * time.Millisecond
 	maxJoinWait      = 5 * time.Second
-	maxJoinWaitAlone = time.Second // limit while the view has no other peer
+	maxJoinWaitAlone = time.Second // limit while the view has no live peer
 )
 
-// keepJoined joins configured peers that are not live in the view, a few at a time, until Leave.
-// Nothing else finds a peer that started later, or the other side of a network partition that
-// lasted until both sides declared each other dead.
+// keepJoined joins configured peers that are not live (alive or suspect) in the view, a few at a time,
+// until Leave is called. Nothing else finds a peer that started later, or the other side of a network
+// partition that lasted until both sides declared each other dead.
 func (n *Node) keepJoined(peers []string) {
 	for wait := minJoinWait; ; wait = min(2*wait, maxJoinWait) {
 		var absent []string
@@ -169,7 +170,7 @@
 	}
 }
 
-// hasLivePeer reports whether the view has an alive or suspect peer at addr.
+// hasLivePeer reports whether the view has a live (alive or suspect) gateway at addr.
 func (n *Node) hasLivePeer(addr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -215,22 +216,22 @@
 // lists from peers were refused.
 func (n *Node) UnreadableCount() int64 { return n.unreadable.Load() }
 
-// LastChange returns the last change of the view as a peer's name and its new state.
+// LastChange returns the last change of a state in the view, as "name state".
 func (n *Node) LastChange() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.lastChange
 }
 
-// Limits on announcements of the load, as each one is gossiped through the whole fleet.
+// Limits on announcements of the request rate, as each one is gossiped through the whole fleet.
 const (
-	minRateChange    = 0.3              // relative change of the rate that is announced at once
+	minRateChange    = 0.3              // relative change of the rate beyond which it is announced at once
 	announceInterval = 10 * time.Second // between two announcements of smaller changes
 )
 
-// AnnounceLoad announces this gateway's rank and its requests per second to its peers. A new rank
-// and a large change of the rate are announced at once, anything else at most once per
-// announceInterval. It does not block.
+// AnnounceLoad announces this gateway's rank and its requests per second to its peers. A new rank and
+// a change of the rate by more than minRateChange are announced at once, other rates at most once per
+// announceInterval. AnnounceLoad does not block.
 func (n *Node) AnnounceLoad(rank int, rate float64) {
 	now, old := time.Now(), n.announced.Load()
 	if old != nil && old.rank == rank && now.Sub(old.at) < announceInterval &&
@@ -254,7 +255,8 @@
 	return live
 }
 
-// applyEvent updates a peer from a memberlist event and logs a change of its state.
+// applyEvent updates a gateway's entry in the view from a memberlist event, which gives its state, and
+// logs a change of the state. An event with a lower incarnation than the entry's is ignored.
 func (n *Node) applyEvent(node *memberlist.Node, state string) {
 	now := time.Now()
 	var m nodeMetadata
@@ -271,7 +273,7 @@
 			"incarnation", m.Incarnation, "known", p.Incarnation, "state", state)
 		if state == Alive {
 			peer := *node                                // a copy, because memberlist modifies its node
-			go n.reportIncarnation(&peer, p.Incarnation) // a goroutine, because memberlist holds its lock here
+			go n.reportIncarnation(&peer, p.Incarnation) // in a goroutine, because memberlist holds its lock here
 		}
 		return
 	}
@@ -299,7 +301,7 @@
 
 // setLiveness moves a peer between alive and suspect, for which memberlist has no event. A peer
 // becomes suspect when this gateway's own probe of it fails, as memberlist's log shows, and alive
-// again when a probe is acknowledged or an alive message about it arrives, such as a refutation.
+// again when a probe is acknowledged or an alive message about the peer arrives, such as a refutation.
 // Left and Dead come only from memberlist's events and from a peer's leave announcement.
 func (n *Node) setLiveness(name, state string) {
 	n.mu.Lock()
@@ -323,7 +325,7 @@
 
 func (e *events) NotifyJoin(m *memberlist.Node)   { (*Node)(e).applyEvent(m, Alive) }
 func (e *events) NotifyUpdate(m *memberlist.Node) { (*Node)(e).applyEvent(m, Alive) }
-func (e *events) NotifyLeave(m *memberlist.Node)  { (*Node)(e).applyEvent(m, Dead) } // applyEvent turns it into Left for a leaving peer
+func (e *events) NotifyLeave(m *memberlist.Node)  { (*Node)(e).applyEvent(m, Dead) } // applyEvent replaces Dead by Left for a peer that announced that it leaves
 func (e *events) NotifyAlive(m *memberlist.Node) error {
 	(*Node)(e).setLiveness(m.Name, Alive)
 	return nil
@@ -333,9 +335,10 @@
 	(*Node)(e).setLiveness(m.Name, Alive)
 }
 
-// delegate implements memberlist.Delegate.
+// delegate implements memberlist.Delegate. Its methods for host lists are in lists.go.
 type delegate Node
 
+// NodeMeta returns this gateway's metadata, or nil if it is longer than limit bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
 	m := nodeMetadata{Incarnation: d.incarnation.Load(), Leaving: d.leaving.Load()}
 	if l := d.announced.Load(); l != nil {
@@ -348,11 +351,14 @@
 	return b
 }
 
-// leavePrefix begins the message by which a gateway announces that it leaves; its name follows.
+// leavePrefix begins the message by which a gateway announces that it leaves. The name of the gateway
+// follows.
 const leavePrefix = "leaving:"
 
+// NotifyMsg handles a message from a peer, by its prefix: a host list, a request for one, the incarnation
+// that the peer knows of this process, or the announcement that a peer leaves. Others are ignored.
 func (d *delegate) NotifyMsg(b []byte) {
-	if list, ok := bytes.CutPrefix(b, []byte(listPrefix)); ok {
+	if list, ok := bytes.CutPrefix(b, []byte(listMessagePrefix)); ok {
 		(*Node)(d).receiveList(bytes.Clone(list)) // memberlist reuses the buffer
 		return
 	}
@@ -383,8 +389,9 @@
 // suspectLogPrefix begins the line that memberlist logs when its own probe of a peer fails.
 const suspectLogPrefix = "[INFO] memberlist: Suspect "
 
-// logSink receives memberlist's log lines. It detects suspected peers, counts decoding failures
-// and forwards lines other than debug and info to slog, at most one per second.
+// logSink receives memberlist's log lines. It marks the peers that memberlist suspects, counts decoding
+// failures, and forwards lines other than debug and info to slog, at most one per second. Further lines
+// are dropped.
 type logSink struct {
 	node       *Node
 	mu         sync.Mutex
