--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -31,7 +31,7 @@
 	// timeout is one of these factors times silenceTimeout. After a watch that ended, the deadline
 	// for notifications leaves no time for a second call anyway. After a watch that fell silent,
 	// part of the time until that deadline has passed, and after a change of addresses that time is
-	// short, so the factor of both is the smallest.
+	// short, so the smallest factor applies to both.
 	urgentTimeoutFactor = 1
 	usualTimeoutFactor  = 1.5
 	endedTimeoutFactor  = 2
@@ -85,7 +85,7 @@
 // changes on to a ListHandler. A watch is a call whose answer stays open and streams lists.
 type Discovery struct {
 	addrsChanged    chan struct{} // signals that there are other addresses to watch
-	onDemand        bool          // a watch begins only when Watch is called, as the Balancer decides
+	onDemand        bool          // a watch begins when Watch is called, as the Balancer decides; Run states the exceptions
 	watchRequested  chan struct{}
 	version         uint64 // version of the list that was passed on last; owned by Run
 	needFullList    bool   // the next call requests a full list, not the changes since version; owned by Run
@@ -211,10 +211,14 @@
 // the loss instead, and the Balancer decides when to watch again. After a change of addresses a watch
 // begins at once, as the request for the watch before still holds. While no address answers, the last
 // list stays in use, and its age is logged every listAgeLogInterval.
-func (d *Discovery) Run(ctx context.Context, loop ListHandler) {
+//
+// On demand, a call begins without a request in four cases: after a change of addresses, after a watch
+// that fell silent, once after a call without an answer, and after a failed call while there are
+// addresses that were not called in this round.
+func (d *Discovery) Run(ctx context.Context, handler ListHandler) {
 	backoff, watchLost := minWatchBackoff, false
 	var lostSince, loggedAt time.Time  // time of the loss, and of the last log line about it
-	callAgain, failedAddrs := false, 0 // callAgain: the next watch begins without a request; failedAddrs: calls that failed in this round through the addresses
+	callAgain, failedAddrs := false, 0 // whether the next watch begins without a request for it; calls that failed in this round through the addresses
 	retriedUnanswered := false         // an unanswered call has already been repeated at once
 	for ctx.Err() == nil {
 		if d.onDemand && !callAgain {
@@ -231,7 +235,7 @@
 			case <-d.addrsChanged:
 			}
 		}
-		received, err := d.watch(ctx, loop)
+		received, err := d.watch(ctx, handler)
 		if ctx.Err() != nil {
 			return
 		}
@@ -246,13 +250,13 @@
 		}
 		// A watch that fell silent has missed changes that count as notified by now. It is reopened
 		// at once, and a failure is reported to the Balancer only if the new call fails, as the
-		// Balancer waits before the next call. A call without an answer is also repeated at once, but only
-		// once: if no call is answered, the Balancer spaces the calls of the fleet.
+		// Balancer waits before the next call. A call without an answer is also repeated at once, but
+		// only once: if no call is answered, the Balancer spaces the calls of the fleet.
 		callAgain = errors.Is(err, errSilent) && (received || !retriedUnanswered)
 		switch {
 		case callAgain && received:
 			d.timeoutFactor = urgentTimeoutFactor
-			loop.HandleList(bramblelock.ListSilent, MemberList{})
+			handler.HandleList(bramblelock.ListSilent, MemberList{})
 		case errors.Is(err, errEnded):
 			d.timeoutFactor = endedTimeoutFactor
 		default:
@@ -283,7 +287,7 @@
 			continue
 		}
 		if d.onDemand {
-			loop.HandleList(lossKind(err), MemberList{})
+			handler.HandleList(lossKind(err), MemberList{})
 			continue
 		}
 		select {
@@ -298,7 +302,7 @@
 // watch makes one call and handles the lists of its answer until the watch ends. It returns the reason
 // for the end and whether data was received, which is false if a malformed or older list ended the
 // watch. If silence or a change of addresses ended it, received is true once the call was answered.
-func (d *Discovery) watch(ctx context.Context, loop ListHandler) (received bool, err error) {
+func (d *Discovery) watch(ctx context.Context, handler ListHandler) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	d.mu.Lock()
@@ -306,7 +310,7 @@
 	d.mu.Unlock()
 	if addrsChanged {
 		d.timeoutFactor = urgentTimeoutFactor
-		loop.HandleList(bramblelock.ListMoved, MemberList{})
+		handler.HandleList(bramblelock.ListMoved, MemberList{})
 	}
 	silenceTimer := d.startSilenceTimer(d.nextCallTimeout(), func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
@@ -362,7 +366,7 @@
 		silenceTimer.Reset(d.silenceTimeout)
 		received, d.lastHeardAt = true, time.Now()
 		if blank && upToDate { // the first data is white space: the list has not changed since d.version
-			loop.HandleList(bramblelock.ListChanges, MemberList{Version: index})
+			handler.HandleList(bramblelock.ListChanges, MemberList{Version: index})
 		}
 		upToDate = false
 	}}
@@ -400,7 +404,7 @@
 			kind = bramblelock.ListFull
 		}
 		d.version, d.haveList = list.Version, true
-		loop.HandleList(kind, list)
+		handler.HandleList(kind, list)
 	}
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -48,8 +48,8 @@
 }
 
 // clock gives the time that the Balancer uses: nanoseconds since the Unix epoch, taken from the wall
-// clock at start and counted by the monotonic clock from then on. Later steps of the wall
-// clock do not affect it.
+// clock at start and counted by the monotonic clock from then on. Later steps of the wall clock do not
+// affect it.
 type clock struct {
 	start time.Time
 }
@@ -195,10 +195,13 @@
 // FleetStatus is the state of the fleet on which the decisions of this instance depend. Instances are
 // the gateways of the fleet.
 type FleetStatus struct {
-	Live               int     `json:"live"`           // alive and suspect instances in the view, this one included
-	EffectiveInstances float64 `json:"caps_shared_by"` // number of instances by which limits of hosts are shared: Live or, if larger, a recent peak, which decays
-	SubsetHosts        int     `json:"draws"`          // hosts in the subset that this instance uses, cold and ejected ones included
-	RequestRate        float64 `json:"rate"`           // recent requests per second to this instance
+	Live int `json:"live"` // alive and suspect instances in the view, this one included
+	// EffectiveInstances is the number of instances by which the limits of hosts are shared: Live or,
+	// if larger, a recent peak of it, which decays. The peak starts at the configured number of
+	// instances if that is larger than the first view.
+	EffectiveInstances float64 `json:"caps_shared_by"`
+	SubsetHosts        int     `json:"draws"` // hosts in the subset that this instance uses, cold and ejected ones included
+	RequestRate        float64 `json:"rate"`  // recent requests per second to this instance
 }
 
 // UpdatePeers passes the present view of the fleet to the Balancer: all instances that are alive or
