--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -25,9 +25,12 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network)
 }
 
-// readAnswer reads an answer and returns whether the connection can carry another request. An
-// answer that is long, or is incomplete a short time after its head, is returned as a stream. Any
-// other answer that cannot be verified to be complete is an error and is not served.
+// readAnswer reads an answer and returns, in keep, whether the connection can carry another request. Of
+// an answer whose status is not 200, only the status and the headers are returned. An answer with
+// status 200 is returned as a stream if it is too long to be buffered, if the memory budget has no room
+// for it, or if its length is unknown, part of its body has arrived and it is incomplete streamDelay
+// after its head. Any other answer that cannot be verified to be complete is an error and is not
+// served.
 func (c *conn) readAnswer(method string, memory *memoryBudget) (status int, a answer, keep bool, err error) {
 	c.limited.N = maxHeadBytes
 	var resp *http.Response
@@ -119,7 +122,7 @@
 // maxHeadBytes.
 func (c *conn) http10TransferEncoding() bool {
 	const http10 = "HTTP/1.0"
-	for n := range len(http10) { // byte by byte, as what is not HTTP may be shorter
+	for n := range len(http10) { // byte by byte, as what is not HTTP may be shorter, and a longer Peek would wait for more
 		if b, err := c.reader.Peek(n + 1); err != nil || b[n] != http10[n] {
 			return false
 		}
@@ -142,8 +145,8 @@
 	}
 }
 
-// waitForMore waits until there is more of an answer to read, or the answer has ended, and returns
-// false if neither has happened by the given time. A connection reports that it was reset only
+// waitForMore waits until there is more of an answer to read, or the host has closed the connection,
+// and returns false if neither has happened by the given time. A connection reports that it was reset only
 // once, and a read after that returns io.EOF, so the caller must handle the error.
 func (c *conn) waitForMore(until time.Time) (bool, error) {
 	if c.reader.Buffered() > 0 {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,10 +16,12 @@
 	"bramblelock"
 )
 
-// notProcessedHeader with the value "1" proves that the attempt did not run.
+// notProcessedHeader is a header of a host's answer. In an answer with status 503 or 504, the value
+// "1" proves that the attempt did not run.
 const notProcessedHeader = "X-Not-Processed"
 
-// attempt is one sending of a request to a host, as the loop sees it.
+// attempt is one sending of a request to a host. The loop creates it, and runAttempt carries it out in
+// its own goroutine.
 type attempt struct {
 	cancel            context.CancelCauseFunc
 	onUploadComplete  func() // reports to the loop that the host has the whole of a streamed body
@@ -27,14 +29,14 @@
 
 	writeBy time.Time // the request must be written whole by then, or not at all; zero if there is no limit
 
-	chargedFrom time.Time     // start of the time that is charged to the host
-	chargedTime time.Duration // time charged to the host; zero if it runs until the attempt ends
+	chargedFrom time.Time     // start of the time that is charged to the host: the start of the attempt, or the end of sending an upload
+	chargedTime time.Duration // time charged to the host; zero if that is the time from chargedFrom until the attempt ends
 
 	written   atomic.Bool // the request was written whole, and conn and writtenAt are set
 	conn      *conn
 	writtenAt time.Time
 
-	mu        sync.Mutex
+	mu        sync.Mutex         // guards aborted and streaming
 	ended     bool               // owned by the loop
 	result    bramblelock.Result // set with ended; owned by the loop
 	aborted   bool
@@ -46,7 +48,8 @@
 	return att.written.Load() && att.conn.answerArrived(att.writtenAt)
 }
 
-// abort cancels the attempt unless its answer is being streamed to the client.
+// abort cancels the attempt unless its answer is being streamed to the client. The cause is
+// context.DeadlineExceeded or context.Canceled; the result of the attempt depends on it.
 func (att *attempt) abort(cause error) {
 	att.mu.Lock()
 	defer att.mu.Unlock()
@@ -56,8 +59,8 @@
 	}
 }
 
-// startStreaming starts the client's answer and returns true, unless the attempt was aborted or the
-// client has another answer.
+// startStreaming makes a the final answer of the request, so that it is streamed to the client. It
+// returns false, and does nothing, if the attempt was aborted or the request is finished already.
 func (att *attempt) startStreaming(x *exchange, a answer) bool {
 	att.mu.Lock()
 	won := !att.aborted && x.claimAnswer()
@@ -71,11 +74,12 @@
 	return won
 }
 
-// runAttempt sends a request to a host once and returns the result. ctx ends when the attempt is to
-// be given up, because of its deadline or a cancellation.
+// runAttempt sends a request to a host once and returns the result. The answer is set only if the
+// result is OK and the answer was not streamed to the client. ctx ends when the attempt is to be given
+// up, because of its deadline or a cancellation.
 func (p *Pool) runAttempt(ctx context.Context, h *host, x *exchange, att *attempt) (bramblelock.Result, answer) {
 	for {
-		dialled := time.Now()
+		dialStart := time.Now()
 		c, err := p.getWithDeadline(ctx, h, att.writeBy)
 		switch {
 		case att.writeDeadlinePassed():
@@ -86,7 +90,7 @@
 		case ctx.Err() != nil:
 			if err == nil {
 				p.put(c) // nothing was written to it
-			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialled) > x.timeout/2 {
+			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialStart) > x.timeout/2 {
 				// The dial used most of the time available: the host could not be connected to,
 				// although the dial's own time-out is longer.
 				return bramblelock.ConnectFailed, answer{}
@@ -99,7 +103,7 @@
 		}
 		// The dial may have taken long, so check again whether the request may be sent. The host
 		// may have begun to drain, the request may have been answered, or its client may have left,
-		// which unread bytes from it had hidden.
+		// which the HTTP server does not notice while bytes from the client are unread.
 		p.awaitOverdueUpdate(ctx)
 		if !p.permit(h, x) || att.writeDeadlinePassed() {
 			p.put(c)
@@ -108,8 +112,9 @@
 		reused := c.reused
 		result, a := p.roundTrip(ctx, c, x, att)
 		if result == bramblelock.ConnectFailed && reused && ctx.Err() == nil && !x.bodyConsumed() {
-			// The host closed the connection after the check and before the last byte: nothing ran,
-			// and it says nothing of the host. Each iteration uses up one idle connection.
+			// The host closed the idle connection after get had checked it and before the last byte
+			// was written: nothing ran, and it says nothing of the host. Each iteration uses up one
+			// idle connection.
 			continue
 		}
 		return result, a
@@ -117,7 +122,8 @@
 }
 
 // permit is the last check before the first byte of an attempt. It returns whether the host still
-// takes requests, the request still needs an answer and its client is still there.
+// takes requests, the request still needs an answer and its client is still there. If the client has
+// left, permit records that and finishes the request.
 func (p *Pool) permit(h *host, x *exchange) bool {
 	if x.clientGone != nil && x.clientGone() {
 		x.markClientGone()
@@ -148,18 +154,19 @@
 	return !att.writeBy.IsZero() && !time.Now().Before(att.writeBy)
 }
 
-// getWithDeadline returns a connection, as get does, but gives up a dial at writeBy unless that is
-// zero.
-func (p *Pool) getWithDeadline(ctx context.Context, h *host, by time.Time) (*conn, error) {
-	if by.IsZero() {
+// getWithDeadline returns a connection, as get does, but gives up a dial at the deadline unless that
+// is zero.
+func (p *Pool) getWithDeadline(ctx context.Context, h *host, deadline time.Time) (*conn, error) {
+	if deadline.IsZero() {
 		return p.get(ctx, h)
 	}
-	ctx, cancel := context.WithDeadline(ctx, by)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	return p.get(ctx, h)
 }
 
-// unsentResult returns the result of an attempt that was given up before its last byte was written.
+// unsentResult returns the result of an attempt that was given up before its last byte was written:
+// Canceled if it was canceled, and NotSent if its deadline passed.
 func unsentResult(ctx context.Context) bramblelock.Result {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return bramblelock.Canceled
@@ -168,7 +175,8 @@
 }
 
 // roundTrip writes the request to a connection and reads the answer. If it fails before the last
-// byte is written, the request did not run; after that it may have.
+// byte is written, the request did not run; after that it may have. roundTrip returns the connection
+// to the pool or closes it.
 func (p *Pool) roundTrip(ctx context.Context, c *conn, x *exchange, att *attempt) (bramblelock.Result, answer) {
 	// An attempt is given up by closing its connection. An answer that is unread at the deadline
 	// has arrived in time, and is read first.
@@ -206,7 +214,7 @@
 			return bramblelock.NotSent, answer{}
 		}
 		if x.upload != nil {
-			att.chargedTime = max(1, c.acquiredAt.Sub(att.chargedFrom)) // the rest is time that the client took
+			att.chargedTime = max(1, c.acquiredAt.Sub(att.chargedFrom)) // the time since then was the client's, whose body was being sent
 		}
 		return bramblelock.ConnectFailed, answer{}
 	}
@@ -219,7 +227,7 @@
 	}
 	status, a, keep, err := c.readAnswer(x.method, p.memory)
 	if early {
-		keep = false // the rest of the request would follow on the connection
+		keep = false // the host would take the next request for the missing part of this one
 	}
 	if err == nil && a.stream == nil {
 		att.chargedTime = c.answerDuration(att.chargedFrom, wrote)
@@ -267,7 +275,9 @@
 	return bramblelock.Failed, answer{}
 }
 
-// streamToClient streams an answer to the client, and waits for its end.
+// streamToClient streams an answer to the client and waits for its end. It returns the result of the
+// attempt, and whether the connection can carry another request; keep says whether it could after the
+// head of the answer.
 func (c *conn) streamToClient(x *exchange, att *attempt, a answer, keep bool) (bramblelock.Result, bool) {
 	if !att.startStreaming(x, a) {
 		return bramblelock.Canceled, false
@@ -289,27 +299,28 @@
 var errClientBody = errors.New("the body did not arrive")
 
 // writeRequest writes the request, the last byte last. It streams a body that is too long to be
-// buffered. early means that the host answered before the end of the request.
+// buffered, and sets the deadline of the request once that body has arrived whole. early means that the
+// host sent something or closed the connection before the request was written whole.
 func (c *conn) writeRequest(x *exchange, head []byte) (early bool, err error) {
-	out := net.Buffers{head}
+	pending := net.Buffers{head}
 	upload := x.upload
 	if upload == nil {
 		if len(x.body) > 0 {
-			out = append(out, x.body)
+			pending = append(pending, x.body)
 		}
-		_, err := out.WriteTo(c.Conn)
+		_, err := pending.WriteTo(c.Conn)
 		return false, err
 	}
 	writePiece := func(p []byte) error {
 		if len(p) > 0 && upload.length < 0 {
-			out = append(out, strconv.AppendInt(nil, int64(len(p)), 16), crlf, p, crlf)
+			pending = append(pending, strconv.AppendInt(nil, int64(len(p)), 16), crlf, p, crlf)
 		} else if len(p) > 0 {
-			out = append(out, p)
+			pending = append(pending, p)
 		}
 		c.SetWriteDeadline(time.Now().Add(hostStallTimeout))
 		defer c.SetWriteDeadline(time.Time{})
-		_, err := out.WriteTo(c.Conn)
-		out = nil
+		_, err := pending.WriteTo(c.Conn)
+		pending = nil
 		return err
 	}
 	if err := writePiece(x.body); err != nil {
@@ -331,14 +342,14 @@
 		}
 		if err == io.EOF {
 			// The whole body has been read. It may have arrived long before, if the host read it
-			// slowly.
+			// slowly; the deadline counts from its arrival.
 			x.deadline = x.capDeadline(x.clientDeadline())
 		}
 		if err == io.EOF && upload.length < 0 {
 			if err := writePiece(buf[:n]); err != nil {
 				return false, err
 			}
-			out = net.Buffers{lastChunk}
+			pending = net.Buffers{lastChunk}
 			n = 0
 		}
 		if err := writePiece(buf[:n]); err != nil {
--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -39,7 +39,8 @@
 	endMarksRead  bool // the marks that were written before this process started have been read
 }
 
-// NewMaintenanceStore returns a store in a directory of tmp, which the platform keeps and clears.
+// NewMaintenanceStore returns a store in a subdirectory of tmp, the value of TMPDIR. The platform
+// decides how long the files in tmp are kept.
 // If tmp is empty, maintenance ends with the process.
 func NewMaintenanceStore(tmp string) (*MaintenanceStore, error) {
 	s := &MaintenanceStore{inMaintenance: map[string]bool{}}
@@ -77,7 +78,7 @@
 	return filepath.Join(s.dir, endedPrefix+url.QueryEscape(id))
 }
 
-// persistStart stores that a host is in maintenance. If it fails, nothing has changed.
+// persistStart stores that a host is in maintenance. If it fails, that is not stored.
 func (s *MaintenanceStore) persistStart(id string) error {
 	if err := s.write(s.maintenanceFile(id), ""); err != nil {
 		return err
@@ -93,7 +94,7 @@
 // persistEnd stores that the maintenance of a host has ended, and when. If it fails, nothing has
 // changed.
 func (s *MaintenanceStore) persistEnd(id string) error {
-	if s.inMaintenance[id] { // otherwise it is in use: a repeated call does not make it cold again
+	if s.inMaintenance[id] { // otherwise the host is in use: a repeated call does not make it cold again
 		if err := s.write(s.endedFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
 			return err
 		}
@@ -163,7 +164,7 @@
 	return time.Duration(at.Nano())
 }
 
-// apply records a change and notifies the loop. The caller holds b.mu, so that the loop receives
+// apply records a change and notifies the loop. The caller holds s.mu, so that the loop receives
 // changes in order.
 func (s *MaintenanceStore) apply(loop *Loop, id string, on bool) {
 	if on {
@@ -174,7 +175,8 @@
 	loop.setMaintenance(id, on)
 }
 
-// Refresh reads the directory and notifies the loop of what has changed.
+// Refresh reads the directory and notifies the loop of what has changed. The first call also reports
+// to the loop when earlier maintenance of hosts ended.
 func (s *MaintenanceStore) Refresh(loop *Loop) error {
 	if s.dir == "" {
 		return nil
@@ -213,8 +215,9 @@
 	return nil
 }
 
-// maintenanceEndedAt returns when the mark for the end of a maintenance was written: as its
-// contents say, on the clock of this boot, or else by the modification time of the file.
+// maintenanceEndedAt returns when the mark for the end of a maintenance was written. The mark holds
+// that time as the time since boot. If it cannot be read, or is later than the present time since boot,
+// the modification time of the file is used.
 func maintenanceEndedAt(path string, mark fs.FileInfo) time.Time {
 	now := time.Now()
 	if text, err := os.ReadFile(path); err == nil {
@@ -227,7 +230,8 @@
 	return now.Add(-max(0, now.Sub(mark.ModTime())))
 }
 
-// Watch calls Refresh periodically until done is closed.
+// Watch calls Refresh every maintenancePollInterval until done is closed. It logs the first of several
+// errors in a row.
 func (s *MaintenanceStore) Watch(loop *Loop, done <-chan struct{}) {
 	tick := time.NewTicker(maintenancePollInterval)
 	defer tick.Stop()
--- a/internal/gateway/bulk.go
+++ b/internal/gateway/bulk.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxBufferedBytes = 64 << 10 // size up to which a body or answer is buffered whole, so that it can be sent again
+	maxBufferedBytes = 64 << 10 // size up to which a body or answer is buffered whole, so that the request can be sent again
 	maxBodyBytes     = 32 << 20 // limit on the body of a request
 	// readAheadBytes is how much of a body that waits for a host the kernel receives ahead, so that
 	// its client is seen to leave. It counts as buffered memory. A longer body hides that its
-	// client has left.
+	// client has left, as the end of the connection comes after the body.
 	readAheadBytes    = 256 << 10
 	streamBufferBytes = 16 << 10 // size of the buffer of a stream
 
@@ -24,19 +24,20 @@
 	bufferMemoryShare   = 0.25
 	defaultBufferMemory = 64 << 20 // in bytes; used without a memory limit
 
-	// An answer that is incomplete this long after its head is streamed, so that the part that has
-	// arrived is not held back.
+	// An answer of unknown length that is incomplete this long after its head is streamed, so that
+	// the part that has arrived is not held back.
 	streamDelay = 100 * time.Millisecond
 
-	// A stream fails if its other end makes no progress for this long.
+	// A stream fails if one read from the host or one write to it takes longer than
+	// hostStallTimeout, or if one write to the client takes longer than clientStallTimeout.
 	hostStallTimeout   = 5 * time.Second
 	clientStallTimeout = 10 * time.Second
 
 	// Clients send a body at 64 kB a second at least; minBodyRate is below that. A body of which
 	// nothing arrives for bodyStallTimeout has stopped. Time that the body waits for the gateway or
 	// for a host is not charged to the client.
-	minBodyRate      = 56_000 // in bytes a second
-	bodyRateSlack    = time.Second
+	minBodyRate      = 56_000      // in bytes a second
+	bodyRateSlack    = time.Second // allowed for a body beyond the time at minBodyRate
 	bodyStallTimeout = headerTimeout
 	// What a client still sends after an early answer is read for this long: closing the connection
 	// earlier would reset it and destroy the answer.
@@ -59,7 +60,8 @@
 	return b
 }
 
-// acquire returns whether n more bytes may be buffered. They must be returned with release.
+// acquire takes n bytes from the budget. If fewer remain, it takes none and returns false. Bytes that
+// were taken must be returned with release.
 func (b *memoryBudget) acquire(n int) bool {
 	if b.remaining.Add(int64(-n)) >= 0 {
 		return true
@@ -81,7 +83,7 @@
 )
 
 // clientBody reads the body of a request and enforces the rate at which its client must send it. It
-// can be stopped by another goroutine, as one reads it for a host while another answers.
+// can be stopped by another goroutine, as one reads it for a host while another answers the client.
 type clientBody struct {
 	body       io.Reader
 	rc         *http.ResponseController
@@ -95,6 +97,8 @@
 	ended   bool
 }
 
+// Read reads the body as an io.Reader does. A call after stop fails with errReadStopped. A call fails
+// with errBodyTooLong once more than maxBodyBytes have arrived.
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	switch {
@@ -147,7 +151,8 @@
 	consumed bool          // part of it has been read; owned by the attempt
 }
 
-// stream is an answer that is streamed to the client. The attempt that reads it waits for done.
+// stream is an answer that is streamed to the client. The goroutine that serves the client calls copyTo
+// and sends its result on done. The attempt, which owns conn, waits for that.
 type stream struct {
 	conn   *conn
 	body   io.Reader
@@ -156,7 +161,8 @@
 	done   chan error
 }
 
-// copyTo writes a stream to the client and returns the error that cut it short, if any.
+// copyTo writes a stream to the client and returns the error that cut it short, if any: errClientGone
+// if the client has left or is stalled, otherwise the error of reading from the host.
 func (st *stream) copyTo(w http.ResponseWriter, r *http.Request) error {
 	// The client may leave while the host is silent.
 	stop := context.AfterFunc(r.Context(), func() { st.conn.SetReadDeadline(time.Now()) })
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -27,18 +27,19 @@
 	AcceptFD  int    // descriptor of a shared listening socket for clients; 0 if this process listens at Listen itself
 	Seed      uint64
 
-	Cores    float64
-	MemoryMB int
-	Sockets  int // limit on the file descriptors of the process
+	Cores    float64 // limit on CPU cores; 0 if there is none
+	MemoryMB int     // limit on memory in MiB; 0 if there is none
+	Sockets  int     // limit on the file descriptors of the process
 
-	Known MemberList // the list of hosts that this gateway had last
+	Known MemberList // list of hosts that this gateway had last, from which it starts
 
 	// Membership among gateways is off while Bind is empty.
 	Membership Membership
 	Rules
-	rawSettings json.RawMessage // the settings object
+	rawSettings json.RawMessage // settings object of the file, with which Reload compares that of the new file
 
-	// Names in lists of hosts, by the index that the module uses.
+	// The index that the module uses for each name in lists of hosts. The loop adds names that are not
+	// in the settings.
 	Zones map[string]int
 	Kinds map[string]int
 
@@ -46,9 +47,9 @@
 	DialTimeout time.Duration // a dial that takes longer has failed
 }
 
-// Rules is the part of the configuration that can change at SIGHUP: the module's settings, and the
-// names of classes and tenants in requests by the index that the module uses. It is replaced as a
-// whole.
+// Rules is the part of the configuration that applies to requests and can change at SIGHUP: the
+// module's settings, and the index that the module uses for each name of a class or tenant. It is
+// replaced as a whole.
 type Rules struct {
 	Settings bramblelock.Settings
 	Classes  map[string]int
@@ -63,7 +64,7 @@
 	return d
 }
 
-// Defaults of settings that the file may omit.
+// Defaults of values that the file may omit.
 const (
 	defaultConnIdle    = time.Minute
 	defaultDialTimeout = 250 * time.Millisecond
@@ -95,7 +96,8 @@
 	Local bool // use memberlist's timing for one machine: probes time out after 200 ms, not 500 ms
 }
 
-// settingsNames is the part of the settings object that the module does not read.
+// settingsNames is the part of the settings object that the gateway uses itself: names, and limits of
+// connections to hosts.
 type settingsNames struct {
 	Classes []namedEntry
 	Tenants []namedEntry
@@ -138,9 +140,9 @@
 	return c, nil
 }
 
-// Reload reads the file again, at SIGHUP, and validates all of it as at the start. The GW_
-// variables apply to the start only, so that the file alone counts here. Its settings must have
-// every key that those in force have.
+// Reload reads the file that GW_CONFIG names again, at SIGHUP, and validates all of it as at the start.
+// The other GW_ variables apply to the start only and do not override the file here. Its settings must
+// have every key that those in force have, except optionalKeys.
 func Reload(getenv func(string) string, inForce *Config) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
@@ -166,15 +168,16 @@
 	return c, nil
 }
 
-// optionalKeys are keys of the settings that may be added and removed.
+// optionalKeys are keys of the settings that a reload may remove.
 var optionalKeys = map[string]bool{"aim_stretch": true, "passes_deadline": true, "warm_keys": true, "fleet": true}
 
 // missingKey returns the path of the first key that the old object has and the new one lacks, or
-// has with another type. Each entry of a list must have the keys that all old entries share.
-func missingKey(path string, old, now any) string {
+// has with another type. Each entry of a list must have the keys that all old entries share. It returns
+// "" if no key is missing.
+func missingKey(path string, old, updated any) string {
 	switch old := old.(type) {
 	case map[string]any:
-		now, ok := now.(map[string]any)
+		updated, ok := updated.(map[string]any)
 		if !ok {
 			return path
 		}
@@ -182,7 +185,7 @@
 			if optionalKeys[key] {
 				continue
 			}
-			v, ok := now[key]
+			v, ok := updated[key]
 			if !ok {
 				return path + "." + key
 			}
@@ -191,34 +194,34 @@
 			}
 		}
 	case []any:
-		now, ok := now.([]any)
+		updated, ok := updated.([]any)
 		if !ok {
 			return path
 		}
 		shared := sharedKeys(old)
-		for i, e := range now {
+		for i, e := range updated {
 			if m := missingKey(fmt.Sprintf("%s[%d]", path, i), shared, e); m != "" {
 				return m
 			}
 		}
 	case float64:
-		if _, ok := now.(float64); !ok {
+		if _, ok := updated.(float64); !ok {
 			return path
 		}
 	case string:
-		if _, ok := now.(string); !ok {
+		if _, ok := updated.(string); !ok {
 			return path
 		}
 	case bool:
-		if _, ok := now.(bool); !ok {
+		if _, ok := updated.(bool); !ok {
 			return path
 		}
 	}
 	return ""
 }
 
-// sharedKeys returns an object with the keys that all entries have, or nil if not all entries are
-// objects.
+// sharedKeys returns an object with the keys that all entries have, or nil if the list is empty or has
+// an entry that is no object.
 func sharedKeys(list []any) any {
 	var shared map[string]any
 	for i, e := range list {
@@ -260,6 +263,7 @@
 	return nil
 }
 
+// config validates the contents of the file and converts them. It fills in defaults.
 func (f *fileConfig) config() (*Config, error) {
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Membership: f.Membership,
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	idleLimitShare = 0.5 // share of the hosts' idle limit for which a connection is kept: its end must not cross a request
+	idleLimitShare = 0.5 // share of the hosts' idle limit for which a connection is kept: a host must not close it while a request is being sent
 	sweepInterval  = time.Second
 )
 
@@ -29,26 +29,27 @@
 	maxConns     int // limit on the connections to all hosts together
 	memory       *memoryBudget
 	audit        *Audit
-	drainGrace   time.Duration // a send to a host that has been unusable for longer violates the audit
-	updateSource UpdateSource  // of the list of hosts; may be nil
+	drainGrace   time.Duration // an attempt that is sent to a host after it has been unusable for longer counts as a violation in the audit
+	updateSource UpdateSource  // source of changes of the list of hosts; may be nil
 
 	mu         sync.Mutex
-	openConns  int               // connections in use, idle and being dialled
+	openConns  int               // connections in use, idle connections and dials in progress
 	connBudget int               // limit on openConns; below maxConns while another process shares the descriptors
 	idle       map[*host][]*conn // the connection used last is at the end
 }
 
 // host is a host that attempts can be sent to. The loop creates it and updates it through the Pool.
-// Pool.mu guards all fields but id and the atomic ones, and those of the loop.
+// Pool.mu guards all fields but id, which does not change, the atomic ones, and those that the loop
+// owns.
 type host struct {
 	id            string
 	usable        atomic.Bool               // whether it takes new requests: false while it is draining, gone or in maintenance
-	unusableSince atomic.Pointer[time.Time] // nil if the host is usable, or never was unusable
+	unusableSince atomic.Pointer[time.Time] // when usable became false; nil while the host is usable, and until its state is first set
 	listedReady   bool                      // the list of hosts says that it is ready
 	inMaintenance bool
 	addr          string
-	started       int64     // start time that the list states, in Unix ms; no connection outlives the process that it was made to
-	lastAnswerAt  time.Time // time of the last complete answer
+	started       int64     // start time that the list states, in Unix ms; a connection made before a restart is not used after it
+	lastAnswerAt  time.Time // when an answer was last received whole or began to be streamed
 
 	// Owned by the loop: the start time that the list states, in Unix ms and on the module's clock.
 	startedMS int64
@@ -60,16 +61,16 @@
 	net.Conn
 	raw        syscall.RawConn // of Conn; nil if there is no socket, as in some tests
 	host       *host
-	addr       string
-	started    int64
-	reused     bool
+	addr       string            // host.addr at the time of the dial
+	started    int64             // host.started at the time of the dial
+	reused     bool              // it has been idle in the Pool before
 	limited    *io.LimitedReader // limits how much is read of an answer's head
 	reader     *bufio.Reader
 	idleSince  time.Time
 	acquiredAt time.Time // when the present attempt got the connection
 }
 
-// NewPool returns a Pool with the limits of cfg.
+// NewPool returns a Pool with the limits of cfg. Without a drain grace in cfg, it is 1 s.
 func NewPool(cfg *Config) *Pool {
 	p := &Pool{
 		dialer:      net.Dialer{Timeout: cfg.DialTimeout},
@@ -161,7 +162,8 @@
 	}
 }
 
-// setUsable sets whether a host takes new requests, and since when it does not.
+// setUsable sets whether a host takes new requests, and since when it does not. The caller holds
+// Pool.mu.
 func (h *host) setUsable(usable bool) {
 	if h.usable.Swap(usable); usable {
 		h.unusableSince.Store(nil)
@@ -172,7 +174,7 @@
 }
 
 // setMaintenance puts a host into maintenance or ends its maintenance. The host is restarted during
-// maintenance, so that its idle connections are of no more use.
+// maintenance, so its idle connections are of no more use.
 func (p *Pool) setMaintenance(h *host, on bool) {
 	p.mu.Lock()
 	h.inMaintenance = on
@@ -217,7 +219,8 @@
 	p.closeLocked(c)
 }
 
-// put makes a connection available to the next attempt, or closes it if its host has changed.
+// put makes a connection available to the next attempt. It closes the connection if its host takes no
+// new requests, has another address or was restarted.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,8 +235,9 @@
 
 var errTooManyConns = errors.New("gateway: too many connections to hosts")
 
-// get returns the idle connection to a host that was used last, or dials a new one. A dial is
-// counted before it begins, so that it cannot exceed the budget.
+// get returns the connection to a host that became idle last, or dials a new one. A dial is counted
+// before it begins, so that concurrent dials cannot exceed the budget. If the budget is used up and no
+// connection is idle, the error is errTooManyConns.
 func (p *Pool) get(ctx context.Context, h *host) (*conn, error) {
 	p.mu.Lock()
 	for list := p.idle[h]; len(list) > 0; list = p.idle[h] {
@@ -284,7 +288,8 @@
 }
 
 // quiet returns whether a connection is open with nothing to read. An idle connection that the host
-// has closed, or on which it has sent something unrequested, must not carry a request.
+// has closed, or on which it has sent something unrequested, must not carry a request. quiet returns
+// false for a connection without a socket.
 func (c *conn) quiet() bool {
 	if c.raw == nil {
 		return false
