--- a/cmd/gateway/bank.go
+++ b/cmd/gateway/bank.go
@@ -18,12 +18,12 @@
 	members *membership.Node
 	loop    *gateway.Loop
 	roster  *gateway.Roster
-	rank    atomic.Int64 // configured rank of this gateway, updated by a reload
-	status  atomic.Pointer[fleetStatus]
+	rank    atomic.Int64                // configured rank of this gateway, updated by a reload
+	status  atomic.Pointer[fleetStatus] // nil until the first update
 }
 
-// fleetStatus is the state of the fleet as the decision module uses it, with the reason for its last
-// change. It is part of the answer to GET /members.
+// fleetStatus is the state of the fleet as the decision module uses it, with the time and the reason of
+// the last change of Rank, Live or Draws. It is part of the answer to GET /members.
 type fleetStatus struct {
 	Rank int `json:"rank"`
 	gateway.FleetStatus
@@ -34,7 +34,8 @@
 // peerUpdateInterval is the time between two updates of the decision module from the membership view.
 const peerUpdateInterval = time.Second
 
-// run requests an initial host list and updates the decision module periodically until ctx is done.
+// run requests an initial host list from peers and updates the decision module every
+// peerUpdateInterval until ctx is done.
 func (f *fleetSynchronizer) run(ctx context.Context) {
 	go f.requestInitialList(ctx)
 	tick := time.NewTicker(peerUpdateInterval)
@@ -50,7 +51,7 @@
 }
 
 // updatePeers reports the peers that are alive or suspect to the decision module, announces this
-// gateway's load to them and logs the fleet status if it changed.
+// gateway's rank and request rate to them, and logs the fleet status if Rank, Live or Draws changed.
 func (f *fleetSynchronizer) updatePeers() {
 	rank := int(f.rank.Load())
 	var peers []bramblelock.Peer
@@ -59,15 +60,15 @@
 			peers = append(peers, bramblelock.Peer{Rank: p.Rank, Rate: p.Rate})
 		}
 	}
-	place := f.loop.UpdatePeers(peers)
-	f.members.AnnounceLoad(rank, place.Rate)
+	status := f.loop.UpdatePeers(peers)
+	f.members.AnnounceLoad(rank, status.Rate)
 	previous := f.status.Load()
-	current := &fleetStatus{Rank: rank, FleetStatus: place, ChangedAt: time.Now(), Reason: f.members.LastChange()}
-	if previous != nil && previous.Live == place.Live && previous.Draws == place.Draws && previous.Rank == rank {
+	current := &fleetStatus{Rank: rank, FleetStatus: status, ChangedAt: time.Now(), Reason: f.members.LastChange()}
+	if previous != nil && previous.Live == status.Live && previous.Draws == status.Draws && previous.Rank == rank {
 		current.ChangedAt, current.Reason = previous.ChangedAt, previous.Reason
 	} else {
-		slog.Info("place in the bank", "rank", rank, "live", place.Live, "caps_shared_by", place.SharedBy,
-			"draws", place.Draws, "why", current.Reason)
+		slog.Info("place in the bank", "rank", rank, "live", status.Live, "caps_shared_by", status.SharedBy,
+			"draws", status.Draws, "why", current.Reason)
 	}
 	f.status.Store(current)
 }
@@ -75,8 +76,8 @@
 // membersResponse returns the body of the answer to GET /members, to be encoded as JSON.
 func (f *fleetSynchronizer) membersResponse() any {
 	return struct {
-		Place *fleetStatus      `json:"place"`
-		Peers []membership.Peer `json:"peers"`
+		Status *fleetStatus      `json:"place"`
+		Peers  []membership.Peer `json:"peers"`
 	}{f.status.Load(), f.members.View()}
 }
 
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -101,12 +101,12 @@
 	serveErrors := make(chan error, 2)
 	serveOperators := func(*fleetSynchronizer) {}
 	if cfg.Operator != "" {
-		bans, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
+		maintenance, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
 		if err != nil {
 			return err
 		}
 		// Restored before the host list is applied, so that nothing is sent to a host in maintenance.
-		if err := bans.Refresh(loop); err != nil {
+		if err := maintenance.Refresh(loop); err != nil {
 			return err
 		}
 		operatorListener, err := net.Listen("tcp", cfg.Operator)
@@ -115,9 +115,9 @@
 		}
 		sharesListener := cfg.AcceptFD != 0
 		if sharesListener {
-			go bans.Watch(loop, ctx.Done())
+			go maintenance.Watch(loop, ctx.Done())
 		}
-		operator := gateway.NewOperator(loop, server, bans, sharesListener)
+		operator := gateway.NewOperator(loop, server, maintenance, sharesListener)
 		serveOperators = func(synchronizer *fleetSynchronizer) {
 			if synchronizer != nil {
 				operator.Members = synchronizer.membersResponse
@@ -137,8 +137,8 @@
 	roster := gateway.NewRoster(cfg.Known, loop)
 	var synchronizer *fleetSynchronizer
 	if options := cfg.Membership; options.Bind != "" {
-		// Started after the configured list is applied: a list that a peer sends during the join
-		// takes precedence over that one.
+		// Started after the configured list is applied: a list that a peer sends during the join takes
+		// precedence over the configured one.
 		node, err := membership.Start(membership.Options{Name: cfg.Name, Bind: options.Bind, Peers: options.Peers, Local: options.Local, Lists: roster})
 		if err != nil {
 			return err
@@ -198,7 +198,8 @@
 }
 
 // reload applies the configuration file and switches to the discovery address that it gives. A file
-// with any error changes nothing, so that settings are never applied in part.
+// with any error changes nothing, so that settings are never applied in part. reload returns the
+// configuration that is now in force.
 func reload(current *gateway.Config, loop *gateway.Loop, discovery *gateway.Discovery) *gateway.Config {
 	cfg, err := gateway.Reload(os.Getenv, current)
 	if err != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -57,12 +57,13 @@
 	return math.MaxInt64
 }
 
-// effectsByName maps the names of effects.
+// effectsByName maps the names of effects, one of which each class must have.
 var effectsByName = map[string]bramblelock.Effect{
 	"idempotent": bramblelock.Idempotent, "deduplicated": bramblelock.Deduplicated, "at_most_once": bramblelock.AtMostOnce,
 }
 
-// dedupScopesByName maps the names of deduplication groups. The default is every host.
+// dedupScopesByName maps the names of deduplication groups. A class without a group is deduplicated
+// among all hosts.
 var dedupScopesByName = map[string]bramblelock.DedupScope{
 	"": bramblelock.DedupAll, "all": bramblelock.DedupAll,
 	"zone": bramblelock.DedupZone, "cell": bramblelock.DedupCell,
@@ -72,7 +73,9 @@
 // the other modes, which include the default, the list is pushed.
 var watchByDiscovery = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
-// ParseSettings decodes a JSON settings object, such as the one of an EventHello.
+// ParseSettings decodes a JSON settings object, such as the one of an EventHello. It rejects
+// malformed JSON, values of another type and unknown names. bramblelock.New validates the values and
+// fills in defaults.
 func ParseSettings(text []byte) (bramblelock.Settings, error) {
 	var decoded settings
 	var result bramblelock.Settings
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -24,8 +24,8 @@
 	EventAttemptEnded    = 4 // outcome of an attempt
 	EventClientGone      = 5 // withdrawal of a request by its client
 	EventTimer           = 6 // expiry of a timer that a wake action set
-	EventProbeResult     = 7 // result of a probe, decoded without its fields
-	EventPeerMessage     = 8 // message of another instance, decoded without its fields
+	EventProbeResult     = 7 // result of a probe; its fields are skipped
+	EventPeerMessage     = 8 // message of another instance; its fields are skipped
 	EventStop            = 9 // stop of an instance
 )
 
@@ -54,10 +54,10 @@
 // timeUnit is the unit of all times and durations on the wire.
 const timeUnit = time.Microsecond
 
-// flagClientRetry is the bit of a request's flags that marks a retry by the client.
+// flagClientRetry is the mask of the bit in a request's flags that marks a retry by the client.
 const flagClientRetry = 2
 
-// Event is a decoded record. Only Code, Instance and the fields that name its code are set.
+// Event is a decoded record. Only Code, Instance and the fields whose comments name its code are set.
 type Event struct {
 	Code     byte   // an Event constant
 	Instance uint32 // number of the instance that the event is for
@@ -209,7 +209,8 @@
 	return nil
 }
 
-// decodeHostList decodes the fields of a host list into e. The list is kept in r.hosts.
+// decodeHostList decodes the fields of a host list into e. e.Hosts uses the memory of r.hosts, which
+// the next host list overwrites.
 func (r *Reader) decodeHostList(e *Event, f *fieldReader) error {
 	mode := f.u8()
 	f.u64() // version
@@ -258,7 +259,7 @@
 	return nil
 }
 
-// resultsByCode maps the outcome codes of attempts.
+// resultsByCode maps the outcome codes of attempts to results.
 var resultsByCode = map[uint16]bramblelock.Result{
 	100: bramblelock.OK,
 	301: bramblelock.Failed,
