--- a/cmd/gateway/bank.go
+++ b/cmd/gateway/bank.go
@@ -18,8 +18,8 @@
 	members *membership.Node
 	loop    *gateway.Loop
 	roster  *gateway.Roster
-	rank    atomic.Int64 // configured rank of this gateway, updated by a reload
-	status  atomic.Pointer[reportedStatus]
+	rank    atomic.Int64                // configured rank of this gateway, updated by a reload
+	status  atomic.Pointer[reportedStatus] // nil until the first update
 }
 
 // reportedStatus is the status of this gateway in the fleet as the answer to GET /members states it. The
@@ -34,7 +34,8 @@
 // peerUpdateInterval is the time between two updates of the decision module from the membership view.
 const peerUpdateInterval = time.Second
 
-// run requests an initial host list and updates the decision module periodically until ctx is done.
+// run requests an initial host list from peers and updates the decision module every
+// peerUpdateInterval until ctx is done.
 func (f *fleetSynchronizer) run(ctx context.Context) {
 	go f.requestInitialList(ctx)
 	tick := time.NewTicker(peerUpdateInterval)
@@ -50,7 +51,7 @@
 }
 
 // updatePeers reports the peers that are alive or suspect to the decision module, announces this
-// gateway's load to them and logs the fleet status if it changed.
+// gateway's rank and request rate to them, and logs the fleet status if Rank, Live or Draws changed.
 func (f *fleetSynchronizer) updatePeers() {
 	rank := int(f.rank.Load())
 	var peers []bramblelock.Peer
@@ -75,8 +76,8 @@
 // membersResponse returns the body of the answer to GET /members, to be encoded as JSON.
 func (f *fleetSynchronizer) membersResponse() any {
 	return struct {
-		Place *reportedStatus   `json:"place"`
-		Peers []membership.Peer `json:"peers"`
+		Status *reportedStatus   `json:"place"`
+		Peers  []membership.Peer `json:"peers"`
 	}{f.status.Load(), f.members.View()}
 }
 
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -137,8 +137,8 @@
 	roster := gateway.NewRoster(cfg.Known, loop)
 	var synchronizer *fleetSynchronizer
 	if options := cfg.Membership; options.Bind != "" {
-		// Started after the configured list is applied: a list that a peer sends during the join
-		// takes precedence over that one.
+		// Started after the configured list is applied: a list that a peer sends during the join takes
+		// precedence over the configured one.
 		node, err := membership.Start(membership.Options{Name: cfg.Name, Bind: options.Bind, Peers: options.Peers, Local: options.Local, Lists: roster})
 		if err != nil {
 			return err
@@ -198,7 +198,8 @@
 }
 
 // reload applies the configuration file and switches to the discovery address that it gives. A file
-// with any error changes nothing, so that settings are never applied in part.
+// with any error changes nothing, so that settings are never applied in part. reload returns the
+// configuration that is now in force.
 func reload(current *gateway.Config, loop *gateway.Loop, discovery *gateway.Discovery) *gateway.Config {
 	cfg, err := gateway.Reload(os.Getenv, current)
 	if err != nil {
