--- a/internal/catalog/disk.go
+++ b/internal/catalog/disk.go
@@ -21,14 +21,14 @@
 }
 
 const (
-	initialRetryDelay = 10 * time.Millisecond // for saving a term or vote
-	maxRetryDelay     = 500 * time.Millisecond
+	initialRetryDelay = 10 * time.Millisecond  // delay before the first retry to save a term or vote
+	maxRetryDelay     = 500 * time.Millisecond // maximum delay between two retries to save a term or vote
 )
 
 // retryingStorage wraps a raftStorage so that raft survives failed writes.
 //
 // Raft panics when it cannot save a term, so writes of terms and votes are retried until they
-// succeed. Raft blocks meanwhile, which is safe because a term or vote counts only once it is saved.
+// succeed. Raft blocks meanwhile, which is safe because a term or vote takes effect only once it is saved.
 // Raft handles a failed write of log entries itself: it returns an error and steps down. But a
 // failed sync may leave the entries in the file, beyond the last index that raft knows of. If raft
 // then wrote a shorter batch of a newer term over them, an entry of an older term would follow one
@@ -50,7 +50,7 @@
 // StoreLog implements raft.LogStore.
 func (d *retryingStorage) StoreLog(entry *raft.Log) error { return d.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs implements raft.LogStore. If it fails, none of the entries remain once the next write
+// StoreLogs implements raft.LogStore. If it fails, none of its entries remain once the next call
 // succeeds.
 func (d *retryingStorage) StoreLogs(entries []*raft.Log) error {
 	d.mu.Lock()
@@ -84,12 +84,13 @@
 	return nil
 }
 
-// Set implements raft.StableStore. It retries until the value is saved.
+// Set implements raft.StableStore. It retries until the value is saved and never returns an error.
 func (d *retryingStorage) Set(key, value []byte) error {
 	return d.retryUntilSaved(key, func() error { return d.raftStorage.Set(key, value) })
 }
 
-// SetUint64 implements raft.StableStore. It retries until the value is saved.
+// SetUint64 implements raft.StableStore. It retries until the value is saved and never returns an
+// error.
 func (d *retryingStorage) SetUint64(key []byte, value uint64) error {
 	return d.retryUntilSaved(key, func() error { return d.raftStorage.SetUint64(key, value) })
 }
@@ -118,5 +119,6 @@
 	}
 }
 
-// stopRetries ends all retries because the process is shutting down.
+// stopRetries ends all retries because the process is shutting down. Calls of Set and SetUint64 whose
+// value is not saved then block forever.
 func (d *retryingStorage) stopRetries() { d.closeOnce.Do(func() { close(d.closing) }) }
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -24,7 +24,7 @@
 }
 
 // ParsePeers parses the value of the -peers flag, a comma-separated list of
-// id=raftaddr/httpaddr.
+// id=raftaddr/httpaddr. Empty elements are skipped.
 func ParsePeers(s string) ([]Peer, error) {
 	var peers []Peer
 	for _, f := range strings.Split(s, ",") {
@@ -41,25 +41,30 @@
 	return peers, nil
 }
 
-// Options configures one catalog instance. Durations are in wall-clock time.
+// Options configures one catalog instance. DataDir and RaftAddr must be set. A zero ID, duration or
+// limit means the default that its comment gives.
 type Options struct {
-	ID            string            // raft id of this instance
+	ID            string            // raft id of this instance; default "c1"
 	DataDir       string            // folder of the raft log, the stable state and the snapshots
 	RaftAddr      string            // address on which raft listens and which peers use for this instance
-	HTTPAddr      string            // address of the HTTP server of this instance
+	HTTPAddr      string            // address on which the caller serves the Handler of this instance
 	Peers         []Peer            // all instances of the cluster, including this one; empty for a single instance
 	DialOverrides map[string]string // maps a peer's raft address to the address to dial instead
-	// StaleAfter is how long a follower keeps serving lists without contact with a leader.
+	// StaleAfter is how long a follower keeps serving lists without contact with a leader; default
+	// 2 s.
 	StaleAfter time.Duration
-	// WatchWriteTimeout bounds a single write of a list or of a watch. A watch that exceeds it is closed.
+	// WatchWriteTimeout bounds a single write of a list or of a watch; default 5 s. A watch that exceeds
+	// it is closed.
 	WatchWriteTimeout time.Duration
-	// MaxWatches bounds the number of open watches. Further watches are answered with 503.
+	// MaxWatches bounds the number of open watches; default 8192. Further watches are answered with 503.
 	MaxWatches int
-	// HeartbeatTimeout is raft's heartbeat and election timeout. The leader lease is half of it.
+	// HeartbeatTimeout is raft's heartbeat and election timeout; default 500 ms. The leader lease is half
+	// of it.
 	HeartbeatTimeout time.Duration
 	// LogOutput receives the log of raft; nil means standard error.
 	LogOutput io.Writer
-	// CallLimits bounds the list calls in flight and waiting. The zero value means DefaultCallLimits.
+	// CallLimits bounds the list calls (fetches of the list and openings of watches) in flight and
+	// waiting. The zero value means DefaultCallLimits; otherwise each field must be above 0.
 	CallLimits admit.Options
 
 	// openStorage opens the storage of raft's log and stable state; nil means openBoltStorage.
@@ -67,7 +72,7 @@
 }
 
 // DefaultCallLimits allows 32 list calls in flight and 1,024 waiting for up to 1 s. Rejected callers
-// are told to retry within 10 s and at least 2 ms apart (500 per second).
+// are asked to retry within 10 s, at times at least 2 ms apart (500 per second).
 var DefaultCallLimits = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
 
 // Node is one running instance of the catalog.
@@ -77,13 +82,16 @@
 	store      *Store
 	storage    *retryingStorage
 	transport  *raft.NetworkTransport
-	peers      map[raft.ServerID]Peer
-	watchSlots chan struct{} // holds one token per open watch
+	peers      map[raft.ServerID]Peer // all instances of the cluster, including this one
+	watchSlots chan struct{}          // holds one token per open watch
 	admission  *admissionController
 }
 
-// Open starts an instance on its data folder. If the folder holds no raft state, the cluster is
-// bootstrapped with opt.Peers as its initial configuration.
+// Open starts an instance on its data folder, which is created if needed. It does not listen on
+// opt.HTTPAddr. If the folder holds no raft state, the cluster is bootstrapped with opt.Peers as its
+// initial configuration. Otherwise raft uses its stored configuration, and opt.Peers serves only to
+// find the leader's HTTP address. The id of this instance must be among opt.Peers unless they are
+// empty. End the instance with Close.
 func Open(opt Options) (*Node, error) {
 	if opt.ID == "" {
 		opt.ID = "c1"
@@ -190,7 +198,8 @@
 var errShutdownTimeout = errors.New("catalog: shutdown timed out because the data folder takes no writes")
 
 // Close stops raft and closes the data folder. If raft does not stop within shutdownTimeout, Close
-// returns an error and leaves the storage open.
+// returns an error and leaves the storage open. The process must then exit, because a blocked write
+// of a term or vote never returns.
 func (n *Node) Close() error {
 	shutdownDone := make(chan error, 1)
 	go func() { shutdownDone <- n.raft.Shutdown().Error() }()
@@ -205,8 +214,9 @@
 	}
 }
 
-// StaleReason returns why the list of this instance may be out of date, or "" if it is current. It
-// is out of date on an instance that has had no contact with a leader for StaleAfter.
+// StaleReason returns why the list of this instance may be out of date, or "" if it may be served.
+// The list counts as out of date on an instance that is not the leader and that has had no contact
+// with a leader yet, or none for Options.StaleAfter.
 func (n *Node) StaleReason() string {
 	if n.raft.State() == raft.Leader {
 		return ""
@@ -227,7 +237,7 @@
 	if n.raft.State() == raft.Leader {
 		return true
 	}
-	leader, _ := n.raft.LeaderWithID() // empty after a vote, which also counts as contact
+	leader, _ := n.raft.LeaderWithID() // empty after a vote for another instance, which sets LastContact
 	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.HeartbeatTimeout/2
 }
 
@@ -238,8 +248,9 @@
 }
 
 // write commits one command and returns the version of the list after it. It must run on the
-// leader. It fails with ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (after
-// which the entry may still commit) or another raft error such as raft.ErrEnqueueTimeout.
+// leader. timeout limits the wait until raft starts to commit the command, not the commit itself.
+// write fails with ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (after which
+// the entry may still commit) or another raft error such as raft.ErrEnqueueTimeout.
 func (n *Node) write(c command, timeout time.Duration) (uint64, error) {
 	if n.store.VersionBase() == 0 {
 		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog continues above all versions of the old one
@@ -259,16 +270,16 @@
 // Status is the JSON body of GET /catalog/status.
 type Status struct {
 	ID            string `json:"id"`
-	State         string `json:"state"`
-	Leader        string `json:"leader"`
-	Version       uint64 `json:"version"`
-	Applied       uint64 `json:"applied"`
-	LastContactMS int64  `json:"last_contact_ms"` // -1 on the leader and before the first contact
-	StaleReason   string `json:"stale,omitempty"`
-	Watches       int    `json:"watches"`
+	State         string `json:"state"`           // raft state as raft spells it, such as "Leader"
+	Leader        string `json:"leader"`          // raft id of the leader; empty if none is known
+	Version       uint64 `json:"version"`         // version of the list
+	Applied       uint64 `json:"applied"`         // index of the last raft log entry that was applied
+	LastContactMS int64  `json:"last_contact_ms"` // time since the last contact with a leader; -1 on the leader and before the first contact
+	StaleReason   string `json:"stale,omitempty"` // why this instance serves no lists; empty if it serves them
+	Watches       int    `json:"watches"`         // open watches
 	CallsInFlight int    `json:"calls_in_work"`
 	CallsWaiting  int    `json:"calls_waiting"`
-	CallsShed     int64  `json:"calls_shed"` // since the start of the process
+	CallsShed     int64  `json:"calls_shed"` // list calls rejected by the admission control since the start of the process
 }
 
 func (n *Node) status() Status {
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -18,9 +18,9 @@
 
 const (
 	membersPath       = "/catalog/members"
-	keepAliveInterval = 2 * time.Second // interval of the empty lines on an idle watch, set by the protocol
-	applyTimeout      = 5 * time.Second // limits the wait until raft starts to commit a write
-	headerForwarded   = "X-Catalog-Forwarded"
+	keepAliveInterval = 2 * time.Second       // interval of the empty lines on an idle watch, set by the protocol
+	applyTimeout      = 5 * time.Second       // limits the wait until raft starts to commit a write
+	headerForwarded   = "X-Catalog-Forwarded" // on a forwarded write: id of the instance that forwards it
 	// watchSendBufferBytes is the socket send buffer of a watch. It bounds the memory that a
 	// watcher which does not read can occupy on this instance (the kernel doubles the value).
 	watchSendBufferBytes = 64 << 10
@@ -53,7 +53,7 @@
 	return mux
 }
 
-// serveList answers a fetch of the list or a watch, unless this instance is stale.
+// serveList answers a fetch of the list or a watch, with 503 if this instance is stale.
 func (n *Node) serveList(w http.ResponseWriter, r *http.Request) {
 	if reason := n.StaleReason(); reason != "" {
 		writeUnavailable(w, "stale: "+reason, 0)
@@ -71,8 +71,9 @@
 	n.serveListCall(w, r, afterVersion, q.Get("stream") == "1")
 }
 
-// serveListCall answers a list call once it is admitted. A rejected call is answered with 503 and the
-// time after which to retry.
+// serveListCall answers a list call (a fetch of the list, or a watch if stream is set) once it is
+// admitted. A rejected call is answered with 503 and the time after which to retry, and so is a watch
+// beyond MaxWatches.
 func (n *Node) serveListCall(w http.ResponseWriter, r *http.Request, afterVersion uint64, stream bool) {
 	if stream {
 		select {
@@ -101,11 +102,12 @@
 }
 
 // serveWatch sends the changes after afterVersion, then every further change, and an empty line every
-// keepAliveInterval while the list does not change. If afterVersion is 0, the whole list is sent
-// first. The watch ends when the watcher disconnects, when a write exceeds WatchWriteTimeout or when
-// this instance becomes stale. releaseSlot is called whenever the watcher is up to date, because a
-// watch takes no work until the list changes; it must tolerate repeated calls.
-func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, afterVersion uint64, releaseSlot func()) {
+// keepAliveInterval while the list does not change. The first line is that of initialLine, which may
+// hold the whole list; without one the answer is 503. The watch ends when the watcher disconnects,
+// when a write exceeds WatchWriteTimeout or when this instance becomes stale. releaseAdmission ends
+// the admitted call, because a watch takes no work until the list changes. It is called whenever the
+// watcher is up to date and must tolerate repeated calls.
+func (n *Node) serveWatch(w http.ResponseWriter, r *http.Request, afterVersion uint64, releaseAdmission func()) {
 	if c, ok := r.Context().Value(connContextKey{}).(*net.TCPConn); ok {
 		c.SetWriteBuffer(watchSendBufferBytes)
 	}
@@ -137,7 +139,7 @@
 			afterVersion = version
 			continue
 		}
-		releaseSlot()
+		releaseAdmission()
 		select {
 		case <-r.Context().Done():
 			return
@@ -151,15 +153,15 @@
 }
 
 // catchUpTimeout is how long a watch that resumes from a later version than that of this instance
-// waits for it, because this instance may still have log entries to apply.
+// waits until this instance reaches the version, because it may still have log entries to apply.
 const catchUpTimeout = 250 * time.Millisecond
 
 // initialLine returns the first line of a watch after afterVersion, and the version of the list that
 // the watcher then has. The line holds the changes since afterVersion, of which there may be none.
-// It holds the whole list if these changes are not retained, or if this catalog cannot reach
-// afterVersion, which another catalog then assigned. It is nil if this instance does not reach
-// afterVersion within catchUpTimeout and either has no live leader or still has log entries up to
-// afterVersion to apply.
+// It holds the whole list if afterVersion is 0, if the changes since then are not retained, or if this
+// catalog cannot reach afterVersion, which another catalog then assigned. It is nil if this instance
+// does not reach afterVersion within catchUpTimeout and either has no live leader or still has log
+// entries up to afterVersion to apply.
 func (n *Node) initialLine(ctx context.Context, afterVersion uint64) ([]byte, uint64) {
 	catchUpTimer := time.NewTimer(catchUpTimeout)
 	defer catchUpTimer.Stop()
@@ -185,7 +187,8 @@
 	return n.store.FullList()
 }
 
-// serveWrite commits a PUT or DELETE of one entry on the leader. A follower forwards it.
+// serveWrite commits a PUT or DELETE of one entry on the leader. Any other instance checks the write
+// and forwards it.
 func (n *Node) serveWrite(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if err := ValidateID(id); err != nil {
@@ -242,7 +245,8 @@
 var forwardClient = &http.Client{Timeout: applyTimeout + time.Second}
 
 // forward sends a write to the leader and passes the leader's answer back to the caller. A write
-// that another instance forwarded is not forwarded again.
+// that another instance forwarded is not forwarded again but answered with 503, as is a write while
+// no leader is known.
 func (n *Node) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	leader := n.leaderHTTP()
 	if leader == "" || r.Header.Get(headerForwarded) != "" {
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -20,24 +20,25 @@
 // Member is one host of the list as the discovery protocol encodes it.
 type Member struct {
 	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
+	Addr      string  `json:"addr"` // host:port
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"`
+	State     string  `json:"state"`      // "ready", "draining", or "gone" in a change that removes the host
+	Weight    float64 `json:"weight"`     // from 0 to 1e6
+	StartedMS int64   `json:"started_ms"` // when the host started, in Unix milliseconds
 }
 
 // List is one message of the discovery protocol. If Full is set, Servers holds all hosts;
-// otherwise it holds the hosts that changed since an earlier version.
+// otherwise it holds the hosts that changed since an earlier version, with removed hosts in state
+// "gone".
 type List struct {
 	Version uint64   `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Member `json:"servers"`
 }
 
-// Patch is the body of a write. Fields that are present replace those of the entry; absent
+// Patch is the body of a write. Fields that are present replace those of the entry; absent or null
 // fields leave an existing entry unchanged. A new entry requires Addr and starts in state ready
 // with weight 1 unless the patch sets these.
 type Patch struct {
@@ -66,7 +67,7 @@
 }
 
 // ValidateID checks that id has 1 to MaxIDBytes bytes and consists of ASCII letters, digits and
-// the characters ".-_:".
+// the characters ".-_:". Its errors wrap ErrInvalid.
 func ValidateID(id string) error {
 	if id == "" || len(id) > MaxIDBytes {
 		return invalidf("id must have 1 to %d bytes", MaxIDBytes)
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// DecodePatch decodes the body of a write. It accepts exactly one JSON object and rejects unknown
-// keys and trailing data.
+// DecodePatch decodes the body of a write. It accepts exactly one JSON object, or null for a patch
+// that sets nothing, and rejects unknown keys and trailing data. Its errors wrap ErrInvalid.
 func DecodePatch(body []byte) (Patch, error) {
 	var p Patch
 	dec := json.NewDecoder(bytes.NewReader(body))
@@ -96,8 +97,9 @@
 	return p, nil
 }
 
-// apply returns m updated with the fields that p sets, or an error that wraps ErrInvalid. exists
-// reports whether m is already in the list.
+// apply returns m updated with the fields that p sets, or an error that wraps ErrInvalid, with which
+// the returned member must be discarded. exists reports whether m is already in the list; if not, m
+// is the zero Member.
 func (p *Patch) apply(m Member, exists bool) (Member, error) {
 	if !exists {
 		if p.Addr == nil {
@@ -160,7 +162,8 @@
 	Op    string `json:"op"` // "put" or "del"
 	ID    string `json:"id"`
 	Patch Patch  `json:"patch,omitempty"`
-	// Base is the version base in Unix milliseconds. It is set while the list has no base.
+	// Base is the proposed version base in Unix milliseconds. It is 0 if the leader's list has a
+	// version base already.
 	Base uint64 `json:"base,omitempty"`
 }
 
@@ -176,11 +179,11 @@
 type Store struct {
 	mu            sync.Mutex
 	members       map[string]Member
-	versionBase   uint64        // added to the raft index, so that a rebuilt catalog does not reuse versions
-	version       uint64        // versionBase plus the raft index of the last change
+	versionBase   uint64        // added to the raft index, so that a rebuilt catalog does not reuse versions; 0 if not set yet
+	version       uint64        // versionBase plus the raft index of the last change; 0 before the first change
 	changes       []change      // the most recent changes, oldest first
 	resumableFrom uint64        // changes holds every change after this version
-	changed       chan struct{} // closed and replaced on each change
+	changed       chan struct{} // closed and replaced on each change and each restored snapshot
 	encodedList   []byte        // cached encoding of the whole list at version; nil if not yet encoded
 }
 
@@ -189,13 +192,14 @@
 	return &Store{members: map[string]Member{}, changed: make(chan struct{})}
 }
 
-// applyResult is the value that Apply returns to the proposer of a command.
+// applyResult is the value that Apply returns to the proposer of a command. Version is the version of
+// the list after the command. If Err is not nil, the command changed nothing.
 type applyResult struct {
 	Version uint64
 	Err     error
 }
 
-// Apply implements raft.FSM. It applies one committed log entry.
+// Apply implements raft.FSM. It applies one committed log entry and returns an applyResult.
 func (s *Store) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -235,9 +239,10 @@
 	return applyResult{Version: s.version}
 }
 
-// setVersion sets the version for a change at the given raft index. The first change sets the
-// version base. In a new list, a watch cannot resume from a version before that change, because
-// another catalog assigned it. The caller holds s.mu.
+// setVersion sets the version for a change at the given raft index, after setting the version base
+// to base if there is none yet. A watch can resume from no version earlier than the one just before
+// the first change of a new list, because another catalog assigned the earlier versions. The caller
+// holds s.mu.
 func (s *Store) setVersion(base, index uint64) {
 	if s.versionBase == 0 {
 		s.versionBase = base
@@ -259,7 +264,7 @@
 // ErrNotFound is returned for the deletion of an entry that is not in the list.
 var ErrNotFound = errors.New("no such entry")
 
-// Version returns the list's version.
+// Version returns the list's version, or 0 before the first change.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -274,9 +279,10 @@
 	return m, ok
 }
 
-// ChangesSince returns the changes after afterVersion as one line of the protocol. It returns the
-// whole list if some of these changes are no longer retained, and nil if afterVersion is the
-// current version or newer. The channel changed is closed on the next change.
+// ChangesSince returns the changes after afterVersion as one line of the protocol, together with the
+// current version. The line holds the whole list if some of the changes after afterVersion are not
+// retained, and is nil if afterVersion is the current version or newer. The caller must not modify
+// it. The channel changed is closed on the next change or restored snapshot.
 func (s *Store) ChangesSince(afterVersion uint64) (line []byte, version uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,14 +321,15 @@
 }
 
 // CanResume reports whether a watch can resume after afterVersion with changes alone, without the
-// whole list.
+// whole list. It also returns true for a version that is newer than the list's.
 func (s *Store) CanResume(afterVersion uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return afterVersion >= s.resumableFrom
 }
 
-// FullList returns the whole list as one line of the protocol, together with its version.
+// FullList returns the whole list as one line of the protocol, together with its version. The caller
+// must not modify the line.
 func (s *Store) FullList() ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -346,15 +353,16 @@
 	return members
 }
 
-// Snapshot implements raft.FSM. It copies the list and its version.
+// Snapshot implements raft.FSM. It copies the list, its version and its version base.
 func (s *Store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return snapshot{Base: s.versionBase, Version: s.version, Servers: s.sortedMembersLocked()}, nil
 }
 
-// Restore implements raft.FSM. It replaces the list with that of a snapshot. A snapshot holds no
-// changes, so watches at an older version then get the whole list.
+// Restore implements raft.FSM. It replaces the list with that of a snapshot, or keeps it and returns
+// an error if the snapshot is malformed. A snapshot holds no changes, so watches at an older version
+// then get the whole list.
 func (s *Store) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var snap snapshot
@@ -383,6 +391,7 @@
 	Servers []Member `json:"servers"`
 }
 
+// Persist implements raft.FSMSnapshot.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s); err != nil {
 		sink.Cancel()
@@ -391,4 +400,5 @@
 	return sink.Close()
 }
 
+// Release implements raft.FSMSnapshot. It does nothing, because the snapshot is a copy.
 func (snapshot) Release() {}
