--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,4 +1,4 @@
-// Package admit implements admission control for a service: it decides which calls are worked on,
+// Package admit implements admission control for a service: it decides which calls are in flight,
 // which wait in a queue, and which are shed with a retry delay. It does no I/O and reads no clock.
 // The service passes in arrivals and completions with the present time, so a real service and a
 // simulation of it decide alike.
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Class is the priority of a waiting call. Calls of a lower Class are admitted first.
+// Class is the priority of a call. Waiting calls of a numerically lower Class are admitted first.
 type Class int
 
 // Classes of the calls that ask for a list.
 const (
-	NoList     Class = iota // the caller has no list and cannot serve anybody
+	NoList     Class = iota // the caller has no list and cannot serve any client
 	Resume                  // the caller resumes from its version, which costs the service little
 	FullList                // the caller wants the full list again but can go on with the one it has
 	classCount              // number of classes
 )
 
-// Options are the limits of a Gate. All of them must be greater than 0.
+// Options are the limits of a Gate. All of them must be greater than 0, which New does not check.
 type Options struct {
-	Work  int           // maximum number of calls in work
+	Work  int           // maximum number of calls in flight
 	Queue int           // maximum number of waiting calls
-	Wait  time.Duration // a call that has waited this long is shed
+	Wait  time.Duration // maximum waiting time; a call that has waited this long is shed
 	Least time.Duration // minimum time between the retries of two shed calls
 	Most  time.Duration // maximum retry delay
 }
@@ -35,16 +35,16 @@
 	RetryAfter time.Duration // retry delay of a shed call; 0 if the call is admitted
 }
 
-// Gate limits the calls in work and the waiting calls of one service. Create it with New. It is
+// Gate limits the calls in flight and the waiting calls of one service. Create it with New. It is
 // not safe for concurrent use.
 type Gate struct {
-	opt         Options
-	now         time.Duration // latest time passed in
-	working     int           // calls in work
-	queues      [classCount][]call
-	queued      int           // calls in all queues
-	averageWork float64       // moving average of the seconds that a call is in work
-	lastRetryAt time.Duration // latest retry time given to a shed call
+	opt             Options
+	now             time.Duration      // latest time passed in, since the caller's origin
+	inFlight        int                // calls in flight
+	queues          [classCount][]call // waiting calls by Class, oldest first
+	queued          int                // calls in all queues
+	averageDuration float64            // moving average of the time in seconds that a call is in flight; 0 before the first Done
+	lastRetryAt     time.Duration      // latest retry time given to a shed call
 }
 
 // call is a waiting call.
@@ -56,13 +56,15 @@
 // New returns a Gate without any calls.
 func New(opt Options) *Gate { return &Gate{opt: opt} }
 
-// Arrive adds a call that arrives now, on any monotonic clock. It returns the decisions made: on
-// this call unless it waits, on a call that it displaced, and on expired calls. When the queue is
-// full, a call displaces the youngest waiting call of the highest Class above its own.
+// Arrive adds a call that arrives at the time now, counted on a monotonic clock from an origin that is
+// the same for all methods. The id must differ from those of the waiting calls. Arrive returns the
+// decisions made: on this call unless it waits, on a call that it displaced, and on expired calls.
+// When the queue is full, a call displaces the youngest waiting call of the highest Class above its
+// own, or is shed if there is none.
 func (g *Gate) Arrive(now time.Duration, id uint64, class Class) (decisions []Decision) {
 	decisions = g.Expire(now)
-	if g.working < g.opt.Work && g.queued == 0 {
-		g.working++
+	if g.inFlight < g.opt.Work && g.queued == 0 {
+		g.inFlight++
 		return append(decisions, Decision{ID: id, Admitted: true})
 	}
 	if g.queued >= g.opt.Queue {
@@ -82,21 +84,21 @@
 	return decisions
 }
 
-// Done ends the work of an admitted call, which took the given time, and admits waiting calls in
-// its stead. It returns the decisions made.
-func (g *Gate) Done(now, took time.Duration) (decisions []Decision) {
+// Done ends an admitted call that was in flight for the given duration and admits waiting calls in its
+// place. It returns the decisions made: on the admitted calls and on expired calls.
+func (g *Gate) Done(now, duration time.Duration) (decisions []Decision) {
 	decisions = g.Expire(now)
-	g.working--
-	if g.averageWork == 0 {
-		g.averageWork = took.Seconds()
+	g.inFlight--
+	if g.averageDuration == 0 {
+		g.averageDuration = duration.Seconds()
 	}
-	g.averageWork += (took.Seconds() - g.averageWork) / 16
+	g.averageDuration += (duration.Seconds() - g.averageDuration) / 16
 	for class := range g.queues {
-		for len(g.queues[class]) > 0 && g.working < g.opt.Work {
+		for len(g.queues[class]) > 0 && g.inFlight < g.opt.Work {
 			decisions = append(decisions, Decision{ID: g.queues[class][0].id, Admitted: true})
 			g.queues[class] = g.queues[class][1:]
 			g.queued--
-			g.working++
+			g.inFlight++
 		}
 	}
 	return decisions
@@ -130,11 +132,13 @@
 	return decisions
 }
 
-// shed returns the decision that sheds a call. Each shed call gets its own retry time, one call's
-// work after the last one given and after the calls that wait now, so that callers do not all
-// return at once.
+// shed returns the decision that sheds a call; the caller removes the call from its queue. Each shed
+// call gets its own retry time, so that callers do not all return at once: one gap after the last
+// retry time given, and at least one gap after the calls that wait now would be admitted at one per
+// gap. The gap is the average time between two completions while the Gate is full, but at least
+// Options.Least.
 func (g *Gate) shed(id uint64) Decision {
-	gap := max(g.opt.Least, time.Duration(g.averageWork/float64(g.opt.Work)*1e9))
+	gap := max(g.opt.Least, time.Duration(g.averageDuration/float64(g.opt.Work)*1e9))
 	g.lastRetryAt = max(g.lastRetryAt, g.now+time.Duration(g.queued)*gap) + gap
 	if g.lastRetryAt-g.now > g.opt.Most {
 		g.lastRetryAt = g.now + gap // the range up to Options.Most is used up: start over
@@ -145,5 +149,5 @@
 // Waiting returns the number of waiting calls.
 func (g *Gate) Waiting() int { return g.queued }
 
-// Working returns the number of calls in work.
-func (g *Gate) Working() int { return g.working }
+// InFlight returns the number of calls in flight.
+func (g *Gate) InFlight() int { return g.inFlight }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -17,7 +17,7 @@
 			Wait: time.Second, Least: time.Millisecond, Most: 5 * time.Second}
 		g := New(opt)
 		now := time.Duration(0)
-		waiting, working, decided := map[uint64]time.Duration{}, 0, map[uint64]bool{}
+		waiting, inFlight, decided := map[uint64]time.Duration{}, 0, map[uint64]bool{}
 		record := func(decisions []Decision) {
 			for _, v := range decisions {
 				if decided[v.ID] {
@@ -26,7 +26,7 @@
 				decided[v.ID] = true
 				delete(waiting, v.ID)
 				if v.Admitted {
-					working++
+					inFlight++
 				} else if v.RetryAfter <= 0 || v.RetryAfter > opt.Most {
 					t.Fatalf("call %d has a retry delay of %v, which is out of bounds", v.ID, v.RetryAfter)
 				}
@@ -39,18 +39,18 @@
 				waiting[id] = now
 				record(g.Arrive(now, id, Class(rapid.IntRange(0, int(classCount)-1).Draw(t, "class"))))
 			case 2:
-				if working > 0 {
-					working--
+				if inFlight > 0 {
+					inFlight--
 					record(g.Done(now, 10*time.Millisecond))
 				}
 			case 3:
 				record(g.Expire(now))
 			}
-			if working != g.Working() || working > opt.Work || len(waiting) != g.Waiting() || len(waiting) > opt.Queue {
-				t.Fatalf("%d calls in work and %d waiting, but the gate counts %d and %d", working, len(waiting), g.Working(), g.Waiting())
+			if inFlight != g.InFlight() || inFlight > opt.Work || len(waiting) != g.Waiting() || len(waiting) > opt.Queue {
+				t.Fatalf("%d calls in flight and %d waiting, but the gate counts %d and %d", inFlight, len(waiting), g.InFlight(), g.Waiting())
 			}
-			if working < opt.Work && len(waiting) > 0 {
-				t.Fatalf("%d calls wait though only %d are in work", len(waiting), working)
+			if inFlight < opt.Work && len(waiting) > 0 {
+				t.Fatalf("%d calls wait though only %d are in flight", len(waiting), inFlight)
 			}
 			for id, since := range waiting {
 				if now-since >= opt.Wait && now == g.now {
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -11,8 +11,8 @@
 	"bramblelock/internal/admit"
 )
 
-// headerHaveList is set by a caller that asks for the whole list but still has an older one to work
-// with.
+// headerHaveList is set, to any value, by a caller that asks for the whole list but still has an
+// older one to work with.
 const headerHaveList = "X-Catalog-Have"
 
 // admissionController limits concurrent list calls (fetches of the list and openings of watches).
@@ -20,7 +20,7 @@
 // waiting callers.
 type admissionController struct {
 	opt   admit.Options
-	start time.Time
+	start time.Time // origin of the times passed to the gate
 
 	mu        sync.Mutex
 	gate      *admit.Gate
@@ -45,7 +45,7 @@
 }
 
 // acquire blocks until a call is admitted or rejected. For a rejected call it returns false and the
-// time after which to retry, which is 0 if ctx ended first. An admitted call must end with release.
+// retry delay, which is 0 if ctx ended first. An admitted call must end with release.
 func (a *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
 	decision := make(chan admit.Decision, 1)
 	a.mu.Lock()
@@ -72,13 +72,13 @@
 				delete(a.decisions, id)
 				return 0, false
 			}
-			d := <-decision // the decision was delivered at the same time as the cancellation
+			d := <-decision // the decision was delivered before the lock was taken
 			return d.RetryAfter, d.Admitted
 		}
 	}
 }
 
-// release ends an admitted call. admittedAt is when its work began.
+// release ends an admitted call. admittedAt is when the call was admitted.
 func (a *admissionController) release(admittedAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,10 +90,10 @@
 func (a *admissionController) counts() (inFlight, waiting int, shed int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Working(), a.gate.Waiting(), a.shed
+	return a.gate.InFlight(), a.gate.Waiting(), a.shed
 }
 
-// admissionClass returns the class in which a list call waits.
+// admissionClass returns the priority class of a list call for the versions after afterVersion.
 func (n *Node) admissionClass(r *http.Request, afterVersion uint64) admit.Class {
 	switch {
 	case afterVersion > 0 && n.store.CanResume(afterVersion):
@@ -104,8 +104,9 @@
 	return admit.NoList
 }
 
-// writeUnavailable answers 503 with a Retry-After header. If retryAfter is not positive, it is
-// drawn at random from 0.5 s to 1.5 s, so that callers rejected together do not retry together.
+// writeUnavailable answers 503 with a Retry-After header in seconds with three decimals. If
+// retryAfter is not positive, it is drawn at random from 0.5 s to 1.5 s, so that callers rejected
+// together do not retry together.
 func writeUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		retryAfter = time.Second/2 + rand.N(time.Second)
