--- a/internal/catalogfleet/cluster.go
+++ b/internal/catalogfleet/cluster.go
@@ -28,21 +28,22 @@
 	Fatalf(format string, args ...any)
 }
 
-// Cluster is a set of catalog processes whose raft connections each pass through a faultnet link.
+// Cluster is a set of catalog processes whose raft connections each pass through a faultnet link. A
+// failure to start a process or to find an address is passed to its FailureReporter.
 type Cluster struct {
 	reporter  FailureReporter
 	binary    string // path of the catalog binary
 	dataDir   string
-	IDs       []string // raft ids of the instances: c1, c2 and so on
-	raftAddr  map[string]string
-	HTTPAddr  map[string]string // address of the HTTP server by instance id
-	Mesh      *faultnet.Mesh    // raft links between the instances
-	Processes map[string]*faultnet.Proc
-	extraArgs []string
+	IDs       []string                  // raft ids of the instances: c1, c2 and so on
+	raftAddr  map[string]string         // address on which raft listens by instance id
+	HTTPAddr  map[string]string         // address of the HTTP server by instance id
+	Mesh      *faultnet.Mesh            // raft links between the instances
+	Processes map[string]*faultnet.Proc // process of the latest start by instance id
+	extraArgs []string                  // added to the command line of each instance
 }
 
 // NewCluster starts instanceCount instances of the catalog binary with their data folders below
-// dataDir. extraArgs are added to the command line of each instance.
+// dataDir. It does not wait for a leader. extraArgs are added to the command line of each instance.
 func NewCluster(reporter FailureReporter, binary, dataDir string, instanceCount int, extraArgs ...string) *Cluster {
 	c := &Cluster{reporter: reporter, binary: binary, dataDir: dataDir, raftAddr: map[string]string{}, HTTPAddr: map[string]string{},
 		Processes: map[string]*faultnet.Proc{}, extraArgs: extraArgs}
@@ -95,7 +96,8 @@
 	return addr
 }
 
-// Start starts one instance, or restarts it on its existing data folder.
+// Start starts one instance, or restarts it on its existing data folder. A previous process of the
+// instance must have ended.
 func (c *Cluster) Start(id string) {
 	var peers, dialOverrides []string
 	for _, peerID := range c.IDs {
@@ -114,7 +116,7 @@
 	c.Processes[id] = p
 }
 
-// FetchStatus fetches the status of the instance at addr.
+// FetchStatus fetches the status of the instance at the HTTP address addr, within 1 s.
 func FetchStatus(addr string) (catalog.Status, error) {
 	var status catalog.Status
 	statusClient := http.Client{Timeout: time.Second}
@@ -127,7 +129,8 @@
 }
 
 // WaitForLeader waits until one of the given instances reports that it is the leader, and returns its
-// id. Without ids it considers all instances.
+// id. Without ids it considers all instances. It reports a failure after 300 rounds of status calls
+// with pauses of 50 ms.
 func (c *Cluster) WaitForLeader(ids ...string) string {
 	c.reporter.Helper()
 	if len(ids) == 0 {
@@ -147,8 +150,8 @@
 
 var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// PutMember writes one entry through the instance at addr and returns the HTTP status code, or 0 if
-// there was no answer.
+// PutMember writes one entry through the instance at addr, with a body in the form of catalog.Patch.
+// It returns the HTTP status code, or 0 if there was no answer within 10 s.
 func PutMember(addr, id, body string) int {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
 	resp, err := httpClient.Do(req)
@@ -161,7 +164,7 @@
 }
 
 // FetchList fetches the list of the instance at addr. The returned HTTP status code is 0 if there was
-// no answer.
+// no answer within 10 s; the list is empty unless it is 200.
 func FetchList(addr string) (catalog.List, int) {
 	var l catalog.List
 	resp, err := httpClient.Get("http://" + addr + "/catalog/members")
@@ -176,17 +179,18 @@
 }
 
 // Watcher watches the list as a gateway does. When a watch ends, it resumes from its version at the
-// next address. It records every version that is lower than the one before it.
+// next address after 20 to 100 ms. It records every version that is lower than the one before it.
 type Watcher struct {
 	Addrs       []string // instances to watch, used in turn
 	mu          sync.Mutex
-	received    []receivedVersion // each received version and its time of receipt
-	version     uint64
-	members     map[string]catalog.Member
-	regressions []string // descriptions of the versions that went back
+	received    []receivedVersion         // each received version and its time of receipt
+	version     uint64                    // version of the list in members; 0 before the first message
+	members     map[string]catalog.Member // by host id
+	regressions []string                  // descriptions of the versions that were lower than the one before
 }
 
-// Run watches the list until ctx ends. It starts at a random address.
+// Run watches the list until ctx ends. It starts at a random address. It must be called only
+// once.
 func (w *Watcher) Run(ctx context.Context) {
 	w.members = map[string]catalog.Member{}
 	watchClient := http.Client{}
@@ -217,7 +221,8 @@
 	}
 }
 
-// apply merges one message of the protocol into the list, unless its version goes back.
+// apply merges one message of the protocol into the list. A message with a version lower than the
+// list's is only recorded.
 func (w *Watcher) apply(l catalog.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -245,7 +250,8 @@
 	receivedAt time.Time
 }
 
-// ReceivedAt returns when the watcher first received the given version or a later one.
+// ReceivedAt returns when the watcher first received the given version or a later one, and whether it
+// has received one.
 func (w *Watcher) ReceivedAt(version uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -284,7 +290,8 @@
 	return out
 }
 
-// ProcessUsage returns the resident memory of a process in kB and its number of open descriptors.
+// ProcessUsage returns the resident memory of a process in kB and its number of open descriptors. A
+// figure that cannot be read is 0.
 func ProcessUsage(pid int) (rssKB int, descriptorCount int) {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(b), "\n") {
@@ -296,8 +303,9 @@
 	return rssKB, len(descriptors)
 }
 
-// CommitMember writes one entry through the instance at addr. It returns the version at which the
-// entry was committed and whether the commit was confirmed.
+// CommitMember writes one entry through the instance at addr, with a body in the form of
+// catalog.Patch. It returns the version at which the entry was committed and whether the commit was
+// confirmed. An unconfirmed write may still commit.
 func CommitMember(addr, id, body string) (uint64, bool) {
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/catalog/members/"+id, strings.NewReader(body))
 	resp, err := httpClient.Do(req)
--- a/internal/catalogfleet/experiment.go
+++ b/internal/catalogfleet/experiment.go
@@ -20,18 +20,19 @@
 // ExperimentResult holds the measurements of RunExperiment.
 type ExperimentResult struct {
 	Watchers        int     `json:"watchers"`
-	FanoutP50MS     float64 `json:"fanout_p50_ms"` // from the commit to the receipt by the last watcher, over 3 instances
+	FanoutP50MS     float64 `json:"fanout_p50_ms"` // from the answer that confirms a write to its receipt by the last watcher, over 3 instances
 	FanoutP99MS     float64 `json:"fanout_p99_ms"`
-	InstanceMB      float64 `json:"mb"`                 // resident memory of one instance with all watches open
-	Descriptors     int     `json:"descriptors"`        // open descriptors of that instance
-	KBPerWatch      float64 `json:"kb_a_watch"`         // resident memory per watch
-	LeaderKillP50MS float64 `json:"leader_kill_p50_ms"` // from the SIGKILL of the leader to the next committed write
+	InstanceMB      float64 `json:"mb"`                 // resident memory of a single instance with all watches open
+	Descriptors     int     `json:"descriptors"`        // open descriptors of the instance with all watches
+	KBPerWatch      float64 `json:"kb_a_watch"`         // growth of the resident memory per watch
+	LeaderKillP50MS float64 `json:"leader_kill_p50_ms"` // from the SIGKILL of the leader to the next confirmed write
 	LeaderKillP99MS float64 `json:"leader_kill_p99_ms"`
 }
 
 // RunExperiment starts clusters of the given catalog binary with data folders below dataDir. It
-// measures the fan-out of writes, the memory of watches and the failover time. If kills is 0, it
-// does not measure the failover.
+// measures the fan-out of writes, the memory of watches and the failover time, the latter over the
+// given number of kills of a leader. If kills is 0, it does not measure the failover. A failure of a
+// cluster is returned as an error.
 func RunExperiment(binary, dataDir string, watchers, writes, kills int) (result ExperimentResult, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -51,8 +52,9 @@
 	return result, nil
 }
 
-// measureFanout measures how long after its commit a write reaches the last of watcherCount watchers,
-// which are spread over 3 instances. It returns p50 and p99 over the writes in ms.
+// measureFanout measures how long after the answer that confirms it a write reaches the last of
+// watcherCount watchers, which are spread over 3 instances. If the last watcher receives it before the
+// answer, the time is 0. It returns p50 and p99 over the writes in ms.
 func measureFanout(binary, dataDir string, watcherCount, writes int) (float64, float64) {
 	c := NewCluster(panicReporter{}, binary, dataDir, 3)
 	defer c.Close(nil)
@@ -130,7 +132,7 @@
 }
 
 // measureFailover repeatedly kills the leader of a cluster of 3 instances. It returns p50 and p99 in
-// ms of the time to the next committed write.
+// ms of the time to the next confirmed write.
 func measureFailover(binary, dataDir string, trials int) (float64, float64) {
 	c := NewCluster(panicReporter{}, binary, dataDir, 3)
 	defer c.Close(nil)
@@ -162,7 +164,8 @@
 	return quantileMS(outages, 0.5), quantileMS(outages, 0.99)
 }
 
-// quantileMS sorts durations and returns their q-quantile in milliseconds.
+// quantileMS sorts durations, of which there must be at least one, and returns their q-quantile in
+// milliseconds.
 func quantileMS(durations []time.Duration, q float64) float64 {
 	slices.Sort(durations)
 	return float64(durations[min(len(durations)-1, int(q*float64(len(durations))))]) / float64(time.Millisecond)
