--- a/internal/faultnet/inject.go
+++ b/internal/faultnet/inject.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Errors that an Injector picks from, by the call that fails.
+// Errors that an Injector picks from when it fails a dial or a read. The errors of accept are
+// AcceptErrors; a write fails with ENOBUFS.
 var (
 	dialErrors = []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ETIMEDOUT,
@@ -19,8 +20,9 @@
 )
 
 // Injector makes system calls fail at random at the interfaces of the net package. Phases without
-// failures and phases with failures alternate every two seconds. It is meant for programs that are
-// built with fault injection.
+// failures and phases with failures alternate; each lasts two seconds, and the first is without. It is
+// meant for programs that are built with fault injection (build tag faultinject). It is safe for
+// concurrent use.
 type Injector struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
@@ -29,12 +31,14 @@
 }
 
 // NewInjector returns an Injector that fails the given fraction of the calls during its phases
-// with failures. The seed determines its random choices.
+// with failures, the first of which begins two seconds from now. The seed determines its random
+// choices.
 func NewInjector(seed uint64, failureRate float64) *Injector {
 	return &Injector{rng: rand.New(rand.NewPCG(seed, 3)), failureRate: failureRate, start: time.Now()}
 }
 
-// drawError decides whether a call fails now, and with which of errs.
+// drawError decides whether a call fails now, and with which of errs. It returns false if the call
+// does not fail.
 func (i *Injector) drawError(errs []syscall.Errno) (syscall.Errno, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -53,7 +57,8 @@
 	inject *Injector
 }
 
-// SyscallConn gives access to the socket of the wrapped listener, for callers that inspect it.
+// SyscallConn implements syscall.Conn with the socket of the wrapped listener, for callers that
+// inspect it.
 func (l *injectedListener) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -73,7 +78,7 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Dial wraps dial so that it sometimes fails, and so that its connections sometimes fail or return
-// short reads.
+// short reads. Connections other than a *net.TCPConn are passed on unchanged.
 func (i *Injector) Dial(dial Dialer) Dialer {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if errno, fails := i.drawError(dialErrors); fails {
@@ -88,7 +93,8 @@
 }
 
 // injectedConn is a connection whose reads are sometimes short and whose reads and writes
-// sometimes fail. A failed read closes the connection.
+// sometimes fail. A failed read resets the connection. A failed write sends nothing and leaves the
+// connection open.
 type injectedConn struct {
 	*net.TCPConn
 	inject *Injector
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -12,7 +12,8 @@
 )
 
 // Build compiles commands of this module, given by import path such as "bramblelock/cmd/catalog",
-// into dir. It returns the path of each binary by the last element of its import path.
+// into dir. It returns the path of each binary by the last element of its import path. The working
+// directory must be inside the module.
 func Build(dir string, pkgs ...string) (map[string]string, error) {
 	args := append([]string{"build", "-o", dir + string(os.PathSeparator)}, pkgs...)
 	out, err := exec.Command("go", args...).CombinedOutput()
@@ -27,12 +28,13 @@
 }
 
 // freeAddrIP is the address whose ports FreeAddr returns. Nobody dials from it and links listen on
-// another one, so a port stays free until the process that it is meant for listens.
+// another address, so a port stays free until the process that it is meant for listens.
 const freeAddrIP = "127.0.0.88"
 
 var issuedAddrs sync.Map // addresses that FreeAddr has returned
 
-// FreeAddr returns a loopback address with a free port. It never returns the same address twice.
+// FreeAddr returns a loopback address with a free port. It never returns the same address twice in
+// one process.
 func FreeAddr() (string, error) {
 	for {
 		ln, err := net.Listen("tcp", freeAddrIP+":0")
@@ -56,8 +58,8 @@
 	err  error         // how the process ended; valid once done is closed
 }
 
-// Start starts bin with args and with env added to this process's environment. Its output is
-// appended to dir/name.log.
+// Start starts bin with args and with env, in the form KEY=value, added to this process's environment.
+// Its output is appended to dir/name.log.
 func Start(dir, name, bin string, args []string, env ...string) (*Proc, error) {
 	return start(dir, name, bin, args, nil, nil, env)
 }
@@ -100,7 +102,7 @@
 // Pid returns the process ID.
 func (p *Proc) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends sig to the process unless it has ended.
+// Signal sends sig to the process, or does nothing if it has ended.
 func (p *Proc) Signal(sig syscall.Signal) {
 	select {
 	case <-p.done:
@@ -116,14 +118,14 @@
 	<-p.done
 }
 
-// Stop suspends the process (SIGSTOP). Its sockets stay open and silent.
+// Stop suspends the process (SIGSTOP). Its sockets stay open, but it no longer reads or writes.
 func (p *Proc) Stop() { p.Signal(syscall.SIGSTOP) }
 
 // Cont resumes a stopped process (SIGCONT).
 func (p *Proc) Cont() { p.Signal(syscall.SIGCONT) }
 
-// Term sends SIGTERM and kills the process if it has not ended after timeout. It returns how the
-// process ended, as exec.Cmd.Wait does.
+// Term sends SIGTERM, kills the process if it has not ended after timeout, and waits until it has
+// ended. It returns how the process ended, as exec.Cmd.Wait does.
 func (p *Proc) Term(timeout time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -134,7 +136,7 @@
 	return p.err
 }
 
-// Exited reports whether the process has ended, and how, as exec.Cmd.Wait does.
+// Exited reports without waiting whether the process has ended, and how, as exec.Cmd.Wait does.
 func (p *Proc) Exited() (bool, error) {
 	select {
 	case <-p.done:
@@ -144,7 +146,7 @@
 	}
 }
 
-// Mesh has a link for every ordered pair of named nodes.
+// Mesh has a link for every ordered pair of two different named nodes.
 type Mesh struct {
 	links map[[2]string]*Link // by source and destination node
 }
@@ -168,11 +170,11 @@
 	return m, nil
 }
 
-// Link returns the link that node a dials to reach node b.
+// Link returns the link that node a dials to reach node b, or nil if there is none.
 func (m *Mesh) Link(a, b string) *Link { return m.links[[2]string{a, b}] }
 
 // Partition black-holes every link between a node in side and one outside it, in both directions.
-// Links within each side pass traffic.
+// Links between two nodes in side, or between two nodes outside it, pass traffic.
 func (m *Mesh) Partition(side ...string) {
 	inside := map[string]bool{}
 	for _, s := range side {
--- a/internal/faultnet/syscalls.go
+++ b/internal/faultnet/syscalls.go
@@ -9,7 +9,8 @@
 
 // AcceptErrors are the errors that accept(2) and the registration of the new descriptor
 // (epoll_ctl) may return on Linux without a permanent fault of the listener: pending network
-// errors of the new connection, and a shortage of descriptors, memory or buffers.
+// errors of the new connection, a refusal by a firewall rule (EPERM), a shortage of descriptors,
+// memory or buffers, and an interruption by a signal (EINTR).
 var AcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
 	syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM,
@@ -25,7 +26,8 @@
 // FailingListener returns a Listener that wraps ln. Accept works as usual until Fail is called.
 func FailingListener(ln net.Listener) *Listener { return &Listener{Listener: ln} }
 
-// Fail makes the next calls of Accept fail with errs, one error per call.
+// Fail makes the next calls of Accept fail with errs, one error per call. It does not affect a call of
+// Accept that already waits for a connection.
 func (l *Listener) Fail(errs ...syscall.Errno) { l.errs.add(errs) }
 
 // Remaining returns the number of errors that Accept has yet to return.
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	minRetryPause = time.Millisecond // after the second failure in a row; the first is retried at once
-	maxRetryPause = 200 * time.Millisecond
-	logInterval   = time.Second // minimum time between two log lines about failures
+	minRetryPause = time.Millisecond       // pause after the second failure in a row; the first is retried at once
+	maxRetryPause = 200 * time.Millisecond // maximum pause, to which the pause doubles with each further failure
+	logInterval   = time.Second            // minimum time between two log lines about failures
 )
 
 // Retrying is a net.Listener whose Accept returns an error only once it has been closed. Linux
 // reports pending network errors of a new connection through accept, and a shortage of
 // descriptors, buffers or memory is temporary; neither means that the listening socket is broken.
-// Failures are logged at most once per second, and accept is retried after a pause that grows from
-// 1 to 200 ms.
+// Failures are logged at most once per second. Accept is retried at once after a first failure, and
+// after a pause that grows from 1 to 200 ms while it keeps failing.
 type Retrying struct {
 	net.Listener
-	name string // names the listener in the log
+	name string // name of the listener in the log
 
 	closeOnce sync.Once
 	closed    chan struct{} // closed by Close
