--- a/cmd/catalog/main.go
+++ b/cmd/catalog/main.go
@@ -1,6 +1,6 @@
 // Command catalog runs one instance of the discovery service. It keeps the host list, replicates it
 // with raft and serves it over the discovery protocol. A single instance needs only -data and -http. In
-// a cluster every instance gets the same -peers and an -id of its own.
+// a cluster every instance gets the same -peers, and its own -id, -raft and -http as stated there.
 //
 //	catalog -data /var/lib/catalog -http 127.0.0.1:8500
 //	catalog -id c2 -data d2 -raft 127.0.0.1:7502 -http 127.0.0.1:8502 \
@@ -39,12 +39,14 @@
 	}
 }
 
-// readTimeout limits the reading of a call, including its body. It does not limit an open watch.
+// readTimeout limits the reading of a call to the HTTP server, including its body. It does not limit an open watch.
 const readTimeout = 5 * time.Second
 
-// logFlushTimeout limits the writing of the last log lines.
+// logFlushTimeout limits the wait at the end of the process until the last log lines are written.
 const logFlushTimeout = 100 * time.Millisecond
 
+// run serves one instance with the given command line until SIGTERM, SIGINT or a failure. It returns
+// nil only after a shutdown without errors.
 func run(args []string, log io.Writer) error {
 	flags := flag.NewFlagSet("catalog", flag.ContinueOnError)
 	flags.SetOutput(log)
@@ -122,8 +124,9 @@
 }
 
 // maxWatches returns the default limit of open watches: the descriptor limit of the process less 64,
-// which are reserved for raft, writes and the data folder. A watch over the limit is answered 503;
-// without the limit the listener would fail to accept.
+// which are reserved for raft, writes and the data folder, but at most 1<<20. It returns 64 if the
+// descriptor limit is below 128 or unknown. A watch over the limit is answered 503; without the limit
+// the listener would fail to accept.
 func maxWatches() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < 128 {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,7 +1,7 @@
-// Command fleetlab runs experiments on a fleet of gateways. It runs a scenario file in one process on a
-// virtual clock, with an oracle that knows the state of every host in place of the gateways, or with
-// real processes on loopback. All three engines report the same figures. See docs/fleetlab.md for its
-// use.
+// Command fleetlab runs experiments on a fleet of gateways. It runs a scenario file with one of three
+// engines, which all report the same figures: virtual (in one process on a virtual clock), oracle (on
+// the virtual clock, with a dispatcher that knows the state of every host in place of the gateways) or
+// real (with real processes on loopback). See docs/fleetlab.md for its use.
 package main
 
 import (
@@ -63,7 +63,7 @@
 			if seeds < 1 {
 				return fmt.Errorf("--seeds: %d is below 1", seeds)
 			}
-			var plays fleetlab.ResultFile
+			var resultFile fleetlab.ResultFile
 			for i := range seeds {
 				seeded := *scenario
 				seeded.Seed += uint64(i)
@@ -72,21 +72,21 @@
 				if err != nil {
 					return err
 				}
-				plays.Runs = append(plays.Runs, result)
+				resultFile.Runs = append(resultFile.Runs, result)
 				fmt.Fprintf(os.Stderr, "seed %d: %.1f s of real time, %d of %d served in time, %d cold hosts overloaded\n",
 					seeded.Seed, time.Since(start).Seconds(), result.Requests.Served, result.Requests.Sent, result.OverloadFailures.Hosts)
 			}
 			if resultPath != "" {
-				if err := plays.Save(resultPath); err != nil {
+				if err := resultFile.Save(resultPath); err != nil {
 					return err
 				}
 			}
 			if plotPath != "" {
-				if err := plays.Runs[0].Plot(plotPath); err != nil {
+				if err := resultFile.Runs[0].Plot(plotPath); err != nil {
 					return err
 				}
 			}
-			return plays.Table(os.Stdout)
+			return resultFile.Table(os.Stdout)
 		}}
 	cmd.Flags().StringVar(&engine, "engine", "virtual", "engine: virtual, oracle or real")
 	realOptions.Progress = os.Stderr
@@ -98,7 +98,8 @@
 	return cmd
 }
 
-// newRunner returns the function that runs a scenario with the given engine.
+// newRunner returns the function that runs a scenario with the given engine. Only the engine real uses
+// ctx and opt.
 func newRunner(ctx context.Context, engine string, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
 	switch engine {
 	case "virtual":
@@ -114,11 +115,11 @@
 func tableCmd() *cobra.Command {
 	return &cobra.Command{Use: "table RESULT", Short: "Print the figures of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			plays, err := fleetlab.LoadResultFile(args[0])
+			resultFile, err := fleetlab.LoadResultFile(args[0])
 			if err != nil {
 				return err
 			}
-			return plays.Table(os.Stdout)
+			return resultFile.Table(os.Stdout)
 		}}
 }
 
@@ -141,11 +142,11 @@
 	var plotPath string
 	cmd := &cobra.Command{Use: "plot RESULT", Short: "Plot the first run of a result file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			plays, err := fleetlab.LoadResultFile(args[0])
+			resultFile, err := fleetlab.LoadResultFile(args[0])
 			if err != nil {
 				return err
 			}
-			return plays.Runs[0].Plot(plotPath)
+			return resultFile.Runs[0].Plot(plotPath)
 		}}
 	cmd.Flags().StringVarP(&plotPath, "out", "o", "fleet.svg", "output file (.svg or .png)")
 	return cmd
@@ -217,7 +218,8 @@
 	return cmd
 }
 
-// executableDir returns the folder of this program, in which the other binaries are built by default.
+// executableDir returns the folder of this program, in which the other binaries are expected by
+// default, or "." if it is not known.
 func executableDir() string {
 	path, err := os.Executable()
 	if err != nil {
