--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -24,7 +24,7 @@
 	Work  int           // maximum number of calls in flight
 	Queue int           // maximum number of waiting calls
 	Wait  time.Duration // maximum waiting time; a call that has waited this long is shed
-	Least time.Duration // minimum time between the retries of two shed calls
+	Least time.Duration // minimum time between the retry times of two shed calls, until these start over after Most
 	Most  time.Duration // maximum retry delay
 }
 
@@ -141,7 +141,7 @@
 	gap := max(g.opt.Least, time.Duration(g.averageDuration/float64(g.opt.Work)*1e9))
 	g.lastRetryAt = max(g.lastRetryAt, g.now+time.Duration(g.queued)*gap) + gap
 	if g.lastRetryAt-g.now > g.opt.Most {
-		g.lastRetryAt = g.now + gap // the range up to Options.Most is used up: start over
+		g.lastRetryAt = g.now + gap // the range up to Options.Most is used up: start over, so times can repeat
 	}
 	return Decision{ID: id, RetryAfter: g.lastRetryAt - g.now}
 }
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -11,7 +11,7 @@
 	"bramblelock/internal/admit"
 )
 
-// headerHaveList is set, to any value, by a caller that asks for the whole list but still has an
+// headerHaveList is set, to any value but "", by a caller that asks for the whole list but still has an
 // older one to work with.
 const headerHaveList = "X-Catalog-Have"
 
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -193,7 +193,8 @@
 }
 
 // applyResult is the value that Apply returns to the proposer of a command. Version is the version of
-// the list after the command. If Err is not nil, the command changed nothing.
+// the list after the command, or 0 if the command cannot be decoded. If Err is not nil, the command
+// changed nothing.
 type applyResult struct {
 	Version uint64
 	Err     error
