--- a/cmd/gateway/bank.go
+++ b/cmd/gateway/bank.go
@@ -18,7 +18,7 @@
 	members *membership.Node
 	loop    *gateway.Loop
 	roster  *gateway.Roster
-	rank    atomic.Int64                // configured rank of this gateway, updated by a reload
+	rank    atomic.Int64                   // configured rank of this gateway, updated by a reload
 	status  atomic.Pointer[reportedStatus] // nil until the first update
 }
 
@@ -51,7 +51,7 @@
 }
 
 // updatePeers reports the peers that are alive or suspect to the decision module, announces this
-// gateway's rank and request rate to them, and logs the fleet status if Rank, Live or Draws changed.
+// gateway's rank and request rate to them, and logs the fleet status if Rank, Live or SubsetHosts changed.
 func (f *fleetSynchronizer) updatePeers() {
 	rank := int(f.rank.Load())
 	var peers []bramblelock.Peer
