--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -61,11 +61,11 @@
 // checkSent checks an attempt whose first byte was written at began and which stated a timeout to its
 // host.
 func (a *Audit) checkSent(h *host, x *exchange, began time.Time, statedTimeout time.Duration, grace time.Duration) {
-	if left := h.unusableSince.Load(); left != nil && began.Sub(*left) > grace {
-		recordViolation(&a.sentAfterNotification, "sent after notification", "id", x.requestID(), "host", h.id, "after", began.Sub(*left))
+	if unusableSince := h.unusableSince.Load(); unusableSince != nil && began.Sub(*unusableSince) > grace {
+		recordViolation(&a.sentAfterNotification, "sent after notification", "id", x.requestID(), "host", h.id, "after", began.Sub(*unusableSince))
 	}
-	if gone := x.clientGoneAt.Load(); gone != nil && began.Sub(*gone) > goneClientSlack {
-		recordViolation(&a.sentForGoneClients, "sent for a client that has gone", "id", x.requestID(), "after", began.Sub(*gone))
+	if goneAt := x.clientGoneAt.Load(); goneAt != nil && began.Sub(*goneAt) > goneClientSlack {
+		recordViolation(&a.sentForGoneClients, "sent for a client that has gone", "id", x.requestID(), "after", began.Sub(*goneAt))
 	}
 	if left := x.clientDeadline().Add(answerMargin).Sub(began); statedTimeout > left+timeoutSlack {
 		recordViolation(&a.timeoutsOverLeft, "server told more time than is left", "id", x.requestID(), "told", statedTimeout, "left", left)
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -30,6 +30,7 @@
 	return newFramedConn(c), nil
 }
 
+// newFramedConn returns a framedConn over c. A queuedConn passes on its bounds on the arrival of data.
 func newFramedConn(c net.Conn) *framedConn {
 	now := time.Now()
 	framed := &framedConn{Conn: c, partialHead: requestHead{startedAt: now}}
@@ -46,27 +47,27 @@
 type framedConn struct {
 	net.Conn
 	raw         syscall.RawConn // of Conn; nil for a connection without a socket, as in tests
-	closed      atomic.Bool     // closed by this process, whatever has been read from it
-	releaseSlot func()          // called by the first Close to free the connection's slot; may be nil
+	closed      atomic.Bool     // Close was called, even if a request was read before
+	releaseSlot func()          // called by each Close; the first call frees the connection's slot; may be nil
 
-	mu            sync.Mutex     // needed as net/http reads ahead while the handler runs
+	mu            sync.Mutex     // guards the fields below but reader; net/http reads ahead while the handler runs
 	closing       bool           // the connection is about to be closed, and nothing more is read
 	pendingHeads  []*requestHead // heads of requests that no handler has taken yet, oldest first
-	idle          bool           // no request is being served, so the next bytes begin one
-	headDeadline  time.Time      // deadline of a head that has begun to arrive on an idle connection; zero if there is none
+	idle          bool           // no request is being served, so the next bytes belong to a new one
+	headDeadline  time.Time      // deadline of a head that has begun to arrive after an earlier request, applied while idle; zero if there is none
 	arrivals      arrivalTracker // bounds the arrival time of the bytes that are read next
 	readDeadline  time.Time      // current deadline of reads
-	reader        connReader
+	reader        connReader     // used by Read alone, without mu
 	state         parseState
 	remaining     int64        // bytes of the body or chunk that are still to come
 	line          []byte       // start of the line that is being received, up to maxLineBytes
 	lineTruncated bool         // the line is longer than maxLineBytes
 	partialHead   requestHead  // head that is being received
-	lastHead      *requestHead // head of the request that was received last
+	lastHead      *requestHead // head that was received last; its body may still be arriving
 }
 
-// Read reads and parses what has arrived in one step under c.mu, so that closeIf knows of all that
-// was read when it closes a connection for sending nothing.
+// Read reads what has arrived and parses it in one step under c.mu, so that closeIf knows of all
+// that has been read when it closes a connection.
 func (c *framedConn) Read(p []byte) (n int, err error) {
 	defer func() {
 		if headDeadline := c.idleHeadDeadline(); !headDeadline.IsZero() {
@@ -86,9 +87,9 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		n, err = c.readAfterDeadline(p, err)
 	}
-	var call *os.SyscallError
+	var syscallErr *os.SyscallError
 	switch {
-	case errors.As(err, &call) || err == net.ErrClosed:
+	case errors.As(err, &syscallErr) || err == net.ErrClosed:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 	case err != nil:
 		return 0, err
@@ -98,8 +99,9 @@
 	return n, nil
 }
 
-// readAfterDeadline reads what arrived before the read deadline although the deadline has passed:
-// the process may have been stalled, and a request that has arrived whole is owed an answer.
+// readAfterDeadline reads the unread data if all of it arrived before the read deadline, although the
+// deadline has passed: the process may have been stalled, and a request that has arrived whole is
+// owed an answer. Otherwise it returns timeoutErr.
 func (c *framedConn) readAfterDeadline(p []byte, timeoutErr error) (n int, err error) {
 	err = timeoutErr
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
@@ -137,7 +139,7 @@
 }
 
 // idleHeadDeadline returns the deadline of a head that has begun to arrive on an idle connection,
-// or zero if there is none.
+// or the zero time if there is none.
 func (c *framedConn) idleHeadDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,7 +161,8 @@
 }
 
 // readAvailable reads the bytes that have arrived. If there are none it returns false for done and
-// stores in waitingSince when its caller began to wait.
+// stores in waitingSince when its caller began to wait. If waitingSince is not zero when it is called,
+// its caller has been woken up. It returns net.ErrClosed if the connection is about to be closed.
 func (c *framedConn) readAvailable(fd int, p []byte, waitingSince *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +185,7 @@
 	c.arrivals.noteRead(n)
 	c.parse(p[:n])
 	if n < len(p) { // nothing is left unread
-		c.dateLastByte(now, fd)
+		c.boundCompletionTime(now, fd)
 		c.noteNothingUnread(now)
 	} else if c.state != parsingHead {
 		c.noteUnreadBody(now, fd)
@@ -190,16 +193,16 @@
 	return n, true, nil
 }
 
-// noteNothingUnread records that no bytes were left to read. After a whole request the client waits
-// for its answer, so its socket holds nothing back either.
+// noteNothingUnread records that no bytes were left to read, unless the client's socket may still
+// hold some back. After a whole request it holds none, as the client waits for its answer.
 func (c *framedConn) noteNothingUnread(now time.Time) {
 	if c.state == parsingHead || !c.arrivals.senderMayBeBlocked() {
 		c.arrivals.noteEmpty(now)
 	}
 }
 
-// dateLastByte bounds the arrival time of a request that ends with the byte that was read last.
-func (c *framedConn) dateLastByte(now time.Time, fd int) {
+// boundCompletionTime bounds the arrival time of a request that ends with the byte that was read last.
+func (c *framedConn) boundCompletionTime(now time.Time, fd int) {
 	if c.lastHead != nil && !c.lastHead.completeAt.IsZero() && c.state == parsingHead && c.partialHead.startedAt.IsZero() {
 		c.lastHead.completeAt = c.arrivals.lastByteArrivedAfter(now, fd)
 	}
@@ -212,8 +215,9 @@
 	}
 }
 
-// receivedAt returns the earliest time at which the last byte of a request can have arrived. If the
-// request is still arriving, that is the last time at which it is known to have been incomplete.
+// receivedAt returns the earliest time at which the last byte of the request with head h can have
+// arrived. If the request is still arriving, that is the last time at which it is known to have been
+// incomplete.
 func (c *framedConn) receivedAt(h *requestHead) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,9 +243,11 @@
 	if unread == 0 {
 		c.noteNothingUnread(now)
 	}
-	if c.state != parsingBody {
+	if c.state != parsingBody { // how much is missing of a chunked body is unknown
 		return c.arrivals.arrivedAfter(c.arrivals.totalRead + int64(unread))
 	}
+	// The body is incomplete if more is missing than the client's socket can hold, or if bytes are
+	// missing although no full receive window keeps them back.
 	unsent := c.remaining - int64(unread)
 	if unsent > maxClientSendBuffer || unsent > 0 && unread < minReceiveWindow && !c.arrivals.senderMayBeBlocked() {
 		return now
@@ -258,14 +264,16 @@
 	}
 }
 
-// closeIfIdle closes a connection without a request if no byte of a request has arrived.
+// closeIfIdle closes a connection on which no request is being served if no byte of the next request
+// has arrived.
 func (c *framedConn) closeIfIdle() bool {
 	return c.closeIf(func() bool {
 		return len(c.pendingHeads) == 0 && c.state == parsingHead && !c.partialHead.hasRequestLine && len(c.line) == 0
 	})
 }
 
-// closeIfNoHead closes a connection without a request if no whole head has arrived.
+// closeIfNoHead closes a connection on which no request is being served if the head of the next one
+// has not arrived whole.
 func (c *framedConn) closeIfNoHead() bool {
 	return c.closeIf(func() bool { return len(c.pendingHeads) == 0 && c.state == parsingHead })
 }
@@ -277,7 +285,7 @@
 }
 
 // closeIf closes the connection if allowed returns true and no bytes wait to be read, and returns
-// whether it did. Bytes that are read after the decision are not parsed.
+// whether it did. Nothing more is read after the decision.
 func (c *framedConn) closeIf(allowed func() bool) bool {
 	c.mu.Lock()
 	canClose := !c.closing && allowed() && !c.hasUnread()
@@ -302,7 +310,7 @@
 }
 
 // peek looks for an unread byte without waiting. It returns 1 if there is one, 0 if the peer has
-// closed its sending side, and the error EAGAIN otherwise.
+// closed its sending side, and an error otherwise: EAGAIN if the connection is open.
 func peek(fd int) (int, error) {
 	return retryInterrupted(func() (int, error) {
 		var b [1]byte
@@ -323,9 +331,9 @@
 	return err
 }
 
-// clientGone returns whether the client has closed its sending side or the connection. Unread bytes
-// hide that from a reader, but not from poll. Bytes that do not fit in the receive buffer hide it
-// here as well, since the FIN comes after them.
+// clientGone returns whether the client has closed its sending side or the connection, or this
+// process has closed the connection. Unread bytes hide that from a reader, but not from poll. Bytes
+// that do not fit in the receive buffer hide it here as well, since the FIN comes after them.
 func (c *framedConn) clientGone() bool {
 	if c.closed.Load() {
 		return true
@@ -358,7 +366,7 @@
 	return context.WithValue(ctx, framedConnKey{}, c)
 }
 
-// connClosed returns whether the connection of a request was closed before its handler began.
+// connClosed returns whether this process has closed the connection of a request.
 func connClosed(r *http.Request) bool {
 	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
 	return ok && c.closed.Load()
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -25,12 +25,12 @@
 	since       time.Time
 }
 
-// evictionClass says which connections are closed first to make room: the lowest ones that are
-// evictable.
+// evictionClass orders connections by which is closed first to make room: the one with the lowest
+// class above notEvictable.
 type evictionClass int
 
 const (
-	notEvictable     evictionClass = iota // the connection holds a request
+	notEvictable     evictionClass = iota // a request is being served, or has had less than minEvictionAge to arrive
 	evictIdle                             // the connection has had an answer and no request since
 	evictWithoutHead                      // no whole head has arrived for minEvictionAge
 	evictWithoutBody                      // the body of its request has not arrived whole for minEvictionAge
@@ -51,7 +51,8 @@
 	return notEvictable
 }
 
-// evictConn closes a connection to make room, unless more has arrived on it than its class says.
+// evictConn closes a connection, unless it is not evictable or more has arrived on it than its class
+// says, and returns whether it did.
 func evictConn(c net.Conn, class evictionClass) (closed bool) {
 	framed, ok := c.(*framedConn)
 	switch {
@@ -111,7 +112,8 @@
 	return c, nil
 }
 
-// acquireSlot waits until another connection may be open.
+// acquireSlot takes a slot for the next connection. While all slots are taken it evicts a connection,
+// if it can, every evictionInterval. It fails only if the listener is closed.
 func (l *clientListener) acquireSlot() error {
 	select {
 	case l.server.connSlots <- struct{}{}:
@@ -127,7 +129,7 @@
 		case <-l.done:
 			return net.ErrClosed
 		case <-tick.C:
-			l.backlog.checkEmpty()
+			l.backlog.checkEmpty() // keeps the bound on the arrival of the next connection recent
 			l.server.evictOne()
 		}
 	}
@@ -138,16 +140,16 @@
 	return l.framedListener.Close()
 }
 
-// overBudget returns whether there are more connections than the budget even though all that can be
-// evicted have been. Connections are then closed after their next answer.
+// overBudget returns whether there are more connections than the budget, as when too few can be
+// evicted. Connections are then closed after their next answer.
 func (s *Server) overBudget() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > s.connBudget
 }
 
-// trackConn records the state of a client's connection. Above the budget it evicts a connection
-// without a request, so that descriptors do not run out while requests wait in the backlog.
+// trackConn records the state of a client's connection. Above the budget it evicts a connection, if
+// it can, so that descriptors do not run out while requests wait in the backlog.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	if framed, ok := c.(*framedConn); ok {
 		framed.setIdle(state == http.StateIdle)
@@ -168,7 +170,7 @@
 	}
 }
 
-// evictOne closes one connection without a request, if there is one.
+// evictOne evicts one connection, if one is evictable.
 func (s *Server) evictOne() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -63,9 +63,9 @@
 		}
 		line, rest, lineEnded := bytes.Cut(in, []byte("\n"))
 		in = rest
-		room := min(len(line), maxLineBytes-len(c.line))
-		c.line = append(c.line, line[:room]...)
-		c.lineTruncated = c.lineTruncated || room < len(line)
+		kept := min(len(line), maxLineBytes-len(c.line))
+		c.line = append(c.line, line[:kept]...)
+		c.lineTruncated = c.lineTruncated || kept < len(line)
 		if !lineEnded {
 			return
 		}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -36,7 +36,7 @@
 	headerTimeout  = 2300 * time.Millisecond // time for a client to send the head of a request
 	requestTimeout = 2800 * time.Millisecond // time for a client to send a whole request; a long body extends it
 
-	writeTimeout = 10 * time.Second // time for a client to read its answer
+	writeTimeout = 10 * time.Second // time from the head of a request until its answer is written; writeAnswer replaces it
 	idleTimeout  = 3 * time.Minute  // time that a client's connection may stay without a request
 )
 
@@ -52,12 +52,12 @@
 	ln              atomic.Pointer[net.Listener]
 	accepting       atomic.Bool
 	stopping        atomic.Bool
-	finalAnswerAt   time.Time     // latest time of any answer; set before stopping
+	finalAnswerAt   time.Time     // time by which all answers are due at shutdown; set before stopping
 	shutdownStarted chan struct{} // closed when stopping is set
 
 	mu          sync.Mutex
 	conns       map[net.Conn]connState
-	connSlots   chan struct{} // holds one element for each open connection
+	connSlots   chan struct{} // holds one element for each open connection and one for the next; its capacity is the limit
 	closingIdle bool          // connections that become idle are closed
 
 	evictionCandidates []evictionCandidate // scratch space of evictLocked
@@ -76,7 +76,7 @@
 		ConnContext:       withFramedConn,
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       requestTimeout,
-		WriteTimeout:      writeTimeout, // reset when the answer is written
+		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeadBytes, // bounds a connection's share of the memory limit
 
@@ -85,7 +85,8 @@
 	return s
 }
 
-// Serve accepts requests from ln until Shutdown closes it.
+// Serve accepts connections from ln and serves their requests until Shutdown closes ln. It then
+// returns nil. Any other end of the listener is an error.
 func (s *Server) Serve(ln net.Listener) error {
 	backlog := newBacklog(ln)
 	ln = listener.NewRetrying(backlog, "clients")
@@ -123,7 +124,7 @@
 	errNoHosts  = errors.New("no hosts known")
 )
 
-// serve handles one request.
+// serve answers one request, or aborts its connection if the client has left.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if connClosed(r) {
 		// The request arrived while its idle connection was being closed. Its client sends it again.
@@ -166,7 +167,8 @@
 	}
 }
 
-// awaitAnswer waits for the final answer to x. It returns false if the client has left.
+// awaitAnswer waits for the final answer to x. It returns false if the client has left, and
+// answerFailed if there is no answer by the deadline.
 func (s *Server) awaitAnswer(r *http.Request, x *exchange) (answer, bool) {
 	var bodySent chan struct{}
 	clientGone, shutdown := r.Context().Done(), s.shutdownStarted
@@ -296,8 +298,8 @@
 	io.WriteString(w, "ok\n")
 }
 
-// readRequest validates a request, looks up what the module needs to know of it and reads a
-// body that is short enough to be kept. An error comes with the HTTP status of the answer.
+// readRequest validates a request, looks up its class and tenant, and reads a body that is short
+// enough to be buffered. An error comes with the HTTP status of the answer.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *requestHead) (*exchange, int, error) {
 	x := &exchange{
 		method: r.Method, uri: r.RequestURI, host: r.Host, url: r.URL, header: r.Header,
@@ -337,7 +339,10 @@
 	return x, 0, nil
 }
 
-// readBody reads a body that is to be kept, and prepares any other one to be streamed to a host.
+// readBody buffers a body of up to maxBufferedBytes if the memory budget allows it, and prepares any
+// other one to be streamed to a host. If a body of unknown length turns out to be longer, the part
+// that has been read stays buffered and the rest is streamed. An error comes with the HTTP status of
+// the answer.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) (int, error) {
 	if r.ContentLength > maxBodyBytes {
 		return http.StatusRequestEntityTooLarge, errBodyTooLong
@@ -384,15 +389,15 @@
 		}
 	}
 	if rules.Settings.Classes[x.class].Effect == bramblelock.Deduplicated && x.header.Get("Idempotency-Key") == "" {
-		// Without a key no host could discard the duplicate that a retry of the module may be.
+		// A retry by the module may be a duplicate, which a host can recognize by this key only.
 		return errors.New("Idempotency-Key: missing, the class needs one")
 	}
 	x.rules = rules
 	return nil
 }
 
-// setHeaders copies the headers of a host's answer. The length is that of the body, or -1 if it
-// is unknown.
+// setHeaders copies the end-to-end headers of a host's answer to the answer for the client. length
+// is that of the body in bytes, or -1 if it is unknown.
 func setHeaders(w http.ResponseWriter, hostHeader http.Header, length int64) {
 	out := w.Header()
 	for name, values := range endToEndHeaders(hostHeader) {
@@ -404,8 +409,8 @@
 }
 
 // writeBuffered sends a client an answer whose body is in memory. It always sets Content-Length,
-// so that the answer is complete by itself even if the connection ends after it. A failed write
-// means that the client has left.
+// so that the client can tell that the answer is complete even if the connection ends after it. A
+// failed write is ignored, as it means that the client has left.
 func writeBuffered(w http.ResponseWriter, a answer) {
 	status, text := http.StatusBadGateway, "failed, it may have been done"
 	switch a.kind {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -38,8 +38,8 @@
 			(*ln).Close()
 		}
 		// Once Serve has returned, all connections that it accepted are in s.conns.
-		leaveAt := s.finalAnswerAt.Add(-maxDeadline / 2)
-		for (s.accepting.Load() || s.hasConns()) && time.Now().Before(leaveAt) {
+		closeIdleAt := s.finalAnswerAt.Add(-maxDeadline / 2)
+		for (s.accepting.Load() || s.hasConns()) && time.Now().Before(closeIdleAt) {
 			<-tick.C
 		}
 	} else {
