--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -46,9 +46,10 @@
 	maxSendBounds = 64
 )
 
-// arrivalTracker bounds when the bytes of a stream arrived that are read next. Its user locks it.
+// arrivalTracker keeps the earliest time at which the bytes of a stream that are read next can have
+// arrived. It is not safe for concurrent use.
 type arrivalTracker struct {
-	emptyAt         time.Time   // last time at which nothing was seen waiting to be read
+	emptyAt         time.Time   // last time at which nothing was waiting to be read and the sender was not blocked
 	notBefore       time.Time   // emptyAt, or a later time at which a waiting reader was woken up
 	readSinceEmpty  int         // bytes read since emptyAt
 	totalRead       int64       // bytes read in all
@@ -56,8 +57,8 @@
 	sendBounds      []sendBound // filled while the sender may be blocked; oldest first, none before notBefore
 }
 
-// sendBound says that at the given time the sender of a stream cannot have written any byte beyond
-// the offset end.
+// sendBound says that the sender of a stream cannot have written any byte beyond the offset end by the
+// time at.
 type sendBound struct {
 	at  time.Time
 	end int64
@@ -69,7 +70,8 @@
 	a.lastBoundOffset, a.sendBounds = a.totalRead, a.sendBounds[:0]
 }
 
-// noteWakeup records that a reader has been woken up that had waited since a time.
+// noteWakeup records that a reader which had waited since waitingSince has been woken up. While the
+// sender may be blocked, that proves something only after a wait of sendBufferTransit.
 func (a *arrivalTracker) noteWakeup(now, waitingSince time.Time) {
 	switch {
 	case !a.senderMayBeBlocked():
@@ -103,7 +105,7 @@
 	a.sendBounds = append(a.sendBounds, sendBound{now, a.totalRead + int64(unread) + maxClientSendBuffer})
 }
 
-// arrivedAfter returns the last time at which the byte that ends at an offset of the stream is known
+// arrivedAfter returns the last time at which the byte before the offset end of the stream is known
 // not to have arrived.
 func (a *arrivalTracker) arrivedAfter(end int64) time.Time {
 	at := a.notBefore
@@ -116,8 +118,9 @@
 	return at
 }
 
-// lastByteArrivedAfter bounds the arrival time of the byte that was read last, with nothing waiting
-// behind it. It asks the kernel unless nothing was there to read a short time ago.
+// lastByteArrivedAfter returns the last time at which the byte that was read last is known not to have
+// arrived. No unread byte may follow it. It asks the kernel, unless nothing was there to read a short
+// time ago, or so much has been read since that a full receive window may have kept bytes back.
 func (a *arrivalTracker) lastByteArrivedAfter(now time.Time, fd int) time.Time {
 	at := a.arrivedAfter(a.totalRead)
 	if a.readSinceEmpty > minReceiveWindow || now.Sub(a.emptyAt) <= kernelTick {
@@ -183,9 +186,9 @@
 	return queuedConn{c, arrivalTracker{emptyAt: l.arrivals.emptyAt, notBefore: l.arrivals.notBefore}}, nil
 }
 
-// checkEmpty returns whether no connection waits, and records it. If the socket cannot be looked at,
-// it returns true, as Accept then waits to be woken up, but records nothing: the kernel may report
-// an earlier time for the data of each connection.
+// checkEmpty returns whether no connection waits, and records it. For a listener without a socket it
+// returns true, as Accept then waits to be woken up, but records nothing: the kernel may report an
+// earlier time for the data of each connection.
 func (l *backlog) checkEmpty() (empty bool) {
 	if l.raw == nil {
 		return true
--- a/internal/gateway/framing.go
+++ b/internal/gateway/framing.go
@@ -15,33 +15,33 @@
 
 // requestHead holds the framing of a request as its head states it.
 type requestHead struct {
-	startedAt           time.Time // first byte, or the start of the connection for its first request
+	startedAt           time.Time // when its first byte was read; for the first request on a connection, when that was accepted
 	hasRequestLine      bool      // the request line has been received
 	contentLength       string    // Content-Length, "" if there is none
-	hasTransferEncoding bool      // it has a Transfer-Encoding
+	hasTransferEncoding bool      // it has a Transfer-Encoding header
 	lastLineIsFraming   bool      // the last line was a Content-Length or a Transfer-Encoding
 	ambiguous           bool      // sender and gateway may disagree on where the request ends
-	completeAt          time.Time // earliest time at which its last byte can have arrived; zero if it has not
+	completeAt          time.Time // earliest time at which the last byte of the request can have arrived; zero until that byte is read
 }
 
 // parseState says to which part of a request the next byte belongs.
 type parseState int
 
 const (
-	parsingHead parseState = iota
-	parsingBody
-	parsingChunkSize
+	parsingHead      parseState = iota
+	parsingBody                 // of the length that Content-Length states
+	parsingChunkSize            // the line before a chunk
 	parsingChunk
-	parsingChunkEnd
-	parsingTrailer
-	parsingStopped // the framing is ambiguous; the connection ends after this request
+	parsingChunkEnd // the line end after a chunk
+	parsingTrailer  // the lines after the last chunk
+	parsingStopped  // the framing is ambiguous or malformed; the connection ends after this request
 )
 
-// maxLineBytes is how much of a line is kept. A framing line that is longer makes the request
-// ambiguous.
+// maxLineBytes is how much of a line is kept. A longer Content-Length or Transfer-Encoding line makes
+// the request ambiguous.
 const maxLineBytes = 128
 
-// parse parses bytes that have been read.
+// parse parses bytes that have been read. The caller holds c.mu.
 func (c *framedConn) parse(in []byte) {
 	for len(in) > 0 && c.state != parsingStopped {
 		if c.state == parsingBody || c.state == parsingChunk {
@@ -80,7 +80,7 @@
 	c.state, c.partialHead = parsingHead, requestHead{}
 }
 
-// parseLine parses a whole line.
+// parseLine parses a whole line, without its line end.
 func (c *framedConn) parseLine(line []byte) {
 	switch c.state {
 	case parsingHead:
@@ -115,7 +115,7 @@
 	}
 }
 
-// parseHeaderLine parses a header line.
+// parseHeaderLine parses a header line. truncated means that only its first maxLineBytes are there.
 func (h *requestHead) parseHeaderLine(line []byte, truncated bool) {
 	if line[0] == ' ' || line[0] == '\t' { // continuation of the last line
 		h.ambiguous = h.ambiguous || h.lastLineIsFraming
@@ -161,8 +161,9 @@
 	}
 }
 
-// takeRequestHead returns the framing of a request's head, and whether sender and gateway agree on
-// where the request ends. It is called once for each request, in their order.
+// takeRequestHead removes the oldest pending head from the connection of r, which is the head of r,
+// and returns it and whether sender and gateway agree on where the request ends. It is called once
+// for each request, in their order.
 func takeRequestHead(r *http.Request) (h *requestHead, unambiguous bool) {
 	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
 	if !ok {
