--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -8,7 +8,7 @@
 	"bramblelock"
 )
 
-// Tolerances of the checks.
+// Tolerances of the audit.
 const (
 	goneClientSlack = 100 * time.Millisecond // how long after its client has left an attempt may begin
 	timeoutSlack    = 150 * time.Millisecond // how much more time than the client has left may be stated to a host
@@ -28,12 +28,12 @@
 
 // AuditCounters are the counters of an Audit: the violations since the process started.
 type AuditCounters struct {
-	SentAfterNotification int64 `json:"sent_after_notification"` // attempts begun later than the drain grace after their host left
+	SentAfterNotification int64 `json:"sent_after_notification"` // attempts begun later than the drain grace after their host became unusable
 	SentForGoneClients    int64 `json:"sent_for_gone_clients"`   // attempts begun more than 0.1 s after their client had left
 	SecondRuns            int64 `json:"second_runs"`             // attempts of requests that may have run before, beyond what their class allows
-	TimeoutsOverLeft      int64 `json:"timeouts_over_left"`      // attempts that stated more time to a host than the client had left
+	TimeoutsOverLeft      int64 `json:"timeouts_over_left"`      // attempts that stated over 0.15 s more time to a host than the client had left
 	ClosedOwingAnswer     int64 `json:"closed_owing_an_answer"`  // requests read whose connection closed without an answer
-	SlowStartOverBudget   int64 `json:"slow_start_over_budget"`  // attempts sent to a cold host beyond its budget, as far as this gateway alone sends them
+	SlowStartOverBudget   int64 `json:"slow_start_over_budget"`  // attempts sent to a cold host beyond its budget, counting those of this gateway alone
 }
 
 // Counters returns the present values of the counters.
@@ -44,7 +44,7 @@
 	}
 }
 
-// Log writes the counters as one line.
+// Log logs the counters in one line with the message msg.
 func (a *Audit) Log(msg string) {
 	c := a.Counters()
 	slog.Info(msg, "sent_after_notification", c.SentAfterNotification, "sent_for_gone_clients", c.SentForGoneClients,
@@ -58,8 +58,8 @@
 	slog.Error("rule broken: "+rule, args...)
 }
 
-// checkSent checks an attempt whose first byte was written at began and which stated a timeout to its
-// host.
+// checkSent checks an attempt that begins to write its request at began and states statedTimeout to its
+// host. grace is the drain grace.
 func (a *Audit) checkSent(h *host, x *exchange, began time.Time, statedTimeout time.Duration, grace time.Duration) {
 	if unusableSince := h.unusableSince.Load(); unusableSince != nil && began.Sub(*unusableSince) > grace {
 		recordViolation(&a.sentAfterNotification, "sent after notification", "id", x.requestID(), "host", h.id, "after", began.Sub(*unusableSince))
@@ -72,7 +72,8 @@
 	}
 }
 
-// checkAttempt checks a further attempt of a request against its earlier ones.
+// checkAttempt checks a further attempt of a request, which begins at now and is not in x.attempts yet,
+// against its earlier ones.
 func (a *Audit) checkAttempt(x *exchange, now time.Time) {
 	class := &x.rules.Settings.Classes[x.class]
 	if class.Effect == bramblelock.Idempotent {
--- a/internal/gateway/encode.go
+++ b/internal/gateway/encode.go
@@ -14,13 +14,15 @@
 	timeoutHeader   = "X-Timeout"
 )
 
-// hopByHopHeaders are the headers that concern a single connection only.
+// hopByHopHeaders are the headers that concern a single connection only, and Content-Length and
+// Expect, which the gateway handles itself.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEndHeaders returns the headers that are passed on.
+// endToEndHeaders returns a copy of the headers that are passed on: all but hopByHopHeaders and those
+// that the Connection header names.
 func endToEndHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, v := range in.Values("Connection") {
@@ -34,13 +36,14 @@
 	return out
 }
 
-// encodeHead returns the head of the request as it is sent to a host, and the time that is left now,
-// which the head states. Method, path and query are sent as they were received.
+// encodeHead returns the head of the request as it is sent to a host, and the time that is left until
+// the deadline, which the head states in X-Timeout. Method, path and query are sent as they were
+// received.
 func (x *exchange) encodeHead() (head []byte, left time.Duration) {
 	header := endToEndHeaders(x.header)
 	deadline := x.deadline
 	if x.upload != nil {
-		deadline = x.clientDeadline()
+		deadline = x.clientDeadline() // x.deadline is set again once the body is complete
 	}
 	left = max(0, time.Until(deadline))
 	header.Set(timeoutHeader, strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
--- a/internal/gateway/heldup.go
+++ b/internal/gateway/heldup.go
@@ -6,15 +6,16 @@
 	"bramblelock"
 )
 
-// processStall is the time after the process was stalled (stopped, or without its CPU core), during
-// which timers wait until what has arrived meanwhile has been read.
+// processStall describes the time after the process was stalled (stopped, or without its CPU core),
+// during which timers wait until what arrived during the stall has been read.
 type processStall struct {
-	since    time.Time
+	since    time.Time  // when the stall was detected
 	until    time.Time  // timers wait at least until then
 	attempts []*attempt // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
 }
 
-// deferTimers returns whether timers have to wait, since one of them is later than stallThreshold.
+// deferTimers returns whether timers have to wait because the process was stalled. A timer that is
+// late by more than stallThreshold shows a stall.
 func (l *Loop) deferTimers(now bramblelock.Time) bool {
 	if len(l.timers) == 0 {
 		return false
@@ -58,7 +59,8 @@
 	return false
 }
 
-// untilNextTimer returns how long it is until the next timer fires.
+// untilNextTimer returns how long it is until the next timer is due or, after a stall, until the wait
+// has to be checked again, whichever is later. There must be a timer.
 func (l *Loop) untilNextTimer() time.Duration {
 	next := time.Until(l.clock.timeOf(l.timers[0].at))
 	if l.stall != nil {
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -39,7 +39,7 @@
 	maintenance *MaintenanceStore
 	// Members returns the membership view for GET /members. It is nil while membership is off.
 	Members          func() any
-	propagationDelay time.Duration // wait before a confirmation, until the other process of an upgrade has followed
+	propagationDelay time.Duration // wait before a change of maintenance is confirmed, so that the other process of an upgrade has applied it; 0 without one
 	http             http.Server
 
 	rejectLog rateLimitedLog
@@ -48,8 +48,8 @@
 	conns []net.Conn // oldest first
 }
 
-// NewOperator returns an Operator. shared says that another process may serve beside this one and
-// has to follow changes of maintenance.
+// NewOperator returns an Operator. shared means that another process may serve beside this one, which
+// must apply changes of maintenance too.
 func NewOperator(loop *Loop, server *Server, maintenance *MaintenanceStore, shared bool) *Operator {
 	o := &Operator{loop: loop, server: server, maintenance: maintenance}
 	if shared {
@@ -69,7 +69,7 @@
 	return o
 }
 
-// Serve answers the calls that arrive at ln.
+// Serve answers the calls that arrive at ln until accepting fails, and returns that error.
 func (o *Operator) Serve(ln net.Listener) error {
 	return o.http.Serve(framedListener{listener.NewRetrying(ln, "operators")})
 }
@@ -96,6 +96,7 @@
 	}
 }
 
+// serve answers one call.
 func (o *Operator) serve(w http.ResponseWriter, r *http.Request) {
 	refuse := func(status int, err error) {
 		o.rejectLog.warn("operator's call refused", "method", r.Method, "path", r.URL.Path, "status", status, "err", err)
@@ -105,7 +106,7 @@
 		refuse(http.StatusBadRequest, errAmbiguous)
 		return
 	}
-	// A call that does not arrive whole is refused.
+	// A call that does not arrive whole, or has a long body, is refused.
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBodyBytes)); err != nil {
 		refuse(http.StatusBadRequest, errors.New("the call did not come whole"))
 		return
@@ -146,7 +147,7 @@
 			http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
 			return
 		}
-		// The loop handles its events in order: once this one is handled, the change is in force.
+		// The loop handles its events in order, so the change is in force once Sync returns.
 		o.loop.Sync()
 		time.Sleep(o.propagationDelay)
 		slog.Info("maintenance of a host", "host", id, "call", action)
@@ -154,7 +155,8 @@
 	}
 }
 
-// parseHostCall parses the path of a call that concerns a host.
+// parseHostCall parses the path of a call that concerns a host: pathHosts, the escaped id of the
+// host, a slash, and the action "maint" or "ready".
 func parseHostCall(path string) (id, action string, ok bool) {
 	rest, ok := strings.CutPrefix(path, pathHosts)
 	if !ok {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -19,11 +19,13 @@
 	finalWriteTime      = 60 * time.Millisecond
 )
 
-// Shutdown ends service in order. With a listener of its own it still accepts connections for
-// acceptLinger while it announces the end of each connection to its client. Then it closes the
-// listener and idle connections, and waits for the requests that it has accepted. A shared listener
-// it closes at once, as another process accepts what follows. It then keeps the open connections for
-// as long as a request on them can be answered in time, since closing one may cross a request.
+// Shutdown ends service without losing a request that was accepted, and must be called once only.
+// Meanwhile each answer announces the end of its connection. If the listener is not shared, Shutdown
+// still accepts connections for acceptLinger. If it is shared, Shutdown closes it at once, as another
+// process accepts what follows, but keeps the open connections for as long as a request on them can
+// be answered in time (half of the longest deadline), since a request may arrive on a connection just
+// as it is closed. It then closes the listener and idle connections, and waits for the requests that
+// it has accepted, until finalWriteTime after the last answers are due at most.
 func (s *Server) Shutdown() {
 	now := time.Now()
 	maxDeadline := min(s.loop.rules.Load().longestDeadline(), maxShutdownDeadline)
@@ -62,9 +64,10 @@
 	return len(s.conns) > 0
 }
 
-// closeUnused closes the connections that hold no request and have had time to bring their first,
-// and returns whether none is left. A request that is read after that finds its connection closed
-// and is not sent to a host.
+// closeUnused closes connections on which no request is being served, but no new connection before its
+// client has had acceptLinger to send the first request. It returns whether none is left, and stops at
+// the first one that cannot be closed yet. A request that is read after that finds its connection
+// closed and is not sent to a host.
 func (s *Server) closeUnused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +88,8 @@
 	return true
 }
 
-// closeIdleConns closes the connections that hold no request, and those that become idle from now
-// on. http.Server.Shutdown would do the same, but by the state that it knows, which is behind what
+// closeIdleConns closes the idle connections, and makes trackConn close those that become idle from
+// now on. http.Server.Shutdown would do the same, but by the state that it knows, which is behind what
 // has been read.
 func (s *Server) closeIdleConns() {
 	s.mu.Lock()
--- a/internal/gateway/unread.go
+++ b/internal/gateway/unread.go
@@ -11,17 +11,19 @@
 const (
 	// kernelTick is the accuracy of the age of data that the kernel reports: a tick of up to 10 ms.
 	kernelTick = 10 * time.Millisecond
-	// stallThreshold is how late a timer must fire for the process to count as stalled.
+	// stallThreshold is how late a timer must fire, or how long data from discovery must have been
+	// unread, for the process to count as stalled.
 	stallThreshold = 100 * time.Millisecond
 	// stallReadTime is how long unread data is read after a stall before a timer is handled, as
-	// timers act on the absence of data.
+	// timers act on the absence of data. It is also the interval of checks in
+	// awaitUnreadAnswer.
 	stallReadTime = 20 * time.Millisecond
-	// maxStallReadTime is the upper limit on that time.
+	// maxStallReadTime is the upper limit on the wait for unread answers to be read.
 	maxStallReadTime = 250 * time.Millisecond
 )
 
-// lastDataAge returns how long ago data last arrived on a connection, as the kernel reports it.
-// Systems that only emulate TCP report a segment size of 0 and no ages.
+// lastDataAge returns how long ago data last arrived on a connection, as the kernel reports it, or
+// false if it does not. Systems that only emulate TCP report a segment size of 0 and no ages.
 func lastDataAge(fd int) (time.Duration, bool) {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil || info.Snd_mss == 0 {
@@ -30,7 +32,8 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
-// unreadBytes returns how many bytes wait to be read from a connection.
+// unreadBytes returns how many bytes wait to be read from a connection, or false if the kernel does
+// not report it.
 func unreadBytes(fd int) (int, bool) {
 	n, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
 	return n, err == nil
@@ -56,9 +59,9 @@
 	onReadable func(fd uintptr) bool // argument of raw.Read
 
 	buf          []byte
-	waitingSince time.Time // when the reader found nothing to read; zero if it has not looked, or has found something
-	n            int
-	err          error
+	waitingSince time.Time // when the present read last found nothing to read; zero if it has not
+	n            int       // result of the present read
+	err          error     // result of the present read
 }
 
 // init sets the reader up. read reads what is available into p. If there is nothing, it returns
@@ -71,7 +74,7 @@
 	}
 }
 
-// read reads into p.
+// read reads into p. It returns 0 and no error at the end of the stream.
 func (r *connReader) read(p []byte) (int, error) {
 	r.buf, r.waitingSince, r.n, r.err = p, time.Time{}, 0, nil
 	err := r.raw.Read(r.onReadable)
@@ -95,15 +98,16 @@
 	return unread
 }
 
-// awaitUnreadAnswer waits until what has arrived of an answer has been read.
+// awaitUnreadAnswer waits until another goroutine has read what has arrived of an answer, for
+// maxStallReadTime at most.
 func (c *conn) awaitUnreadAnswer() {
 	for end := time.Now().Add(maxStallReadTime); c.hasUnreadAnswer() && time.Now().Before(end); {
 		time.Sleep(stallReadTime)
 	}
 }
 
-// answerArrived returns whether part of an answer has arrived since the request was written, read or
-// not, as the kernel reports it.
+// answerArrived returns whether part of an answer has arrived since the request was written at wrote,
+// read or not, as the kernel reports it.
 func (c *conn) answerArrived(wrote time.Time) bool {
 	if c.raw == nil {
 		return false
@@ -118,7 +122,7 @@
 
 // answerDuration returns the time from the beginning of an attempt to the arrival of the whole
 // answer, which has just been read: the time that the answer waited unread is not charged to the
-// host. 0 means that it did not wait.
+// host. 0 means that the answer did not wait, or that the kernel does not report its arrival.
 func (c *conn) answerDuration(began, wrote time.Time) time.Duration {
 	now := time.Now()
 	if c.raw == nil || now.Sub(wrote) <= kernelTick {
