--- a/internal/fleetlab/soak.go
+++ b/internal/fleetlab/soak.go
@@ -23,11 +23,11 @@
 	RealOptions
 	Seed     uint64
 	Length   time.Duration // duration of the load; requests in flight at its end finish after it
-	Gateways int           // processes
+	Gateways int           // number of gateways
 	Hosts    int
-	Catalogs int     // processes
+	Catalogs int     // number of catalogs
 	Rate     float64 // requests per second over all gateways
-	Overlap  int     // average number of disruptions at a time
+	Overlap  int     // average number of disruptions at a time; below 1: 1
 }
 
 // SoakDefaults returns the options of a soak of a few dozen processes.
@@ -45,25 +45,27 @@
 	Violations []SoakViolation
 }
 
-// SoakCounts says how much a run exercised. Left counts abandoned requests, Runs the attempts that hosts
-// received, Restarts the exits of gateway processes, and Troubles the disruptions.
+// SoakCounts says how much a run exercised. Refused counts answers with status 429 or 503, Failed those
+// with any other status than 200, Left abandoned requests, Runs the attempts that hosts received for
+// requests of clients, BadClients their connections, Restarts the exits of gateway processes, and Troubles
+// the disruptions.
 type SoakCounts struct {
 	Requests, Served, Refused, Failed, Left int
 	BadClients, Runs, Restarts, Troubles    int
 }
 
-// SoakViolation is a broken rule, with the trace of the request through every process.
+// SoakViolation is a broken rule.
 type SoakViolation struct {
 	Rule, Text string
-	Trace      []string
+	Trace      []string // lines about the request in every process; nil if the violation is not about one request
 }
 
 // soak is the state of one run.
 type soak struct {
 	opt       SoakOptions
-	dir       string
-	netPrefix string
-	loadStart time.Time
+	dir       string     // for logs, settings and data
+	netPrefix string     // prefix of the loopback addresses of the run: "127.N."
+	loadStart time.Time  // during the setup: its start
 	planRand  *rand.Rand // for the plan only: clients have their own generator
 	starter   *starter
 	ctx       context.Context
@@ -73,10 +75,11 @@
 	gateways   []*soakGateway
 	hosts      []*soakHost
 	catalogs   *soakCatalogs
-	background sync.WaitGroup // running clients and disruptions
+	background sync.WaitGroup // disruptions and everything that they run in the background
 }
 
-// Soak runs one seed. An error means that the soak could not run, not that rules were broken.
+// Soak runs one seed. An error means that the soak could not run or was cancelled, not that rules were
+// broken.
 func Soak(ctx context.Context, opt SoakOptions) (*SoakReport, error) {
 	for _, binary := range []string{"gateway", "catalog"} {
 		if _, err := os.Stat(filepath.Join(opt.Bin, binary)); err != nil {
@@ -164,7 +167,7 @@
 	}
 }
 
-// setUp starts hosts, catalogs and gateways, and waits until all gateways are ready.
+// setUp starts hosts, catalogs and gateways, waits until all gateways are ready and then sets loadStart.
 func (s *soak) setUp() error {
 	s.loadStart = time.Now()
 	var err error
@@ -202,7 +205,7 @@
 	return nil
 }
 
-// run sends the load and executes the plan.
+// run sends the load and executes the plan. It returns when all requests and disruptions have ended.
 func (s *soak) run(plan []disruption) {
 	for i := range plan {
 		d := &plan[i]
@@ -219,7 +222,7 @@
 	s.background.Wait()
 }
 
-// close stops every process and listener.
+// close kills every process and closes every listener.
 func (s *soak) close() {
 	var exits sync.WaitGroup
 	for _, g := range s.gateways {
@@ -240,7 +243,7 @@
 	}
 }
 
-// report terminates the gateways gracefully and judges the ledger.
+// report terminates the gateways gracefully, so that their exits are judged too, and judges the ledger.
 func (s *soak) report(plan []disruption) *SoakReport {
 	var exits sync.WaitGroup
 	for _, g := range s.gateways {
--- a/internal/fleetlab/soak_client.go
+++ b/internal/fleetlab/soak_client.go
@@ -133,8 +133,8 @@
 	return &soakConn{Conn: nc, reader: bufio.NewReader(nc), generation: generation}, false, nil
 }
 
-// otherGateway returns a gateway that serves clients, preferably the given one.
-func (c *soakClients) otherGateway(g *soakGateway) *soakGateway {
+// servingGateway returns a gateway that serves clients, preferably the given one.
+func (c *soakClients) servingGateway(g *soakGateway) *soakGateway {
 	if up, _ := g.serving(); up {
 		return g
 	}
@@ -209,7 +209,7 @@
 			err = errEndedWithPrevious
 		}
 		c.finish(second, 0, err)
-		c.send(c.otherGateway(g), next, second.id)
+		c.send(c.servingGateway(g), next, second.id)
 		return
 	}
 	c.awaitAnswer(conn, g, next, second, true, err)
@@ -230,7 +230,7 @@
 	case err != nil:
 		conn.Close()
 		if reused && !started && req.retryOf == "" {
-			c.send(c.otherGateway(g), options, req.id) // it may have crossed the close of an idle connection
+			c.send(c.servingGateway(g), options, req.id) // it may have crossed the close of an idle connection
 		}
 		return false
 	case closing || !options.keepAlive:
--- a/internal/fleetlab/soak_judge.go
+++ b/internal/fleetlab/soak_judge.go
@@ -12,16 +12,18 @@
 	"time"
 )
 
-// judgeSlack allows for the delay between an event and its record in this process, which shares the
-// machine with all the others. The slack of a single rule stands with that rule.
+// judgeSlack is the tolerance for the time from an event until this process, which shares the machine
+// with all gateways and catalogs, records it. A rule may add a tolerance of its own.
 const (
 	judgeSlack     = 150 * time.Millisecond
-	answerGrace    = 500 * time.Millisecond // an answer after its deadline has no value, but is a violation only after this time
+	answerGrace    = 500 * time.Millisecond // an answer after its deadline has no value, but is a violation only when it is later than this
 	timeoutSlack   = 150 * time.Millisecond // the timeout sent to a host may exceed the time left by this much
-	badClientLimit = 3 * time.Second        // a gateway has to close the connection of a bad client within this time
+	badClientLimit = 3 * time.Second        // a gateway has to answer a bad client or close its connection within this time
 )
 
-// judge checks the ledger against the rules and fills in the report.
+// judge checks the ledger against the rules and adds violations, exemptions, pauses and the counts of
+// requests, bad clients and exits to the report. It holds the lock of the ledger throughout; the functions
+// that it calls expect that.
 func (s *soak) judge(r *SoakReport) {
 	l := s.ledger
 	l.mu.Lock()
@@ -64,7 +66,7 @@
 	s.judgeSlowStarts(r, violated)
 }
 
-// Exemptions are cases that would be violations but for something that the rules allow. A report
+// Exemptions are cases that would be violations but for a circumstance that the rules allow. A report
 // counts them, because an exemption that covers most cases leaves a check that detects nothing.
 const (
 	exemptNotSent         = "requests whose last byte could not be written"
@@ -84,11 +86,11 @@
 	r.Exemptions[exemption]++
 }
 
-// violationFunc adds a violation to the report. The request is nil for a rule on something else.
+// violationFunc adds a violation to the report. req is nil if the violation is not about one request.
 type violationFunc func(req *soakRequest, rule, format string, args ...any)
 
-// exitedBetween says whether a process of a gateway was killed or terminated between two times. What it
-// held then is judged by the rules on its exit only.
+// exitedBetween says whether a process of a gateway exited between two times, or up to judgeSlack outside
+// of them. Whether that exit was allowed is for judgeExits to check.
 func (s *soak) exitedBetween(gateway string, generation int, from, to time.Time) bool {
 	for _, exit := range s.ledger.exits {
 		if exit.gateway == gateway && exit.generation == generation && exit.endedAt.After(from.Add(-judgeSlack)) && exit.endedAt.Before(to.Add(judgeSlack)) {
@@ -98,7 +100,8 @@
 	return false
 }
 
-// judgeAnswer requires one final answer in time.
+// judgeAnswer counts the result of a request and requires a final answer in time. It accepts a refusal
+// only if no host may have executed the request or the class allows another execution.
 func (s *soak) judgeAnswer(req *soakRequest, r *SoakReport, violated violationFunc) {
 	counts := &r.Counts
 	switch req.status {
@@ -126,8 +129,8 @@
 			violated(req, "lost", "the answer to %s came %v after its deadline", req.id, late)
 		}
 	case !req.newConn && len(req.attempts) == 0 && s.ledger.resent[req.id]:
-		// Its client sent it again, and the new request counts. A request that a host received had been
-		// read by the gateway, and is not exempt.
+		// Its client sent it again under another id, and that request has to be answered. A request that a
+		// host received had been read by the gateway, and is not exempt.
 		r.exempt(exemptResent)
 	case s.killedBeforeAnswer(req):
 		r.exempt(exemptKilled)
@@ -139,8 +142,8 @@
 }
 
 // killedBeforeAnswer says whether the process that held a request was killed with SIGKILL alone before
-// the request ended. A graceful termination exempts nothing: requests read after SIGTERM are owed an
-// answer too.
+// the request ended, or exited by itself at any time, which is a violation of its own. A graceful
+// termination exempts nothing: requests read after SIGTERM are owed an answer too.
 func (s *soak) killedBeforeAnswer(req *soakRequest) bool {
 	for _, exit := range s.ledger.exits {
 		if exit.gateway == req.gateway && exit.generation == req.generation && exit.termAt.IsZero() && !req.endedAt.Before(exit.killAt.Add(-judgeSlack)) {
@@ -150,7 +153,8 @@
 	return false
 }
 
-// connsExhausted says whether idle clients held all connections of the gateway when a request came.
+// connsExhausted says whether idle clients held all connections of the gateway at some time between the
+// first byte of a request and its end, or until at most 1 s before that first byte.
 func (s *soak) connsExhausted(req *soakRequest) bool {
 	for _, flood := range s.ledger.connFloods {
 		if flood.gateway == req.gateway && req.endedAt.After(flood.from) && req.firstByteAt.Before(flood.endOrNow().Add(time.Second)) {
@@ -160,7 +164,8 @@
 	return false
 }
 
-// judgeDuplicates requires that a request is executed no more often than its class allows.
+// judgeDuplicates requires that a request of class effect at_most_once is executed at most once, and a
+// deduplicated one again only within the window of its class. A rejected attempt is no execution.
 func (s *soak) judgeDuplicates(req *soakRequest, violated violationFunc) {
 	var executed []soakAttempt
 	for _, attempt := range req.attempts {
@@ -180,8 +185,8 @@
 	}
 }
 
-// judgeAttempts requires that every attempt goes to a host that may receive it, for a client that still
-// waits, and with a timeout no longer than the time left.
+// judgeAttempts requires that every attempt goes to a host that is not draining, for a client that still
+// waits, and with a timeout no longer than the time left until the deadline of the request.
 func (s *soak) judgeAttempts(req *soakRequest, r *SoakReport, violated violationFunc) {
 	for _, attempt := range req.attempts {
 		if !req.abandonedAt.IsZero() && attempt.firstByteAt.Sub(req.abandonedAt) > 100*time.Millisecond+judgeSlack {
@@ -198,14 +203,14 @@
 			if drain.host != attempt.host || !attempt.firstByteAt.After(drain.ackedAt) || !drain.relistedAt.IsZero() && !attempt.firstByteAt.Before(drain.relistedAt) {
 				continue
 			}
-			late := attempt.firstByteAt.Sub(drain.ackedAt)
-			if late <= usualNotifyDelay+soakDrainGrace+judgeSlack {
+			sinceAck := attempt.firstByteAt.Sub(drain.ackedAt)
+			if sinceAck <= usualNotifyDelay+soakDrainGrace+judgeSlack {
 				continue
 			}
 			by, _ := s.notifiedBy(drain.ackedAt, req.gateway)
 			if by = by.Add(soakDrainGrace + judgeSlack); attempt.firstByteAt.After(by) {
 				violated(req, "drain", "%s was sent to host %s %v after the host began to drain, %v too late", req.id, attempt.host,
-					late, attempt.firstByteAt.Sub(by))
+					sinceAck, attempt.firstByteAt.Sub(by))
 				continue
 			}
 			r.exempt(exemptDisrupted)
@@ -213,8 +218,8 @@
 	}
 }
 
-// maxByChance returns how many requests the rule on slow start accepts where n are allowed on average,
-// since random arrivals exceed the average.
+// maxByChance returns how many attempts the rule on slow start accepts where n are allowed on average,
+// since random arrivals may exceed the average.
 func maxByChance(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -222,11 +227,12 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// auditViolation matches the counters of broken rules that a gateway logs, where they are not zero.
+// auditViolation matches those of a gateway's audit counters that are not zero, as the gateway logs them.
+// Each counter holds how often the gateway broke one rule.
 var auditViolation = regexp.MustCompile(`(sent_after_notification|sent_for_gone_clients|second_runs|timeouts_over_left|closed_owing_an_answer|slow_start_over_budget)=([1-9]\d*)`)
 
-// judgeExits requires that processes exit only when the soak ends them, with code 0 and in time, and
-// that their own audit counters are zero.
+// judgeExits requires that gateway processes exit only when the soak ends them, after SIGTERM with code 0
+// and before the SIGKILL, and that their own audit counters are zero.
 func (s *soak) judgeExits(r *SoakReport, violated violationFunc) {
 	for _, exit := range s.ledger.exits {
 		r.Counts.Restarts++
@@ -245,8 +251,9 @@
 	}
 }
 
-// judgeSlowStarts requires that a host that has just started is sent no more than its slow start budget.
-// Requests are counted from one soakOverloadPeriod after the last gateway counts as notified of the start.
+// judgeSlowStarts requires that a host that has just started receives no more attempts within any
+// soakOverloadPeriod than its slow start budget and maxByChance allow. It counts attempts from one
+// soakOverloadPeriod after the last gateway counts as notified of the start until soakWarmAfter.
 func (s *soak) judgeSlowStarts(r *SoakReport, violated violationFunc) {
 	for _, start := range s.ledger.hostStarts {
 		by, _ := s.allNotifiedBy(start.ackedAt)
@@ -280,7 +287,8 @@
 	}
 }
 
-// trace describes the path of a request through every process.
+// trace describes a request as its client and the hosts recorded it, with the lines about it in the logs
+// of its gateway.
 func (s *soak) trace(req *soakRequest) []string {
 	at := func(t time.Time) string {
 		if t.IsZero() {
@@ -303,7 +311,8 @@
 	return out
 }
 
-// linesWith returns the first lines of a text that contain a word.
+// linesWith returns the lines of a text that contain a word, at most limit of them, as one string that
+// indents all but the first for a trace.
 func linesWith(text, word string, limit int) string {
 	var out []string
 	for line := range strings.SplitSeq(text, "\n") {
--- a/internal/fleetlab/soak_notified.go
+++ b/internal/fleetlab/soak_notified.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	maxNotifyDelay   = 6 * time.Second // limit for a change to reach a gateway once it can be fetched
-	usualNotifyDelay = time.Second     // limit for a change to reach all gateways when nothing disrupts it
+	maxNotifyDelay   = 6 * time.Second // time within which a change has to reach a gateway once discovery can be reached
+	usualNotifyDelay = time.Second     // time within which a change has to reach a gateway when nothing disrupts that
 )
 
-// notifiedBy returns when a gateway counts as notified of a change that discovery acknowledged: after
-// usualNotifyDelay when nothing disrupts that, otherwise maxNotifyDelay after discovery had the change
-// and could be reached.
+// notifiedBy returns when a gateway counts as notified of a change that discovery acknowledged. That is
+// usualNotifyDelay after the acknowledgement or, if an outage or a new process of the gateway disrupts the
+// notification, maxNotifyDelay after discovery had the change and could be reached. The caller holds the
+// lock of the ledger.
 func (s *soak) notifiedBy(ackedAt time.Time, gateway string) (by time.Time, disrupted bool) {
 	available := ackedAt
 	for _, o := range s.ledger.outages { // in order of their start
@@ -23,7 +24,7 @@
 			disrupted = true
 		}
 	}
-	for _, exit := range s.ledger.exits { // a new process fetches the list only in its turn
+	for _, exit := range s.ledger.exits { // a new process may have to wait until it can fetch the list
 		if exit.gateway == gateway && exit.endedAt.Before(available.Add(usualNotifyDelay)) && exit.endedAt.Add(maxNotifyDelay).After(ackedAt) {
 			disrupted = true
 		}
@@ -34,7 +35,7 @@
 	return available.Add(usualNotifyDelay), false
 }
 
-// allNotifiedBy returns notifiedBy of the gateway that is notified last.
+// allNotifiedBy returns the result of notifiedBy for the gateway that counts as notified last.
 func (s *soak) allNotifiedBy(ackedAt time.Time) (by time.Time, disrupted bool) {
 	for _, g := range s.gateways {
 		if gatewayBy, gatewayDisrupted := s.notifiedBy(ackedAt, g.name); gatewayBy.After(by) {
