--- a/internal/fleetlab/soak_client.go
+++ b/internal/fleetlab/soak_client.go
@@ -23,19 +23,19 @@
 const (
 	requestPlain               requestKind = iota
 	requestAbandoned                       // closes the connection after a random wait
-	requestAbandonedAndRetried             // does so and sends the request again at once on another connection
-	requestSlow                            // writes the request in pieces
-	requestPipelined                       // writes another request behind the first
-	requestLong                            // sends a long body
+	requestAbandonedAndRetried             // closes the connection after a random wait and sends the request again at once on another one
+	requestSlow                            // writes the request in pieces, with pauses between them
+	requestPipelined                       // writes a second request before the answer to the first
+	requestLong                            // sends a long body if the class is not idempotent
 )
 
-// requestKindShares are the shares of all kinds other than requestPlain.
+// requestKindShares are the shares that the kinds other than requestPlain have of all requests.
 var requestKindShares = []struct {
 	kind  requestKind
 	share float64
 }{{requestAbandoned, 0.05}, {requestAbandonedAndRetried, 0.04}, {requestSlow, 0.03}, {requestPipelined, 0.04}, {requestLong, 0.02}}
 
-// requestKindAt returns the kind of a draw between 0 and 1.
+// requestKindAt returns the kind for a random number between 0 and 1.
 func requestKindAt(x float64) requestKind {
 	for _, s := range requestKindShares {
 		if x -= s.share; x < 0 {
@@ -49,18 +49,19 @@
 type soakConn struct {
 	net.Conn
 	reader     *bufio.Reader
-	generation int
+	generation int // of the gateway's process when the connection was opened
 }
 
-// soakClients sends requests and keeps the idle connections of each gateway.
+// soakClients sends requests and keeps the idle connections to each gateway.
 type soakClients struct {
 	s         *soak
-	nextID    atomic.Int64
-	mu        sync.Mutex
+	nextID    atomic.Int64 // number in the id of the latest request
+	mu        sync.Mutex   // guards idleConns
 	idleConns map[*soakGateway][]*soakConn
 }
 
-// runClients sends requests at the configured rate for the length of the run and waits for their ends.
+// runClients sends requests at the configured rate for the length of the run, waits for their ends and
+// closes the idle connections.
 func (s *soak) runClients() {
 	clients := s.clients
 	draws := rand.New(rand.NewPCG(s.opt.Seed, 2))
@@ -88,7 +89,7 @@
 	}
 }
 
-// classAt returns the class of a draw between 0 and 1.
+// classAt returns the class for a random number between 0 and 1.
 func classAt(x float64) *soakClass {
 	for i := range soakClasses {
 		if x -= soakClasses[i].share; x < 0 {
@@ -103,19 +104,20 @@
 	class     *soakClass
 	kind      requestKind
 	keepAlive bool
-	patience  time.Duration // time until the client abandons the request or writes the pipelined one
+	patience  time.Duration // time until the client abandons the request; the pipelined one is written after a tenth of it
 	retried   bool          // sends X-Retried
-	afterTerm bool          // new connections are opened although the gateway is terminating
+	afterTerm bool          // opens a new connection even if the gateway is terminating or has no ready process
 }
 
-// connect takes an idle connection or opens one.
+// connect takes an idle connection, or opens one if there is none or newConn is set. Without afterTerm it
+// opens connections only to a gateway that serves clients, and returns errNoReadyProcess otherwise.
 func (c *soakClients) connect(g *soakGateway, newConn, afterTerm bool) (conn *soakConn, reused bool, err error) {
 	up, generation := g.serving()
 	c.mu.Lock()
 	for list := c.idleConns[g]; len(list) > 0 && !newConn; list = c.idleConns[g] {
 		conn = list[len(list)-1]
 		c.idleConns[g] = list[:len(list)-1]
-		// Clients go on using connections that stay open while a process terminates.
+		// Clients go on using open connections to a process that is terminating, but not to an earlier one.
 		if conn.generation == generation {
 			c.mu.Unlock()
 			return conn, true, nil
@@ -133,7 +135,8 @@
 	return &soakConn{Conn: nc, reader: bufio.NewReader(nc), generation: generation}, false, nil
 }
 
-// servingGateway returns a gateway that serves clients, preferably the given one.
+// servingGateway returns a gateway that serves clients, preferably the given one. It returns the given one
+// if none does.
 func (c *soakClients) servingGateway(g *soakGateway) *soakGateway {
 	if up, _ := g.serving(); up {
 		return g
@@ -153,7 +156,8 @@
 	return &soakClients{s: s, idleConns: map[*soakGateway][]*soakConn{}}
 }
 
-// send sends one request and records its result. retryOf is the id of the request that it replaces.
+// send sends one request and records its result, or does nothing if there is no connection for it. retryOf
+// is the id of the request that it replaces, which takes a new connection; empty: it replaces none.
 func (c *soakClients) send(g *soakGateway, options requestOptions, retryOf string) {
 	conn, reused, err := c.connect(g, retryOf != "", options.afterTerm)
 	if err != nil {
@@ -170,7 +174,8 @@
 	return req
 }
 
-// sendOn sends one request on a connection, or two that are pipelined.
+// sendOn sends one request on a connection, or two that are pipelined, and records how they ended. reused
+// says that the connection has carried an answer before.
 func (c *soakClients) sendOn(conn *soakConn, g *soakGateway, options requestOptions, reused bool, retryOf string) {
 	req := c.newRequest(conn, g, options, reused, retryOf)
 	err := c.write(conn, req, options)
@@ -184,7 +189,8 @@
 	}
 }
 
-// abandon closes the connection after a while and may send the request again.
+// abandon closes the connection after options.patience. For requestAbandonedAndRetried it then sends the
+// request again, under another id.
 func (c *soakClients) abandon(conn *soakConn, g *soakGateway, options requestOptions, req *soakRequest) {
 	time.Sleep(options.patience)
 	conn.Close()
@@ -196,7 +202,8 @@
 	}
 }
 
-// pipeline writes another request before the answer to the first and awaits both answers.
+// pipeline writes a second request before the answer to the first and awaits both answers. If the
+// connection ends with the first answer, the second request is sent again on a new connection.
 func (c *soakClients) pipeline(conn *soakConn, g *soakGateway, options requestOptions, first *soakRequest, reused bool) {
 	time.Sleep(options.patience / 10)
 	next := options
@@ -217,8 +224,9 @@
 
 var errEndedWithPrevious = errors.New("the connection ended with the previous answer")
 
-// awaitAnswer records the answer to a request, or the error err of sending it. It says whether the
-// connection stays open.
+// awaitAnswer records the answer to a request, or the error err of sending it, and says whether the
+// connection stays open. If a reused connection failed before the first byte of an answer, the request is
+// sent again once on a new connection.
 func (c *soakClients) awaitAnswer(conn *soakConn, g *soakGateway, options requestOptions, req *soakRequest, reused bool, err error) bool {
 	status, closing, started := 0, true, false
 	if err == nil {
@@ -296,7 +304,8 @@
 	return nil
 }
 
-// receive reads a complete answer. started says that at least its first byte arrived.
+// receive reads the complete answer to a request. started says that at least its first byte arrived,
+// closing that the connection cannot be used again.
 func (conn *soakConn) receive(req *soakRequest) (status int, closing, started bool, err error) {
 	if _, err := conn.reader.Peek(1); err != nil {
 		return 0, true, false, err
@@ -316,10 +325,10 @@
 	return resp.StatusCode, resp.Close, true, nil
 }
 
-// badClientKind is a way of sending no valid request.
+// badClientKind is a way in which a client fails to send a valid request.
 type badClientKind struct {
 	name        string
-	afterAnswer bool   // on a connection that has carried an answer
+	afterAnswer bool   // the client first gets the answer to a valid request on the connection
 	text        string // sent at once, after which the client keeps the connection open
 }
 
@@ -337,7 +346,8 @@
 	{name: "two lengths", text: partialHead + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbody5"},
 }
 
-// runBadClient acts as one bad client and records how long its connection is kept.
+// runBadClient acts as one bad client. It records after what time its connection was answered or
+// closed, or 0 if it was neither within 6 s.
 func (s *soak) runBadClient(g *soakGateway, kind *badClientKind) {
 	up, generation := g.serving()
 	if !up {
--- a/internal/fleetlab/soak_ends.go
+++ b/internal/fleetlab/soak_ends.go
@@ -15,12 +15,12 @@
 const (
 	newConnPeriod     = 300 * time.Millisecond // new connections are opened for this long after SIGTERM
 	newConnInterval   = 15 * time.Millisecond
-	idleConnsAtTerm   = 8                     // connections that are idle at SIGTERM, beside those of other clients
-	lastMomentsPeriod = 60 * time.Millisecond // before the SIGKILL
+	idleConnsAtTerm   = 8                     // number of idle connections opened before SIGTERM, beside those of other clients
+	lastMomentsPeriod = 60 * time.Millisecond // period before the SIGKILL in which a third of the idle connections are used
 )
 
-// terminateUnderLoad terminates a gateway while clients use all their open connections to it until the
-// SIGKILL and open new ones for a while.
+// terminateUnderLoad terminates a gateway while clients use their idle connections to it until the SIGKILL
+// and open new ones for newConnPeriod. The functions of alongside run until the process has exited.
 func (s *soak) terminateUnderLoad(g *soakGateway, alongside ...func(ended <-chan struct{})) {
 	idle := s.clients.openIdleConns(g, idleConnsAtTerm)
 	draws := rand.New(rand.NewPCG(s.opt.Seed, uint64(s.elapsed())))
@@ -28,7 +28,8 @@
 	g.terminate(alongside...)
 }
 
-// openIdleConns opens connections that have carried an answer.
+// openIdleConns opens up to n connections and gets the answer to a health check on each, after which they
+// are idle.
 func (c *soakClients) openIdleConns(g *soakGateway, n int) (conns []*soakConn) {
 	for range n {
 		conn, _, err := c.connect(g, true, false)
@@ -49,8 +50,9 @@
 	return conns
 }
 
-// sendUntilExit sends a request on each idle connection at some time before the SIGKILL, on one in three
-// within the last lastMomentsPeriod, and opens new connections for newConnPeriod.
+// sendUntilExit sends a request on each idle connection to a gateway at some time before the SIGKILL, on
+// one in three within the last lastMomentsPeriod, and opens new connections for newConnPeriod. It returns
+// when ended is closed and all requests have ended.
 func (c *soakClients) sendUntilExit(g *soakGateway, idle []*soakConn, draws *rand.Rand, ended <-chan struct{}) {
 	const untilKill = 3*time.Second + soakKillMargin
 	var requests sync.WaitGroup
@@ -122,7 +124,8 @@
 // descriptors.
 const connFloodSize = 1100
 
-// floodConns exhausts the connections of a gateway with idle clients, half of which have sent a request.
+// floodConns exhausts the connections of a gateway with idle clients for the duration. Half of them have
+// sent a health check.
 func (s *soak) floodConns(g *soakGateway, d *disruption) {
 	if up, _ := g.serving(); !up {
 		return
--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -18,7 +18,7 @@
 type soakClass struct {
 	name, effect string
 	deadline     time.Duration
-	window       time.Duration // for deduplicated requests
+	window       time.Duration // idempotency window; 0: the class is not deduplicated
 	share        float64       // of all requests
 }
 
@@ -30,16 +30,16 @@
 
 // Slow start, draining and termination in the settings of the soak.
 const (
-	soakColdFrom       = 0.2             // share of its capacity that a host starts with
-	soakWarmAfter      = 8 * time.Second // a host has its full capacity this long after its start
-	soakOverloadFactor = 2.5             // multiple of its present capacity at which a cold host fails
-	soakOverloadPeriod = time.Second     // an overload makes a host fail when it lasts this long
-	soakWarmRate       = 60              // requests per second that a warm host can serve
-	soakDrainGrace     = time.Second
-	soakKillMargin     = 700 * time.Millisecond // time between the longest deadline, counted as at least 3 s, and SIGKILL
+	soakColdFrom       = 0.2                    // share of its capacity that a host starts with
+	soakWarmAfter      = 8 * time.Second        // a host has its full capacity this long after its start
+	soakOverloadFactor = 2.5                    // multiple of its present capacity at which a cold host fails
+	soakOverloadPeriod = time.Second            // an overload makes a host fail when it lasts this long
+	soakWarmRate       = 60                     // requests per second that a warm host can serve
+	soakDrainGrace     = time.Second            // a gateway may send to a draining host for this long after it is notified
+	soakKillMargin     = 700 * time.Millisecond // time from the longest deadline, which counts as 3 s, to the SIGKILL
 )
 
-// soakGateway is a gateway under one name, through all its processes.
+// soakGateway is a gateway of one name, with one process after another.
 type soakGateway struct {
 	s                        *soak
 	name, addr, operatorAddr string
@@ -47,17 +47,17 @@
 	sharedSocket             *os.File // listening socket that its processes inherit; nil: each opens its own
 
 	mu              sync.Mutex
-	proc            *faultnet.Proc
-	generation      int // number of the present process
-	startedAt       time.Time
-	readyAt         time.Time // of the present process; zero: not yet
-	firstReadyAt    time.Time // of the first process that was ready
-	termAt          time.Time // when its termination began; zero: it has not
-	retired         bool      // no process is to be started any more
-	settingsVersion int       // number of changes of its settings
+	proc            *faultnet.Proc // the present process; nil: none
+	generation      int            // number of the latest process, from 1
+	startedAt       time.Time      // start of the latest process
+	readyAt         time.Time      // when the latest process was ready; zero: not yet
+	firstReadyAt    time.Time      // when any process was first ready; zero: none yet
+	termAt          time.Time      // when the soak began to terminate or kill the latest process; zero: it has not
+	retired         bool           // no process is to be started any more
+	settingsVersion int            // number of changes of the settings
 }
 
-// newSoakGateway returns a gateway that has no process yet.
+// newSoakGateway returns the gateway of an index, which has no process yet.
 func newSoakGateway(s *soak, i int) *soakGateway {
 	name := fmt.Sprintf("g%02d", i)
 	g := &soakGateway{s: s, name: name, addr: fmt.Sprintf("%s1.%d:9000", s.netPrefix, i+1), operatorAddr: fmt.Sprintf("%s1.%d:9001", s.netPrefix, i+1),
@@ -70,8 +70,8 @@
 // cannot tell which process has a connection.
 const sharedGeneration = 0
 
-// sharesSocket says whether the processes of a gateway share a listening socket, as those of every
-// sixth gateway do.
+// sharesSocket says whether the processes of the gateway of an index share a listening socket, as those of
+// every sixth gateway do.
 func sharesSocket(i int) bool { return i%6 == 5 }
 
 // openSharedSocket opens the listening socket that the processes of the gateway inherit.
@@ -85,7 +85,7 @@
 	return err
 }
 
-// configure writes the configuration file. Another settings version changes the deadline of one class
+// configure writes the configuration file. Each settings version changes the deadline of the class look
 // and the discovery address that comes first.
 func (g *soakGateway) configure(settingsVersion int) error {
 	type obj map[string]any
@@ -115,7 +115,8 @@
 		"settings": settings})
 }
 
-// startProcess starts a process of the gateway and checks its health in the background until it is ready.
+// startProcess starts a process of the gateway, unless one is present, and checks its health in the
+// background until it is ready.
 func (g *soakGateway) startProcess() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,7 +191,7 @@
 	}
 }
 
-// awaitServing waits until the gateway serves clients.
+// awaitServing waits until the gateway serves clients. It returns false when the limit has passed before.
 func (g *soakGateway) awaitServing(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if up, _ := g.serving(); up {
@@ -233,7 +234,7 @@
 	proc.Cont()
 }
 
-// reload changes the settings and sends SIGHUP.
+// reload changes the settings and sends SIGHUP. It does nothing if the gateway has no ready process.
 func (g *soakGateway) reload() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -250,11 +251,13 @@
 // kill ends the process with SIGKILL.
 func (g *soakGateway) kill() { g.stop(false, nil) }
 
-// terminate ends the process with SIGTERM, and with SIGKILL after the longest deadline, counted as at
-// least 3 s, and soakKillMargin. The functions of alongside run until the process has exited.
+// terminate ends the process with SIGTERM, and with SIGKILL if it runs for 3 s, which is longer than any
+// deadline, and soakKillMargin after that. The functions of alongside run meanwhile, in the background;
+// ended is closed when the process has exited.
 func (g *soakGateway) terminate(alongside ...func(ended <-chan struct{})) { g.stop(true, alongside) }
 
-// stop ends the present process, unless it is already being stopped.
+// stop ends the present process and waits for its exit. It does nothing if the process is already being
+// stopped.
 func (g *soakGateway) stop(graceful bool, alongside []func(ended <-chan struct{})) {
 	g.mu.Lock()
 	proc, generation := g.proc, g.generation
@@ -270,7 +273,8 @@
 	g.mu.Unlock()
 }
 
-// stopProcess ends a process and records its exit.
+// stopProcess ends a process, waits for its exit and records it. The record of a process that had exited
+// by itself has no time of a signal.
 func (g *soakGateway) stopProcess(proc *faultnet.Proc, generation int, graceful bool, alongside []func(ended <-chan struct{})) {
 	exit := processExit{gateway: g.name, generation: generation, logPath: proc.Log}
 	if ended, err := proc.Exited(); ended {
@@ -298,8 +302,8 @@
 	g.s.ledger.update(func() { g.s.ledger.exits = append(g.s.ledger.exits, exit) })
 }
 
-// upgrade starts a new process on the same socket and, once that is ready, terminates the old one.
-// Another upgrade may start while the old process is still terminating.
+// upgrade starts a new process on the same socket and, once that is ready, terminates the old one in the
+// background. Another upgrade may start while the old process is still terminating.
 func (g *soakGateway) upgrade(alongside ...func(ended <-chan struct{})) {
 	g.mu.Lock()
 	old, generation := g.proc, g.generation
@@ -322,7 +326,8 @@
 	}()
 }
 
-// awaitProcessReady waits until the present process is ready.
+// awaitProcessReady waits until the latest process is ready. It returns false when the limit has passed
+// before.
 func (g *soakGateway) awaitProcessReady(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		g.mu.Lock()
@@ -335,7 +340,8 @@
 	return false
 }
 
-// exitCode returns the exit code in an error of a process; -1: there is none.
+// exitCode returns the exit code for the error of waiting for a process: 0 for nil and -1 for an error
+// without an exit code.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
--- a/internal/fleetlab/soak_ledger.go
+++ b/internal/fleetlab/soak_ledger.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// ledger records what the clients and hosts of a soak have seen, by request.
+// ledger records what the clients and hosts of a soak have seen, and the disruptions, process exits and
+// pauses that the judge takes into account.
 type ledger struct {
-	mu            sync.Mutex
-	requests      map[string]*soakRequest
-	order         []string        // ids in the order of their first record
-	resent        map[string]bool // ids of requests that their clients sent again under another id
+	mu            sync.Mutex              // guards all other fields and changes of the records that they refer to
+	requests      map[string]*soakRequest // by id
+	order         []string                // ids in the order of their first record
+	resent        map[string]bool         // ids of requests that their clients sent again under another id
 	badClients    []badClient
 	drains        []hostDrain
 	hostStarts    []hostStart
 	outages       []outage
 	connFloods    []connFlood
 	exits         []processExit
-	startFailures []string // of gateway processes
-	pauses        []string // of the soak process
+	startFailures []string // messages on gateway processes that were not ready in time
+	pauses        []string // messages on pauses of the soak process
 }
 
 func newLedger() *ledger {
@@ -39,7 +40,7 @@
 // outage is a disruption of discovery or of the connections to it.
 type outage struct {
 	span
-	reachable bool // discovery is slow, or one of several instances is down
+	reachable bool // discovery can be reached: it is slow, or only one of several catalogs is down
 }
 
 // connFlood is a period in which idle clients hold all connections of a gateway.
@@ -51,26 +52,26 @@
 // soakRequest is one request as its client saw it, with its attempts as the hosts saw them.
 type soakRequest struct {
 	id          string
-	class       *soakClass
+	class       *soakClass // nil: a host received the request but no client sent it
 	gateway     string
 	generation  int       // of the process of the gateway
 	newConn     bool      // the request is the first on its connection
 	slowWrite   bool      // the request was written in pieces
 	firstByteAt time.Time // just before the first byte is written
-	sentAt      time.Time // last byte written
-	abandonedAt time.Time // the client closed its connection; zero: it waited for the answer
-	endedAt     time.Time // the answer arrived or the connection ended
+	sentAt      time.Time // when the last byte was written; zero: it was not
+	abandonedAt time.Time // when the client closed its connection without waiting; zero: it waited for the answer
+	endedAt     time.Time // when the answer arrived or the connection ended
 	status      int       // HTTP status; 0: no complete answer
-	err         error
-	retryOf     string // id of the request that this one replaces, because it crossed a close
+	err         error     // why there is no complete answer
+	retryOf     string    // id of the request that this one replaces, whose connection ended without an answer; empty: none
 	attempts    []soakAttempt
 }
 
 // soakAttempt is one attempt as a host received it.
 type soakAttempt struct {
 	host        string
-	firstByteAt time.Time     // first byte received
-	receivedAt  time.Time     // last byte received
+	firstByteAt time.Time     // when the first byte was received
+	receivedAt  time.Time     // when the last byte was received
 	timeout     time.Duration // X-Timeout that the gateway sent
 	rejected    bool          // the host answered X-Not-Processed and did not execute it
 	stalled     bool          // the host read the body late, so the body may have arrived before receivedAt
@@ -87,22 +88,22 @@
 // hostDrain is a host that began to drain.
 type hostDrain struct {
 	host       string
-	ackedAt    time.Time // discovery acknowledged the change
-	relistedAt time.Time // the host is listed as ready again; zero: not yet
+	ackedAt    time.Time // when discovery acknowledged the change
+	relistedAt time.Time // just before the host is listed as ready again; zero: not yet
 }
 
 // hostStart is a host that was listed as just started.
 type hostStart struct {
 	host    string
-	ackedAt time.Time // discovery acknowledged the change
+	ackedAt time.Time // when discovery acknowledged the change
 }
 
 // processExit is the end of a gateway process.
 type processExit struct {
 	gateway    string
 	generation int
-	termAt     time.Time // SIGTERM; zero: it was not sent
-	killAt     time.Time // SIGKILL; zero: it was not sent
+	termAt     time.Time // time of the SIGTERM; zero: it was not sent
+	killAt     time.Time // time of the SIGKILL; zero: it was not sent
 	endedAt    time.Time
 	exitCode   int
 	logPath    string // log file of this process
@@ -119,14 +120,15 @@
 	}
 }
 
-// update runs a change under the lock.
+// update runs a change of the ledger or of a record in it under the lock.
 func (l *ledger) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// addAttempt records an attempt that a host received, also under an id that no client sent.
+// addAttempt records an attempt that a host received. If no client has sent a request of that id, it adds a
+// request without a class.
 func (l *ledger) addAttempt(id string, attempt soakAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleetlab/soak_list.go
+++ b/internal/fleetlab/soak_list.go
@@ -17,16 +17,17 @@
 // soakCatalogs runs the catalogs and the links through which gateways reach them.
 type soakCatalogs struct {
 	s         *soak
-	httpAddrs []string
-	links     []*faultnet.Link
-	args      [][]string // command line of each catalog
-	writeMu   sync.Mutex // held from a change until it is written, and while the catalogs restart empty
+	httpAddrs []string         // addresses of the catalogs, without links
+	links     []*faultnet.Link // one to each catalog
+	args      [][]string       // command line of each catalog
+	writeMu   sync.Mutex       // held from a change until it is written, and while the catalogs restart empty; taken before mu
 	mu        sync.Mutex
-	procs     []*faultnet.Proc          // nil: the catalog is down
-	listed    map[string]map[string]any // entry of each listed host
+	procs     []*faultnet.Proc          // by catalog; nil: it is down
+	listed    map[string]map[string]any // latest entry of each host, by name
 }
 
-// startSoakCatalogs starts all catalogs.
+// startSoakCatalogs starts all catalogs. With an error it returns those that were started, for the caller to
+// close.
 func startSoakCatalogs(s *soak) (*soakCatalogs, error) {
 	l := &soakCatalogs{s: s, listed: map[string]map[string]any{}}
 	var peers []string
@@ -76,7 +77,8 @@
 	}
 }
 
-// discoveryAddrs returns the value of GW_DISCOVERY. first selects the instance that it begins with.
+// discoveryAddrs returns the discovery addresses for the configuration of a gateway. first selects the
+// catalog that they begin with.
 func (l *soakCatalogs) discoveryAddrs(first int) string {
 	var addrs []string
 	for i := range l.links {
@@ -85,7 +87,7 @@
 	return strings.Join(addrs, ",")
 }
 
-// put lists a host in a state, at whichever instance accepts it.
+// put lists a host in a state, at whichever catalog accepts the entry, and returns once one has.
 func (l *soakCatalogs) put(h *soakHost, state string) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -101,7 +103,8 @@
 	return l.writeEntry(h.name, entry)
 }
 
-// writeEntry sends an entry to one instance after another until one accepts it.
+// writeEntry sends an entry to one catalog after another until one accepts it. It gives up after 150 attempts,
+// which are 100 ms apart.
 func (l *soakCatalogs) writeEntry(id string, entry map[string]any) error {
 	text, err := encodeJSON(entry)
 	if err != nil {
@@ -131,7 +134,7 @@
 	return fmt.Errorf("host %s could not be listed: %w", id, lastErr)
 }
 
-// restartEmpty kills all instances, starts them with empty data folders, so that their versions start
+// restartEmpty kills all catalogs, starts them with empty data folders, so that their versions start
 // again, and writes the list as it was.
 func (l *soakCatalogs) restartEmpty() {
 	l.writeMu.Lock()
--- a/internal/fleetlab/soak_plan.go
+++ b/internal/fleetlab/soak_plan.go
@@ -15,7 +15,7 @@
 	target   string        // name of the gateway, host or catalog; empty for all of discovery
 	at       time.Duration // time since the load began
 	duration time.Duration
-	run      func(*disruption)
+	run      func(*disruption) // carries out the disruption itself, which it gets as its argument, to its end
 }
 
 func (d *disruption) String() string {
@@ -42,7 +42,9 @@
 	return append(plan, unreachable)
 }
 
-// drawDisruption draws a disruption without its times.
+// drawDisruption draws a disruption without its times. A gateway whose processes share a socket is upgraded
+// where another one would be terminated or killed. Kinds 20 and 21 stand for such an upgrade, or for a
+// termination or kill if there is no such gateway.
 func (s *soak) drawDisruption() disruption {
 	g := s.gateways[s.planRand.IntN(len(s.gateways))]
 	h := s.hosts[s.planRand.IntN(len(s.hosts))]
@@ -126,7 +128,7 @@
 	return shared
 }
 
-// upgradeDisruption returns an upgrade in place of a termination of the drawn kind.
+// upgradeDisruption returns an upgrade in place of the termination or kill of the drawn kind.
 func (s *soak) upgradeDisruption(g *soakGateway, kind int) disruption {
 	load := func(ended <-chan struct{}) {
 		s.clients.sendUntilExit(g, s.clients.openIdleConns(g, idleConnsAtTerm), rand.New(rand.NewPCG(s.opt.Seed, uint64(kind))), ended)
@@ -140,8 +142,8 @@
 	return disruption{name: "upgrade", target: g.name, run: func(*disruption) { g.upgrade(load) }}
 }
 
-// recordOutage runs a disruption of discovery and records its time. reachable says whether discovery
-// can still be reached meanwhile.
+// recordOutage runs a disruption of discovery and records its start and end. reachable says whether
+// discovery can still be reached meanwhile.
 func (s *soak) recordOutage(reachable bool, do func()) {
 	i := 0
 	s.ledger.update(func() {
@@ -152,7 +154,8 @@
 	s.ledger.update(func() { s.ledger.outages[i].to = time.Now() })
 }
 
-// discoveryDisruption sets all links to discovery to a mode for the duration.
+// discoveryDisruption sets all links to discovery to a mode for the duration. The name "reset" stands for
+// faultnet.Reset, whatever the mode is.
 func (s *soak) discoveryDisruption(name string, mode faultnet.Mode) disruption {
 	if name == "reset" {
 		mode = faultnet.Reset
@@ -183,7 +186,7 @@
 	})
 }
 
-// hostDisruption sets a host to a mode for the duration.
+// hostDisruption sets a host to a mode for the duration and then to hostHealthy.
 func (s *soak) hostDisruption(name string, h *soakHost, mode hostMode) disruption {
 	return disruption{name: name, target: h.name, run: func(d *disruption) {
 		h.setMode(mode)
@@ -211,8 +214,9 @@
 	}
 }
 
-// drain sets a host to draining while it goes on serving, and later lists it again as a host that has
-// just started.
+// drain lists a host as draining while it goes on serving. After 9 s and the duration it takes the host
+// down for 200 ms and lists it as a host that has just started. It does nothing if the host is already
+// draining.
 func (s *soak) drain(h *soakHost, d *disruption) {
 	h.mu.Lock()
 	if h.draining {
@@ -247,7 +251,8 @@
 	h.mu.Unlock()
 }
 
-// runBadClients starts bad clients of every kind for the duration and waits for their ends.
+// runBadClients starts one bad client of every kind every 50 ms for the duration and waits for their
+// ends.
 func (s *soak) runBadClients(g *soakGateway, d *disruption) {
 	var clients sync.WaitGroup
 	for end := s.elapsed() + d.duration; s.elapsed() < end; s.sleepUntil(s.elapsed() + 50*time.Millisecond) {
--- a/internal/fleetlab/soak_server.go
+++ b/internal/fleetlab/soak_server.go
@@ -18,10 +18,10 @@
 const (
 	hostHealthy    hostMode = iota
 	hostHangs               // sends no answer
-	hostResets              // resets connections within or before an answer
+	hostResets              // resets the connection before or within the answer to two of three request ids
 	hostFails               // answers 500
 	hostRejects             // answers 503 with X-Not-Processed
-	hostClosesIdle          // closes connections that are idle for some milliseconds
+	hostClosesIdle          // closes connections that are idle for 15 ms
 	hostStalls              // reads nothing of a long body for stallTime
 	hostDown                // refuses connections
 )
@@ -36,7 +36,8 @@
 	stallTime = time.Second
 )
 
-// soakHost is a host of a soak. It answers or misbehaves as its mode says, and records its attempts.
+// soakHost is a host of a soak. It answers or misbehaves as its mode says, and records the attempts that it
+// receives in the ledger.
 type soakHost struct {
 	s    *soak
 	name string
@@ -46,8 +47,8 @@
 	mode     hostMode
 	ln       net.Listener
 	conns    map[net.Conn]bool // the open connections
-	started  time.Time         // zero: long ago
-	draining bool              // it drains or is about to be listed again
+	started  time.Time         // start time on the host list; zero: long ago
+	draining bool              // the host drains or is about to be listed as ready again
 }
 
 func startSoakHost(s *soak, i int) (*soakHost, error) {
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// setMode changes the mode. hostDown resets all connections.
+// setMode changes the mode. hostDown closes the listening socket and resets all connections; any other mode
+// opens the socket again.
 func (h *soakHost) setMode(mode hostMode) {
 	h.mu.Lock()
 	old := h.mode
@@ -99,7 +101,7 @@
 
 func (h *soakHost) close() { h.setMode(hostDown) }
 
-// serve handles one connection.
+// serve handles the requests of one connection.
 func (h *soakHost) serve(c net.Conn) {
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(hostReadBuffer) // the rest of a longer body arrives only as the host reads it
@@ -143,7 +145,8 @@
 	}
 }
 
-// answer answers one request and says whether the connection stays open.
+// answer records an attempt, answers it as the mode and the id demand, and says whether the connection
+// stays open.
 func (h *soakHost) answer(c net.Conn, id string, attempt soakAttempt) bool {
 	mode, idHash := h.currentMode(), hashID(id)
 	attempt.rejected = mode == hostRejects
@@ -175,7 +178,8 @@
 	return writeResponse(c, "200 OK", "", "done "+id)
 }
 
-// writeChunkedAnswer writes an answer without Content-Length, with a pause after each part.
+// writeChunkedAnswer writes an answer in chunks, with a pause after each part, and says whether that
+// succeeded.
 func writeChunkedAnswer(c net.Conn, parts ...string) bool {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for _, part := range parts {
@@ -186,7 +190,7 @@
 	return err == nil
 }
 
-// hashID hashes an id, so that a request gets the same treatment at every host.
+// hashID hashes the id of a request, so that hosts in one mode treat all attempts of a request alike.
 func hashID(id string) uint32 {
 	h := fnv.New32a()
 	io.WriteString(h, id)
