--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -25,7 +25,7 @@
 
 // Job is one attempt at a host.
 type Job struct {
-	Work     time.Duration // at speed 1, with the cost of a new connection
+	Work     time.Duration // at speed 1, including the cost of a new connection
 	WaitTime time.Duration // time waiting for other services after the work, which uses no core
 	Notified bool          // the gateway's list has the present start of the host
 	Done     func(ok bool) // called by the engine when the answer leaves; ok is false for an error
@@ -46,9 +46,9 @@
 	Started       Time // negative: long ago
 	Incarnation   int  // raised at each start; connections do not outlive an incarnation
 	Condition     Condition
-	SlowFactor    float64 // factor on the time of its work; 1: normal
-	Overloaded    bool    // it failed by overload
-	NotifiedShare float64 // share of that overload sent by gateways whose list had its present start
+	SlowFactor    float64 // factor on the time that work takes; 1: normal
+	Overloaded    bool    // the host has failed by overload; stays set after a restart
+	NotifiedShare float64 // share of the work of the overload that came from gateways whose list had the present start of the host
 
 	rules      *Rules
 	meanWork   time.Duration // mean work of a request at speed 1
@@ -70,7 +70,7 @@
 	notified bool    // the gateway's list had the present start of the host
 }
 
-// NewHost returns a host of a group. A cold host starts at time 0.
+// NewHost returns a host of a group. A cold host starts at time 0, any other started an hour before.
 func NewHost(index int, id string, spec *HostGroup, s *Scenario) *Host {
 	h := &Host{Index: index, ID: id, Spec: spec, SlowFactor: 1, Started: -time.Hour, rules: &s.Rules, meanWork: s.meanWork()}
 	if spec.Cold {
@@ -112,7 +112,8 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Headroom returns how many more requests of mean work a cold host accepts now without failing.
+// Headroom returns how many more requests of mean work a cold host accepts now without failing. It is
+// negative if the host has already received more than its budget.
 func (h *Host) Headroom(now Time) float64 {
 	h.dropOldWork(now)
 	used := 0.0
@@ -152,7 +153,7 @@
 	}
 }
 
-// Pending returns the number of requests that the host holds.
+// Pending returns the number of requests that run or wait, for a core or for other services.
 func (h *Host) Pending() int { return h.pending }
 
 // Verdict is the response of a host to an attempt that arrives.
@@ -210,7 +211,7 @@
 	h.Kill()
 }
 
-// Kill ends the process. Its requests and connections are lost.
+// Kill ends the process. Its requests and connections are lost. It does not raise Incarnation.
 func (h *Host) Kill() {
 	h.Condition = Dead
 	for _, j := range append(h.queue, h.running...) {
--- a/internal/fleetlab/listservice.go
+++ b/internal/fleetlab/listservice.go
@@ -23,12 +23,12 @@
 	watchDialTimeout = 500 * time.Millisecond
 )
 
-// listService is one instance of the list service in the virtual engine, with admission control of calls
-// and its open watches.
+// listService is one instance of the list service in the virtual engine. It has admission control of calls
+// and keeps the open watches.
 type listService struct {
 	world        *world
 	index        int
-	mode         int
+	mode         int           // one of the modes above, such as catalogUp
 	callTime     time.Duration // time of work on a call; 0: as the scenario says
 	gate         *admit.Gate
 	waitingCalls map[uint64]*watch // calls without a decision, by call ID
@@ -46,11 +46,11 @@
 // watch is a gateway's open watch, or its call for one.
 type watch struct {
 	gateway     *gateway
-	generation  int    // of the gateway's process
-	listVersion uint64 // version that the gateway has after the last delivery; 0: it has no list
-	open        bool
-	ended       bool
-	retryAfter  time.Duration // retry delay that the service asked for when it shed the call
+	generation  int           // of the gateway's process
+	listVersion uint64        // version that the gateway has after the last delivery; 0: it has no list
+	open        bool          // false: it is a call that has not been answered
+	ended       bool          // it was lost or failed, or its gateway has exited
+	retryAfter  time.Duration // retry delay that the service asked for when it shed the call; 0: none
 }
 
 // endWatch ends a watch or a call. The gateway notices after d.
@@ -65,7 +65,8 @@
 	c.world.after(d, func() { watch.gateway.watchLost(watch) })
 }
 
-// setMode changes the mode of the instance. Open watches end when it goes down.
+// setMode changes the mode of the instance. Open watches end at once in catalogDown and catalogReset and when
+// catalogBlackHole ends, and after watchSilenceTimeout in catalogBlackHole.
 func (c *listService) setMode(mode int) {
 	old := c.mode
 	c.mode = mode
@@ -88,7 +89,7 @@
 	}
 }
 
-// handleCall handles a call that reaches the instance.
+// handleCall handles a call for a watch that reaches the instance.
 func (c *listService) handleCall(watch *watch) {
 	w := c.world
 	delay := w.scenario.Net.SameZone.std()
@@ -149,8 +150,8 @@
 	}
 }
 
-// sendList sends the changes since the version of a watch to its gateway, or the full list if the gateway
-// has none.
+// sendList sends the changes since the list version of a watch to its gateway, or the full list if the
+// gateway has none, and sets the list version to the present one.
 func (c *listService) sendList(watch *watch) {
 	w := c.world
 	kind, afterVersion := bramblelock.ListChanges, watch.listVersion
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -8,10 +8,10 @@
 
 // linkFault is a fault of the network between some gateways and some hosts.
 type linkFault struct {
-	action   string // cut, delay or black-hole
-	gateways map[int]bool
-	hosts    map[int]bool
-	delay    time.Duration
+	action   string        // cut, delay or black-hole
+	gateways map[int]bool  // by rank
+	hosts    map[int]bool  // by index
+	delay    time.Duration // added one way
 }
 
 // linkState returns the faults between a gateway and a host: whether connections are reset, whether
@@ -124,7 +124,8 @@
 	}
 }
 
-// finishAfter ends an attempt with a result that reaches the gateway after a delay.
+// finishAfter ends an attempt with a result that reaches the gateway after a delay. The connection is kept
+// if the host has answered on it, and closed otherwise.
 func (a *attempt) finishAfter(delay time.Duration, result bramblelock.Result) {
 	a.gateway.world.after(delay, func() {
 		if a.ended {
@@ -140,8 +141,8 @@
 	})
 }
 
-// abandon ends an attempt on the gateway's side. Its connection is closed, and its work stops when the
-// close reaches the host.
+// abandon ends an attempt on the gateway's side, unless it has ended. Its connection is closed, and its work
+// stops when the close reaches the host.
 func (g *gateway) abandon(a *attempt, result bramblelock.Result) {
 	if a.ended {
 		return
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/vfaults.go
@@ -7,8 +7,8 @@
 	"bramblelock"
 )
 
-// faultTargets selects the targets of a fault among count gateways or hosts and divides them into the
-// steps of the fault.
+// faultTargets selects the targets of a fault among count gateways or hosts and returns their ranks or
+// indices by step of the fault.
 func (s *Scenario) faultTargets(count int, zoneOf func(int) string, f *Fault, faultIndex int) [][]int {
 	var candidates []int
 	for i := range count {
@@ -29,7 +29,7 @@
 	return byStep
 }
 
-// zoneOfHost returns the zone of a host.
+// zoneOfHost returns the zone of the host at an index, or "" for a host that was added during the run.
 func (s *Scenario) zoneOfHost(i int) string {
 	for _, g := range s.Hosts {
 		if i < g.Count {
@@ -40,7 +40,7 @@
 	return ""
 }
 
-// zoneOfGateway returns the zone of a gateway. Each zone has an equal range of consecutive ranks.
+// zoneOfGateway returns the zone of the gateway of a rank. Each zone has an equal range of consecutive ranks.
 func (s *Scenario) zoneOfGateway(i int) string {
 	var zones []string
 	for _, g := range s.Hosts {
@@ -100,7 +100,8 @@
 	}
 }
 
-// applyCatalogFault starts a fault of the list service, or ends it if on is false.
+// applyCatalogFault starts a fault of the list service, or ends it if on is false. The fault affects the first
+// instances, as many as f.Share says, or all if that is 0; kill-leader affects only the first.
 func (w *world) applyCatalogFault(f *Fault, on bool) {
 	for i, c := range w.catalogs {
 		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(w.catalogs)))) {
@@ -182,7 +183,7 @@
 }
 
 // applyHostFault starts a fault of a host and schedules its end, which has no effect if the host has
-// restarted or failed by overload meanwhile.
+// restarted meanwhile or has ever failed by overload.
 func (w *world) applyHostFault(f *Fault, h *Host) {
 	index, incarnation := h.Index, h.Incarnation
 	atEnd := func(do func()) {
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -21,29 +21,29 @@
 	generation     int      // raised at each start and exit of the process
 	startedAt      Time
 	balancer       *bramblelock.Balancer
-	actions        []bramblelock.Action
-	pools          map[int]*pool // by host index
-	knownStart     map[int]Time  // by host index: start time on the received list
+	actions        []bramblelock.Action // reused by performActions
+	pools          map[int]*pool        // by host index
+	knownStart     map[int]Time         // by host index: start time on the received list
 	hostIndex      map[bramblelock.HostID]int
 	usable         map[int]bool // by host index: it is ready on the received list
 	requests       map[bramblelock.RequestID]*request
 	lastRequestID  bramblelock.RequestID
-	watch          *watch
-	catalogIndex   int // modulo the number of instances: the list service instance to call next
+	watch          *watch // open watch or call for one; nil: none
+	catalogIndex   int    // modulo the number of instances: the list service instance to call next
 	listVersion    uint64
 	listDelay      time.Duration // added to the time until a list arrives
-	pushBackoff    time.Duration // backoff in push mode
+	pushBackoff    time.Duration // latest backoff in push mode; 0: none since the last list
 	reportedRate   float64       // requests per second, as last reported to the other gateways
 	rateReportedAt Time
 	exitedAt       Time // when the process last exited
-	failedCatalogs int  // number of instances that have failed one after another
+	failedCatalogs int  // number of calls that have failed one after another
 	nextCallAt     Time // earliest time of the next call, after a list service asked for a retry delay
 }
 
 // pool holds the connections of a gateway to one host.
 type pool struct {
 	idle []conn
-	open int // idle and in use
+	open int // number of connections, idle and in use
 }
 
 type conn struct {
@@ -121,8 +121,9 @@
 	})
 }
 
-// updatePeers passes the live gateways to the Balancer, once per second. Each gateway reports its request
-// rate to the others every 5 s.
+// updatePeers passes the live gateways to the Balancer, once per second until the process of this generation
+// exits. Gateways that have exited or are on the other side of a partition count as live for PeerDetection.
+// Each gateway reports its request rate to the others every 5 s.
 func (g *gateway) updatePeers(generation int) {
 	w := g.world
 	if !g.up || g.generation != generation {
@@ -146,7 +147,8 @@
 // clock returns the time of the gateway's clock.
 func (g *gateway) clock() bramblelock.Time { return clockBase + g.world.now }
 
-// kill ends the process: its connections are reset and its requests are lost.
+// kill ends the process: its connections are reset and its requests are lost. The edge balancer notices
+// after EdgeDetection.
 func (g *gateway) kill() {
 	if !g.up {
 		return
@@ -185,7 +187,7 @@
 	return 0
 }
 
-// endOpenRequests ends the open requests of a process that has exited, and their attempts.
+// endOpenRequests ends the open requests and their attempts, when the process exits or the run ends.
 func (g *gateway) endOpenRequests(end End) {
 	if g.balancer == nil {
 		return
@@ -234,7 +236,7 @@
 	}
 }
 
-// openWatch calls the list service for a watch.
+// openWatch calls the instance of the list service at catalogIndex for a watch.
 func (g *gateway) openWatch() {
 	w := g.world
 	c := w.catalogs[g.catalogIndex%len(w.catalogs)]
@@ -247,14 +249,16 @@
 	})
 }
 
-// watchLost handles the end of a watch, or of a failed call for one.
+// watchLost handles the end of a watch, or the failure of a call for one. It calls the next instance at
+// once, unless every instance has failed, the watch had been open or the service asked for a retry delay.
+// Then the Balancer chooses the time of the next call or, in push mode, a backoff does.
 func (g *gateway) watchLost(watch *watch) {
 	if !g.up || watch.generation != g.generation || g.watch != watch {
 		return
 	}
 	g.watch = nil
 	g.catalogIndex++
-	if watch.retryAfter > 0 { // the same backoff as that of the real gateway
+	if watch.retryAfter > 0 { // the real gateway backs off for this time too
 		maxBackoff := g.world.scenario.Catalog.MaxWatchGap.std()
 		if g.listVersion > 0 {
 			maxBackoff = min(maxBackoff, bramblelock.MaxWatchBackoff)
@@ -290,7 +294,7 @@
 }
 
 // applyList passes a list to the Balancer and closes idle connections to hosts that are no longer ready
-// or have restarted.
+// or have restarted. The first list that is not empty makes the gateway ready.
 func (g *gateway) applyList(kind bramblelock.ListKind, list []bramblelock.Host) {
 	w := g.world
 	if len(g.hostIndex) == 0 || len(g.hostIndex) < len(w.hosts) {
@@ -369,7 +373,8 @@
 	}
 }
 
-// answer sends the final answer of a request. The client may retry after a refusal.
+// answer sends the final answer to a request and records its end, Late in place of Served if it is after the
+// latency target. After a refusal the client may retry, and no end is recorded then.
 func (g *gateway) answer(id bramblelock.RequestID, end End) {
 	r := g.requests[id]
 	if r == nil || r.answered {
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -64,8 +64,8 @@
 	seq            uint64 // of the last scheduled event
 	queue          eventQueue
 	recorder       *Recorder
-	netRand        *rand.Rand
-	seedRand       *rand.Rand
+	netRand        *rand.Rand // for latencies
+	seedRand       *rand.Rand // for the seeds of the Balancers
 	retryRand      *rand.Rand // for the retry delays of list clients that the Balancer does not choose
 	hosts          []*Host
 	nextCompletion []Time // by host: time of the scheduled event for its next completion; 0: none
@@ -77,11 +77,11 @@
 	linkFaults     []*linkFault
 	partition      map[int]bool // ranks on one side of a membership partition; nil: no partition
 	partitionedAt  Time
-	zones          []string
-	kinds          []string
-	oracle         bool
+	zones          []string      // names by zone index
+	kinds          []string      // names by kind index
+	oracle         bool          // the oracle takes the place of the gateways
 	oracleRequests map[*Job]Time // arrival times of the requests that the oracle has in flight
-	pendingBuffer  []int
+	pendingBuffer  []int         // reused by samplePending
 }
 
 // listEntry is a host on the host list.
@@ -183,7 +183,8 @@
 // after schedules an event that runs after d.
 func (w *world) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
-// addHost adds a host. It is on the list at once when the run starts, and after the listing delay later.
+// addHost adds a host. At the start of the run the host is on the list at once. During the run the host
+// starts at the present time and is on the list after the listing delay.
 func (w *world) addHost(group *HostGroup) *Host {
 	index := len(w.hosts)
 	h := NewHost(index, fmt.Sprintf("s-%04d", index), group, w.scenario)
@@ -216,7 +217,8 @@
 	return bramblelock.HostID(h.Sum64())
 }
 
-// updateListing updates the state of a host on the list and notifies the open watches.
+// updateListing updates the state and the start of a host on the list and sends the change to the open
+// watches.
 func (w *world) updateListing(index int, state bramblelock.HostState) {
 	w.listVersion++
 	e := &w.hostList[index]
@@ -238,7 +240,8 @@
 	return time.Duration(float64(d) * (0.8 + 0.4*w.netRand.Float64()))
 }
 
-// advanceHost advances a host to the present time and schedules its next completion.
+// advanceHost advances a host to the present time, schedules the answers of the jobs whose work is complete
+// and schedules the next completion.
 func (w *world) advanceHost(h *Host) {
 	for _, j := range h.Advance(w.now) {
 		w.after(j.WaitTime, func() {
@@ -272,7 +275,8 @@
 	}
 }
 
-// handleArrival passes the request of a client to the gateway that the edge balancer picks.
+// handleArrival passes the request of a client to the gateway that the edge balancer picks, or to the
+// oracle. If no gateway is admitted, or the picked one has exited, the request ends with NoLiveGateway.
 func (w *world) handleArrival(a Arrival) {
 	if w.oracle {
 		w.dispatchOracle(a)
@@ -307,7 +311,8 @@
 	}
 }
 
-// pick returns the gateway at a quantile, from 0 to 1, of the weights, or -1 if no gateway is admitted.
+// pick returns the rank of the gateway at a quantile, from 0 to 1, of the weights of the admitted gateways,
+// or -1 if no gateway is admitted.
 func (balancer *edgeBalancer) pick(quantile float64) int {
 	if balancer.cumulative == nil {
 		balancer.cumulative = make([]float64, len(balancer.weights))
@@ -344,8 +349,8 @@
 		for _, j := range h.running {
 			backlog += max(0, j.remaining-time.Duration(float64(w.now-j.startedAt)*h.speed(j.startedAt)))
 		}
-		if took := time.Duration(float64(backlog) / h.speed(w.now) / float64(h.Spec.Cores)); took < soonest {
-			best, soonest = h, took
+		if estimate := time.Duration(float64(backlog) / h.speed(w.now) / float64(h.Spec.Cores)); estimate < soonest {
+			best, soonest = h, estimate
 		}
 	}
 	if best == nil {
