--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -30,12 +30,12 @@
 type realRun struct {
 	scenario  *Scenario
 	options   RealOptions
-	dir       string // for logs and data
-	netPrefix string // prefix of the loopback addresses of the run: "127.N."
-	startedAt time.Time
+	dir       string    // for logs and data
+	netPrefix string    // prefix of the loopback addresses of the run: "127.N."
+	startedAt time.Time // during the setup: its start
 	ctx       context.Context
 
-	recorderMu sync.Mutex
+	recorderMu sync.Mutex // guards recorder
 	recorder   *Recorder
 
 	starter      *starter
@@ -45,7 +45,7 @@
 	busyListener net.Listener // answers 503 to everything, in place of a busy list service; nil until needed
 	httpClient   *http.Client
 
-	edgeMu sync.Mutex
+	edgeMu sync.Mutex // guards edge
 	edge   edgeBalancer
 }
 
@@ -106,7 +106,8 @@
 	do(run.recorder, run.now())
 }
 
-// at calls do at a time of the run, unless the run has ended by then.
+// at calls do in a goroutine at a time of the run, or at once if that is past, unless the run has ended by
+// then.
 func (run *realRun) at(t Time, do func()) {
 	go func() {
 		select {
@@ -117,7 +118,7 @@
 	}()
 }
 
-// setUp starts the hosts and the catalogs and writes the configuration of the gateways.
+// setUp starts the hosts and the catalogs and writes the configuration files of the gateways.
 func (run *realRun) setUp() error {
 	s := run.scenario
 	for groupIndex := range s.Hosts {
@@ -168,7 +169,8 @@
 	return nil
 }
 
-// execute starts the gateways, sends the load and carries out the faults.
+// execute starts the gateways, sends the load and carries out the faults. It returns when all requests have
+// ended or the run is cancelled.
 func (run *realRun) execute() {
 	s := run.scenario
 	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
@@ -240,8 +242,8 @@
 	})
 }
 
-// runClient acts as a client: it sends a request to the gateway that the edge balancer picks and retries
-// after refusals.
+// runClient acts as a client: it sends a request to the gateway that the edge balancer picks, retries after
+// refusals as the load says, and records the end.
 func (run *realRun) runClient(a Arrival) {
 	class := &run.scenario.Classes[a.Class]
 	arrived := run.now()
@@ -359,7 +361,7 @@
 }
 
 // starter starts processes from one locked thread. Their parent death signal is bound to that thread, so
-// that the kernel kills them if this process dies.
+// that the kernel kills them when the thread ends, and so also if this process dies.
 type starter struct{ calls chan func() }
 
 // newStarter returns a starter with a thread of its own.
@@ -380,7 +382,7 @@
 	return s.startWith(nil, dir, name, bin, args, env...)
 }
 
-// startWith is like start, for a process that inherits open files.
+// startWith starts a process that inherits open files, and returns its start time as start does.
 func (s *starter) startWith(files []*os.File, dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
 	done := make(chan struct{})
 	s.calls <- func() {
@@ -392,7 +394,7 @@
 	return p, at, err
 }
 
-// end ends the thread. No process may be running then.
+// end ends the thread. No process that it started may be running then, as the kernel would kill it.
 func (s *starter) end() { close(s.calls) }
 
 // encodeJSON encodes a value as JSON.
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -27,10 +27,11 @@
 	mu         sync.Mutex
 	proc       *faultnet.Proc // nil: it does not run
 	generation int            // raised at each start and exit of the process
-	ready      bool
+	ready      bool           // the present process has reported that it is ready
 }
 
-// configure writes the configuration file, with the present host list if hasSavedList is set.
+// configure writes the configuration file. If hasSavedList is set, this file and later versions of it hold
+// the host list as it is when they are written.
 func (g *realGateway) configure(hasSavedList bool) error {
 	g.hasSavedList = hasSavedList
 	return g.writeConfig()
@@ -91,8 +92,8 @@
 	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
-// awaitReady checks the health of a process until it is ready or has exited. The edge balancer admits it
-// when it is ready.
+// awaitReady checks the health of the process of a generation until it is ready, has exited or the run ends.
+// The edge balancer admits the gateway when the process is ready.
 func (g *realGateway) awaitReady(generation int, startedAt Time) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -158,7 +159,7 @@
 	})
 }
 
-// withProcess calls do with the process if there is one.
+// withProcess calls do with the process if there is one, under the lock.
 func (g *realGateway) withProcess(do func(*faultnet.Proc)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -174,7 +175,7 @@
 	args         []string
 	httpAddr     string
 	link         *faultnet.Link
-	countedBytes int64 // bytes from the catalog that the recorder has counted
+	countedBytes int64 // bytes from the catalog that are in the recorder, under its lock
 	mu           sync.Mutex
 	proc         *faultnet.Proc // nil: it does not run
 }
@@ -202,8 +203,8 @@
 	}
 }
 
-// startCatalogs starts the list service and adds all hosts to the list. Connections of gateways count as
-// calls from then on.
+// startCatalogs starts the catalogs and adds all hosts to the list. From then on it records each connection
+// through a link, which only gateways open, as a call.
 func (run *realRun) startCatalogs() error {
 	n := run.scenario.Catalog.Instances
 	var peers []string
@@ -259,8 +260,8 @@
 	return run.writeMember(http.MethodPut, id, entry)
 }
 
-// writeMember sends a change of a host to the catalogs in turn until one accepts it. It gives up after 150
-// attempts, which are 100 ms apart.
+// writeMember sends a change of a host to the catalogs in turn until one accepts it. A nil body sends none.
+// It gives up after 150 attempts, which are 100 ms apart.
 func (run *realRun) writeMember(method, id string, body any) error {
 	var lastErr error
 	for attempt := range 150 {
@@ -323,7 +324,8 @@
 	}
 }
 
-// applyCatalogFault starts a fault of the list service, or ends it if on is false.
+// applyCatalogFault starts a fault of the list service, or ends it if on is false. The fault affects the first
+// catalogs, as many as f.Share says, or all if that is 0; kill-leader affects only the leader.
 func (run *realRun) applyCatalogFault(f *Fault, on bool) {
 	for i, c := range run.catalogs {
 		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(run.catalogs)))) {
@@ -354,7 +356,8 @@
 	}
 }
 
-// busyAddr returns the address of an HTTP server that answers 503 to everything. The first call starts it.
+// busyAddr returns the address of an HTTP server that answers 503 to everything, or "" if it cannot listen.
+// The first call starts the server.
 func (run *realRun) busyAddr() string {
 	if run.busyListener == nil {
 		ln, err := listenLoopback()
--- a/internal/fleetlab/record.go
+++ b/internal/fleetlab/record.go
@@ -29,19 +29,19 @@
 type Recorder struct {
 	scenario   *Scenario
 	readyTimes *hdrhistogram.Histogram // microseconds from the start of a gateway until it is ready
-	latencies  *hdrhistogram.Histogram // microseconds of served requests
+	latencies  *hdrhistogram.Histogram // microseconds until the answers of served and late requests
 	neverReady int                     // gateways that were not ready at the end
 
-	callsByCatalog [][]int // by catalog and bin
-	catalogBytes   []int64 // by catalog
-	catalogShed    []int   // by catalog
-	newConns       []int   // at all hosts, by bin
-	newConnsByHost [][]int // by host and bin
-	requestsByHost [][]int // requests that reached a host, by host and second
-	ends           [numEnds]int
-	endsBySecond   [][numEnds]int // by second of arrival
+	callsByCatalog [][]int        // by catalog and bin
+	catalogBytes   []int64        // bytes sent to the gateways, by catalog
+	catalogShed    []int          // calls that were not served, by catalog
+	newConns       []int          // at all hosts, by bin
+	newConnsByHost [][]int        // by host and bin
+	requestsByHost [][]int        // attempts that reached a host, by host and second
+	ends           [numEnds]int   // of requests that arrived from MeasureFrom on
+	endsBySecond   [][numEnds]int // of all requests, by second of arrival
 	herd           Herd
-	sortBuffer     []int
+	sortBuffer     []int // reused by RecordPending
 }
 
 // NewRecorder returns a Recorder for a run of a scenario.
@@ -52,7 +52,8 @@
 	return r
 }
 
-// addToBin adds n to the bin of a time. It ignores times outside of the run.
+// addToBin adds n to the bin of a time, and lengthens bins as needed. It ignores negative times and those
+// beyond 1<<20 bins.
 func addToBin(bins []int, at Time, width time.Duration, n int) []int {
 	i := int(at / width)
 	if at < 0 || i > 1<<20 {
@@ -70,7 +71,8 @@
 	r.readyTimes.RecordValue(max(1, elapsed.Microseconds()))
 }
 
-// RecordCall records a call at a catalog. shed says that the catalog did not serve it.
+// RecordCall records a call at a catalog that sends a number of bytes in answer. shed says that the catalog
+// did not serve the call.
 func (r *Recorder) RecordCall(catalog int, at Time, bytes int, shed bool) {
 	r.callsByCatalog[catalog] = addToBin(r.callsByCatalog[catalog], at, binWidth, 1)
 	r.catalogBytes[catalog] += int64(bytes)
@@ -79,7 +81,7 @@
 	}
 }
 
-// RecordNewConn records a connection that a host accepted or rejected.
+// RecordNewConn records a connection to a host, whether or not the host accepts it.
 func (r *Recorder) RecordNewConn(host int, at Time) {
 	r.newConns = addToBin(r.newConns, at, binWidth, 1)
 	for len(r.newConnsByHost) <= host {
@@ -88,7 +90,7 @@
 	r.newConnsByHost[host] = addToBin(r.newConnsByHost[host], at, binWidth, 1)
 }
 
-// RecordHostRequest records a request that reached a host.
+// RecordHostRequest records an attempt that reached a host.
 func (r *Recorder) RecordHostRequest(host int, at Time) {
 	for len(r.requestsByHost) <= host {
 		r.requestsByHost = append(r.requestsByHost, nil)
@@ -96,7 +98,8 @@
 	r.requestsByHost[host] = addToBin(r.requestsByHost[host], at, time.Second, 1)
 }
 
-// RecordEnd records how a request ended. arrived is the time of its arrival.
+// RecordEnd records how a request ended. arrived is the time of its arrival, elapsed the time until its
+// answer, which counts only for the ends Served and Late.
 func (r *Recorder) RecordEnd(arrived Time, end End, elapsed time.Duration) {
 	i := int(arrived / time.Second)
 	for len(r.endsBySecond) <= i {
@@ -161,10 +164,10 @@
 // CatalogFigures holds the load of one catalog.
 type CatalogFigures struct {
 	Calls   int   `json:"calls"`
-	Busiest int   `json:"busiest_100ms"`  // calls in the busiest 100 ms
-	Second  int   `json:"busiest_second"` // calls in the busiest second
-	Bytes   int64 `json:"bytes"`          // sent to the gateways
-	Shed    int   `json:"shed"`
+	Busiest int   `json:"busiest_100ms"`         // calls in the busiest 100 ms
+	Second  int   `json:"busiest_second"`        // calls in the busiest second
+	Bytes   int64 `json:"bytes"`                 // sent to the gateways
+	Shed    int   `json:"shed"`                  // calls that were not served
 	RSSKB   int   `json:"rss_kb,omitempty"`      // resident memory in kB at the end; only of the real engine
 	FDs     int   `json:"descriptors,omitempty"` // open file descriptors at the end; only of the real engine
 }
@@ -182,10 +185,10 @@
 // OverloadFailures counts the cold hosts that failed by overload.
 type OverloadFailures struct {
 	Hosts int `json:"hosts"`
-	Told  int `json:"told"` // over two thirds of the overload came from gateways whose list had the start of the host: a violation
+	Told  int `json:"told"` // hosts for which over two thirds of the overload came from gateways whose list had the start of the host: a violation
 }
 
-// Requests counts the requests of clients that arrived in the measured period, by their end.
+// Requests counts the requests of clients that arrived in the measured period, by their End.
 type Requests struct {
 	Sent       int     `json:"sent"`
 	Served     int     `json:"served"` // answered within the latency target
@@ -194,41 +197,42 @@
 	Failed     int     `json:"failed"`
 	Lost       int     `json:"lost"`
 	NoGateway  int     `json:"no_gateway"`
-	ServedPart float64 `json:"served_share"` // Served as a share of the requests that reached a live gateway
+	ServedPart float64 `json:"served_share"` // Served as a share of Sent less Lost and NoGateway: the requests that reached a live gateway
 	P50MS      float64 `json:"p50_ms"`
 	P99MS      float64 `json:"p99_ms"`
 }
 
-// Spread holds how evenly requests were distributed over the hosts in the measured period.
+// Spread holds how evenly attempts were distributed over the hosts in the measured period.
 type Spread struct {
-	Min        int     `json:"min"`
-	Mean       float64 `json:"mean"`
-	MaxMean    float64 `json:"max_over_mean"`
-	CV         float64 `json:"cv"`                // coefficient of variation of the requests per host
+	Min        int     `json:"min"`               // smallest number of attempts that reached a host
+	Mean       float64 `json:"mean"`              // mean number of attempts per host
+	MaxMean    float64 `json:"max_over_mean"`     // largest number of attempts that reached a host, over the mean
+	CV         float64 `json:"cv"`                // coefficient of variation of the attempts per host
 	Poisson    float64 `json:"cv_poisson"`        // coefficient of variation of a Poisson distribution with this mean
 	UnderFifth int     `json:"hosts_under_fifth"` // hosts with less than a fifth of the mean
 	UnderHalf  int     `json:"hosts_under_half"`  // hosts with less than half of the mean
-	Utilised   float64 `json:"cv_utilisation"`    // coefficient of variation of requests over Speed * Cores
+	Utilised   float64 `json:"cv_utilisation"`    // coefficient of variation of the attempts per host over Speed * Cores
 }
 
-// Herd holds the 100 ms in which the requests on the fullest host exceeded the median host most.
+// Herd compares the host with the most pending requests with the median host, in one sample per 100 ms. It
+// holds the sample in which that host was furthest above 2 * median + 2 requests.
 type Herd struct {
-	Windows int     `json:"windows"`      // number of bins that were sampled
-	Over    int     `json:"windows_over"` // bins in which some host held over 2 * median + 2 requests
-	Most    int     `json:"most"`
-	Median  int     `json:"median"`
-	AtS     float64 `json:"at_s"`
+	Windows int     `json:"windows"`      // number of samples
+	Over    int     `json:"windows_over"` // samples in which some host held over 2 * median + 2 requests
+	Most    int     `json:"most"`         // largest number of pending requests of a host in that sample
+	Median  int     `json:"median"`       // median number of pending requests of a host in that sample
+	AtS     float64 `json:"at_s"`         // time of that sample in seconds
 	worst   int     // excess of Most over 2 * Median + 2
 }
 
 // Series holds the figures over time, for plots.
 type Series struct {
-	BinMS           int     `json:"bin_ms"`    // width of a bin in milliseconds
-	Calls           [][]int `json:"calls"`     // by catalog and bin
-	NewConns        []int   `json:"new_conns"` // by bin
-	HostRequests    [][]int `json:"host_requests_a_second"`
-	ServedPerSecond []int   `json:"served_a_second"`
-	SentPerSecond   []int   `json:"sent_a_second"`
+	BinMS           int     `json:"bin_ms"`                 // width of a bin in milliseconds
+	Calls           [][]int `json:"calls"`                  // by catalog and bin
+	NewConns        []int   `json:"new_conns"`              // by bin
+	HostRequests    [][]int `json:"host_requests_a_second"` // attempts that reached a host, by host and second
+	ServedPerSecond []int   `json:"served_a_second"`        // served requests, by second of arrival
+	SentPerSecond   []int   `json:"sent_a_second"`          // requests, by second of arrival
 }
 
 // Result computes the figures at the end of a run.
@@ -308,7 +312,8 @@
 	return out
 }
 
-// measureSpread measures how even the counts are. It does not set Utilised.
+// measureSpread measures how even the counts of the hosts are. It does not set Utilised, and sets only
+// UnderFifth and UnderHalf if all counts are 0.
 func measureSpread(counts []float64) Spread {
 	n, sum := float64(len(counts)), 0.0
 	for _, c := range counts {
--- a/internal/fleetlab/scenario.go
+++ b/internal/fleetlab/scenario.go
@@ -31,7 +31,8 @@
 func (d Duration) std() time.Duration { return time.Duration(d) }
 
 // Scenario is one experiment: a fleet, its load and a timeline of faults. Defaults returns the values
-// of the keys that a file omits. docs/fleetlab.md describes every key.
+// of the keys that a file omits, except those of hosts and classes, which Parse sets. docs/fleetlab.md
+// describes every key.
 type Scenario struct {
 	Name        string      `toml:"name"`
 	Seed        uint64      `toml:"seed"`
@@ -69,14 +70,14 @@
 	Cold  bool    `toml:"cold"`  // the hosts start when the run starts; otherwise they are warm
 }
 
-// Rules are the limits that every host enforces. The settings of the gateways state those on slow start
-// and connections.
+// Rules are the limits of every host. The settings of the gateways state those on slow start, idle connections
+// and the dial timeout.
 type Rules struct {
 	QueueLimit     int      `toml:"queue"`           // maximum number of requests that a host holds, running or waiting; it rejects more
 	MaxConns       int      `toml:"conn_cap"`        // maximum number of open connections of a host
 	ConnCost       Duration `toml:"conn_cost"`       // work of a new connection at speed 1
-	ConnIdle       Duration `toml:"conn_idle"`       // a host closes a connection that is idle for this long
-	DialTimeout    Duration `toml:"dial_timeout"`    // a gateway abandons a connection attempt after this time
+	ConnIdle       Duration `toml:"conn_idle"`       // a host may close a connection that is idle for this long; gateways close it after half of that
+	DialTimeout    Duration `toml:"dial_timeout"`    // a gateway gives up opening a connection after this time
 	ColdCapacity   float64  `toml:"cold_from"`       // share of its full capacity that a host has when it starts
 	WarmAfter      Duration `toml:"warm_after"`      // time from the start of a host until its capacity, which rises linearly, is full
 	OverloadFactor float64  `toml:"overload_factor"` // multiple of its present capacity at which a cold host fails
@@ -138,8 +139,8 @@
 	HostShare    float64  `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
 	Factor       float64  `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
 	Delay        Duration `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
-	Steps        int      `toml:"steps"`  // the targets are struck in this many groups, one after another
-	StepInterval Duration `toml:"step"`   // time between two groups
+	Steps        int      `toml:"steps"`  // the fault starts for the targets in this many groups, one after another; 0: 1
+	StepInterval Duration `toml:"step"`   // time between the groups of two steps
 }
 
 // faultActions lists the actions on each target.
@@ -174,8 +175,8 @@
 	}
 }
 
-// LoadScenario reads and validates a scenario file. The text of an error has one line, which names the
-// line in the file.
+// LoadScenario reads and validates a scenario file. An error in the content has one line of text, which
+// gives the path and the line in the file.
 func LoadScenario(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -324,7 +325,8 @@
 	return false
 }
 
-// keyPrefix returns what stands before a key of a table in an error.
+// keyPrefix returns the prefix of a key of a table in an error: the table's name and a dot, or "" for the
+// top level.
 func keyPrefix(table string) string {
 	if table == "" {
 		return ""
@@ -332,8 +334,8 @@
 	return table + "."
 }
 
-// lineOf returns the line number of a key in the table of that name and index. If the key is missing it
-// returns the line of the table's header, or 1 without such a table.
+// lineOf returns the line number of a key in the table of a name and an index among the tables of that name.
+// If the key is missing it returns the line of the table's header, or 1 without such a table.
 func lineOf(text []byte, table string, index int, key string) int {
 	current, tableCount, line := "", map[string]int{}, 1
 	for i, l := range strings.Split(string(text), "\n") {
--- a/internal/fleetlab/standin.go
+++ b/internal/fleetlab/standin.go
@@ -27,7 +27,7 @@
 	timer    *time.Timer      // fires at the next completion of the model
 }
 
-// newLoopbackHost returns a host that listens.
+// newLoopbackHost returns a host that listens at an address.
 func newLoopbackHost(run *realRun, model *Host, addr string) (*loopbackHost, error) {
 	host := &loopbackHost{run: run, model: model, addr: addr, conns: map[net.Conn]int{}}
 	host.timer = time.AfterFunc(time.Hour, host.advance)
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// listenAndServe accepts connections at an address and serves each in a goroutine. The address may have
-// been in use just before, so that its port is still held by closed connections.
+// listenAndServe accepts connections at an address and serves each in a goroutine, until the listener is
+// closed. The address may have been in use just before, so that its port is still held by closed connections.
 func listenAndServe(addr string, serve func(net.Conn)) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
@@ -69,7 +69,7 @@
 }
 
 // update applies a change to the model. If down is set it resets all connections and refuses new ones
-// until the next call of listen.
+// until the next call of listen. It also resets all connections if the model is Dead after the change.
 func (h *loopbackHost) update(change func(h *Host), down bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,14 +87,15 @@
 	}
 }
 
-// advance advances the model to the present time.
+// advance advances the model to the present time, schedules the answers of the jobs whose work is complete
+// and sets the timer to the next completion.
 func (h *loopbackHost) advance() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.advanceLocked()
 }
 
-// advanceLocked is advance for callers that hold s.mu.
+// advanceLocked does what advance does, for callers that hold h.mu.
 func (h *loopbackHost) advanceLocked() {
 	now := h.run.now()
 	for _, j := range h.model.Advance(now) {
@@ -160,7 +161,9 @@
 	}
 }
 
-// handleRequest answers a request and reports whether the connection stays open.
+// handleRequest answers a request and reports whether the connection stays open. first says that it is the
+// first request on the connection, accepted that the model accepted the connection. ended is closed when the
+// connection can no longer be read.
 func (h *loopbackHost) handleRequest(conn net.Conn, request *http.Request, first, accepted bool, ended <-chan struct{}) bool {
 	if !accepted {
 		writeResponse(conn, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", "")
@@ -228,7 +231,7 @@
 	return err == nil
 }
 
-// close stops the host.
+// close stops the host and resets its connections.
 func (h *loopbackHost) close() {
 	h.update(func(h *Host) { h.Kill() }, true)
 	h.timer.Stop()
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -258,7 +258,7 @@
 	}
 	g.watch = nil
 	g.catalogIndex++
-	if watch.retryAfter > 0 { // the real gateway backs off for this time too
+	if watch.retryAfter > 0 { // the real gateway computes its backoff in the same way
 		maxBackoff := g.world.scenario.Catalog.MaxWatchGap.std()
 		if g.listVersion > 0 {
 			maxBackoff = min(maxBackoff, bramblelock.MaxWatchBackoff)
