--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,7 +1,8 @@
 // Command fleetlab runs experiments on a fleet of gateways. It runs a scenario file with one of three
 // engines, which all report the same figures: virtual (in one process on a virtual clock), oracle (on
 // the virtual clock, with a dispatcher that knows the state of every host in place of the gateways) or
-// real (with real processes on loopback). See docs/fleetlab.md for its use.
+// real (with real processes on loopback). Besides, it measures real catalogs (command catalog) and runs
+// real processes under overlapping faults (command soak). See docs/fleetlab.md for its use.
 package main
 
 import (
@@ -25,7 +26,8 @@
 	root := &cobra.Command{Use: "fleetlab", Short: "Experiments on a fleet of gateways",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(checkCmd(), runCmd(), tableCmd(), compareCmd(), plotCmd(), catalogCmd(), soakCmd())
-	// On an interrupt a run stops gracefully: all processes that it started have exited when it returns.
+	// On an interrupt, a run of the engine real or of soak stops gracefully: all processes that it started
+	// have exited when it returns. The other commands, catalog among them, ignore the context.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root.ExecuteContext(ctx); err != nil {
@@ -165,11 +167,11 @@
 				return err
 			}
 			defer os.RemoveAll(dataDir)
-			figures, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
+			result, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
 			if err != nil {
 				return err
 			}
-			text, err := json.MarshalIndent(figures, "", "  ")
+			text, err := json.MarshalIndent(result, "", "  ")
 			if err != nil {
 				return err
 			}
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// abandon ends an attempt on the gateway's side, unless it has ended. Its connection is closed, and its work
-// stops when the close reaches the host.
+// abandon ends an attempt on the gateway's side, at its deadline or on a Cancel action, unless it has ended.
+// Its connection is closed, and the host stops its work on the attempt when the close arrives.
 func (g *gateway) abandon(a *attempt, result bramblelock.Result) {
 	if a.ended {
 		return
@@ -150,13 +150,14 @@
 	a.ended = true
 	a.closeConnection()
 	g.world.after(0, func() { // reported in an event of its own, not within the event that cancelled the attempt
-		if g.up && g.requests[a.request.id] == a.request {
+		if g.up && g.requests[a.request.id] == a.request { // the requests are cleared when the process ends
 			g.handle(func() { g.reportOutcome(a, result) })
 		}
 	})
 }
 
-// closeConnection closes the connection of an attempt. The host stops its work when the close arrives.
+// closeConnection closes the connection of an attempt. The host stops its work on the attempt when the
+// close arrives, which takes the one-way delay within a zone, whatever the zones of gateway and host.
 func (a *attempt) closeConnection() {
 	w, h := a.gateway.world, a.host
 	if p := a.gateway.pools[h.Index]; p != nil {
--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -19,7 +19,7 @@
 const (
 	maintenanceDir    = "maintenance" // in $TMPDIR
 	maintenancePrefix = "host-"       // keeps an id from forming a special name such as ".."
-	endedPrefix       = "back-"       // the maintenance of this host ended when the file was written: it is cold
+	endMarkPrefix     = "back-"       // end mark: maintenance of this host ended at the time that the file holds; it is cold since, that is in slow start
 
 	// While two processes overlap, each polls at this interval what the other has changed. An
 	// operator's call is answered after maintenancePropagationTime, within which the other process
@@ -36,7 +36,7 @@
 
 	mu            sync.Mutex // held from a change, or from reading the directory, until the loop has been notified
 	inMaintenance map[string]bool
-	endMarksRead  bool // the marks that were written before this process started have been read
+	endMarksRead  bool // the end marks that were there at the start of this process have been read
 }
 
 // NewMaintenanceStore returns a store in a subdirectory of tmp, the value of TMPDIR. The platform
@@ -74,42 +74,47 @@
 func (s *MaintenanceStore) maintenanceFile(id string) string {
 	return filepath.Join(s.dir, maintenancePrefix+url.QueryEscape(id))
 }
-func (s *MaintenanceStore) endedFile(id string) string {
-	return filepath.Join(s.dir, endedPrefix+url.QueryEscape(id))
+func (s *MaintenanceStore) endMarkFile(id string) string {
+	return filepath.Join(s.dir, endMarkPrefix+url.QueryEscape(id))
 }
 
-// persistStart stores that a host is in maintenance. If it fails, that is not stored.
+// persistStart stores that a host is in maintenance and removes its end mark. If it fails, that is not
+// stored, as far as write can ensure it.
 func (s *MaintenanceStore) persistStart(id string) error {
 	if err := s.write(s.maintenanceFile(id), ""); err != nil {
 		return err
 	}
-	if err := s.remove(s.endedFile(id)); err != nil {
-		// While the host is in maintenance, the mark has no effect but that the host is cold
+	if err := s.remove(s.endMarkFile(id)); err != nil {
+		// While the host is in maintenance, the end mark has no effect but that the host is cold
 		// afterwards.
 		slog.Warn("failed to remove the mark of an earlier end of maintenance", "host", id, "err", err)
 	}
 	return nil
 }
 
-// persistEnd stores that the maintenance of a host has ended, and when. If it fails, nothing has
-// changed.
+// persistEnd stores that the maintenance of a host has ended, and when. If it fails, it restores what
+// was stored, as well as it can: the restored file is not synced, and a failure to restore is logged.
 func (s *MaintenanceStore) persistEnd(id string) error {
-	if s.inMaintenance[id] { // otherwise the host is in use: a repeated call does not make it cold again
-		if err := s.write(s.endedFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
+	// No end mark is written for a host that is not in maintenance as far as this process knows, so
+	// that a repeated call does not make it cold again. That is also so if another process has put it
+	// into maintenance and this one has not polled yet.
+	if s.inMaintenance[id] {
+		if err := s.write(s.endMarkFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
 			return err
 		}
 	}
 	err := s.remove(s.maintenanceFile(id))
 	if err != nil && s.inMaintenance[id] {
-		s.removeFailed(s.endedFile(id))
-		if err := os.WriteFile(s.maintenanceFile(id), nil, 0o600); err != nil { // the file may have been removed and the removal not synced
+		s.removeFailed(s.endMarkFile(id))
+		if err := os.WriteFile(s.maintenanceFile(id), nil, 0o600); err != nil { // remove may have removed the file and then failed to sync the directory
 			slog.Error("failed to restore the maintenance of a host after an error", "host", id, "err", err)
 		}
 	}
 	return err
 }
 
-// write creates a file that survives a loss of power. If it fails, there is no file.
+// write creates or replaces a file so that it survives a loss of power. If it fails, it removes the
+// file; a failure of that is logged.
 func (s *MaintenanceStore) write(path, text string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -154,8 +159,9 @@
 	}
 }
 
-// sinceBoot returns the time since the machine started, which does not change when the wall clock
-// is stepped and is the same for all processes. It returns 0 if the time cannot be read.
+// sinceBoot returns the time since the machine started. End marks hold it in place of a wall-clock time,
+// because it does not change when the wall clock is stepped, and it is the same for all processes. It
+// returns 0 if the time cannot be read.
 func sinceBoot() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
@@ -175,8 +181,8 @@
 	loop.setMaintenance(id, on)
 }
 
-// Refresh reads the directory and notifies the loop of what has changed. The first call also reports
-// to the loop when earlier maintenance of hosts ended.
+// Refresh reads the directory and notifies the loop of what has changed. The first call that reads it
+// also reports to the loop, from the end marks, when earlier maintenance of hosts ended.
 func (s *MaintenanceStore) Refresh(loop *Loop) error {
 	if s.dir == "" {
 		return nil
@@ -195,7 +201,7 @@
 		case err != nil:
 		case kind+"-" == maintenancePrefix:
 			onDisk[id] = true
-		case kind+"-" == endedPrefix && !s.endMarksRead:
+		case kind+"-" == endMarkPrefix && !s.endMarksRead:
 			if info, err := e.Info(); err == nil {
 				loop.maintenanceEnded(id, maintenanceEndedAt(filepath.Join(s.dir, e.Name()), info))
 			}
@@ -215,8 +221,8 @@
 	return nil
 }
 
-// maintenanceEndedAt returns when the mark for the end of a maintenance was written. The mark holds
-// that time as the time since boot. If it cannot be read, or is later than the present time since boot,
+// maintenanceEndedAt returns when the end mark at path was written. The mark holds that time as
+// nanoseconds since boot. If it cannot be read, or is later than the present time since boot,
 // the modification time of the file is used.
 func maintenanceEndedAt(path string, mark fs.FileInfo) time.Time {
 	now := time.Now()
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	maintenanceFile, endedFile := maintenancePrefix+"s-out", endedPrefix+"s-out"
+	maintenanceFile, endedFile := maintenancePrefix+"s-out", endMarkPrefix+"s-out"
 
 	clear(maintenanceFile)
 	block(maintenanceFile) // ending the maintenance cannot remove this
@@ -70,7 +70,7 @@
 	}
 	clear(maintenancePrefix + "s-new")
 
-	block(endedPrefix + "s-other") // the earlier mark cannot be removed: the maintenance is stored all the same
+	block(endMarkPrefix + "s-other") // the earlier mark cannot be removed: the maintenance is stored all the same
 	err = store.Set(g.loop, "s-other", true)
 	if stored := persistedMaintenance(t, g.loop, tmp)["s-other"]; stored != (err == nil) || store.inMaintenance["s-other"] != stored {
 		t.Errorf("the call returns %v, the maintenance is stored: %t, and in force: %t", err, stored, store.inMaintenance["s-other"])
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 	}
-	mark := filepath.Join(tmp, maintenanceDir, endedPrefix+"s-1")
+	mark := filepath.Join(tmp, maintenanceDir, endMarkPrefix+"s-1")
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		written := time.Now().Add(-step) // by the clock as it was before the step
 		if err := os.Chtimes(mark, written, written); err != nil {
--- a/internal/gateway/bulk.go
+++ b/internal/gateway/bulk.go
@@ -82,8 +82,9 @@
 	errClientGone  = errors.New("gateway: the client takes no more")
 )
 
-// clientBody reads the body of a request and enforces the rate at which its client must send it. It
-// can be stopped by another goroutine, as one reads it for a host while another answers the client.
+// clientBody reads the body of a request and enforces the rate at which its client must send it. An
+// attempt may still be reading it for a host when another goroutine answers the client; that goroutine
+// then calls stop.
 type clientBody struct {
 	body       io.Reader
 	rc         *http.ResponseController
@@ -93,8 +94,8 @@
 	received   int64
 
 	mu      sync.Mutex
-	stopped bool
-	ended   bool
+	stopped bool // stop was called: the gateway reads no more
+	ended   bool // the end of the body was read
 }
 
 // Read reads the body as an io.Reader does. A call after stop fails with errReadStopped. A call fails
@@ -132,7 +133,9 @@
 	return max(requestTimeout, bodyRateSlack+time.Duration(float64(b.received)/minBodyRate*float64(time.Second)))
 }
 
-// stop ends reading, also a read in progress. It returns whether the body was read whole.
+// stop makes later reads fail, and also a read in progress, by a deadline that has passed; it does not
+// wait for that read to return. It returns whether the body was read whole. In that case it sets no
+// deadline, which would apply to the next request.
 func (b *clientBody) stop() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -29,16 +29,16 @@
 
 	Cores    float64 // limit on CPU cores; 0 if there is none
 	MemoryMB int     // limit on memory in MiB; 0 if there is none
-	Sockets  int     // limit on the file descriptors of the process
+	Sockets  int     // limit on the file descriptors of the process, not of sockets alone
 
-	Known MemberList // list of hosts that this gateway had last, from which it starts
+	Known MemberList // list of hosts that this gateway had last, as the file states it; used from the start until another list replaces it
 
 	// Membership among gateways is off while Bind is empty.
 	Membership Membership
 	Rules
 	rawSettings json.RawMessage // settings object of the file, with which Reload compares that of the new file
 
-	// The index that the module uses for each name in lists of hosts. The loop adds names that are not
+	// The index that the decision module uses for each name in lists of hosts. The loop adds names that are not
 	// in the settings.
 	Zones map[string]int
 	Kinds map[string]int
@@ -48,8 +48,8 @@
 }
 
 // Rules is the part of the configuration that applies to requests and can change at SIGHUP: the
-// module's settings, and the index that the module uses for each name of a class or tenant. It is
-// replaced as a whole.
+// decision module's settings, and the index that the decision module uses for each name of a class or
+// tenant. It is replaced as a whole.
 type Rules struct {
 	Settings bramblelock.Settings
 	Classes  map[string]int
@@ -103,7 +103,7 @@
 	Tenants []namedEntry
 	Zones   []string `json:"azs"`
 	Kinds   []string
-	Caps    struct {
+	Caps    struct { // of the capabilities and limits in "caps", those that the gateway uses itself
 		ConnIdle    float64 `json:"conn_idle"`    // microseconds
 		DialTimeout float64 `json:"dial_timeout"` // microseconds
 	}
@@ -112,7 +112,8 @@
 type namedEntry struct{ Name string }
 
 // Load reads the configuration from the file that GW_CONFIG names. The other GW_ variables override
-// the file. An error is one line that names the invalid field.
+// the file. An address to listen at is required even if GW_ACCEPT_FD is set. An error is one line that
+// names the invalid field.
 func Load(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
@@ -263,7 +264,9 @@
 	return nil
 }
 
-// config validates the contents of the file and converts them. It fills in defaults.
+// config validates the contents of the file and converts them. It fills in the defaults of Sockets,
+// ConnIdle and DialTimeout. Settings that are 0 for their default stay 0; their users fill them in.
+// listen is required whether or not GW_ACCEPT_FD is set, which config does not see.
 func (f *fileConfig) config() (*Config, error) {
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Membership: f.Membership,
@@ -307,7 +310,7 @@
 	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	if _, err := bramblelock.New(c.Settings, c.Seed); err != nil {
+	if _, err := bramblelock.New(c.Settings, c.Seed); err != nil { // called only to validate the settings
 		return nil, err // the error names the field
 	}
 	c.rawSettings = f.Settings
@@ -341,7 +344,7 @@
 	return c, err
 }
 
-// indexNames numbers names in the order of the settings, as the module does.
+// indexNames numbers names in the order of the settings, as the decision module does.
 func indexNames(field string, list []string) (map[string]int, error) {
 	m := make(map[string]int, len(list))
 	for i, name := range list {
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// minEvictionAge is how long a connection may go without a whole request before it can be
-	// closed to make room: a client that means to send one has done so by then, and a peer that
-	// sends nothing, or never the end of a head or body, must not keep others waiting.
+	// minEvictionAge is how long a connection must have been in its state before it can be closed to
+	// make room while it lacks a whole head or body: a client that means to send a request has done
+	// so by then, and a peer that sends nothing, or never the end of a head or body, must not keep
+	// others waiting. An idle connection can be closed at any age.
 	minEvictionAge = 500 * time.Millisecond
 	// evictionInterval is the time between two evictions while all slots are taken.
 	evictionInterval = 20 * time.Millisecond
@@ -31,13 +32,15 @@
 
 const (
 	notEvictable     evictionClass = iota // a request is being served, or has had less than minEvictionAge to arrive
-	evictIdle                             // the connection has had an answer and no request since
-	evictWithoutHead                      // no whole head has arrived for minEvictionAge
-	evictWithoutBody                      // the body of its request has not arrived whole for minEvictionAge
+	evictIdle                             // the connection has had an answer and no whole head since, for any time
+	evictWithoutHead                      // new for minEvictionAge, and no whole head has arrived
+	evictWithoutBody                      // its body has been read for minEvictionAge and has not arrived whole
 )
 
 // evictionClass returns the class of a connection by the state that net/http reports, which may be
-// behind what has been read.
+// behind what has been read: net/http reports a connection as new or idle until the head of its next
+// request is complete. So a connection that is kept alive has the class evictIdle even while part of
+// a head has arrived. closeIfIdle then does not close it, and only the deadline of that head ends it.
 func (cs connState) evictionClass() evictionClass {
 	young := time.Since(cs.since) < minEvictionAge
 	switch {
@@ -177,10 +180,11 @@
 	s.evictLocked()
 }
 
-// evictLocked closes the connection that has been idle for longest or, if none is idle, one that has
-// sent no whole request for minEvictionAge. The caller holds s.mu. Each connection is looked at once
-// only: many may be idle by net/http's state with part of a request received, and none of those can
-// be closed.
+// evictLocked closes the connection that has been idle for longest or, if no idle one can be closed,
+// one that has sent no whole request for minEvictionAge. The caller holds s.mu. The candidates are
+// sorted once and each is checked once, in place of a new search after each one that cannot be
+// closed: many may be idle by net/http's state with part of a request received, and none of those
+// can be closed.
 func (s *Server) evictLocked() {
 	s.evictionCandidates = s.evictionCandidates[:0]
 	for c, cs := range s.conns {
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -176,7 +176,7 @@
 // That happens after the process was stalled: a change counts as notified from when it was written.
 func (d *Discovery) UpdateOverdue() bool {
 	c := d.currentConn()
-	return c != nil && c.updateOverdue()
+	return c != nil && c.hasOverdueUpdate()
 }
 
 // Watch requests a watch. The request has an effect only if watches begin on demand.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -250,8 +250,10 @@
 	return known
 }
 
-// setMaintenance puts a host into maintenance or ends its maintenance. Attempts that wait for a
-// connection to a host in maintenance are not sent.
+// setMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
+// so the change is in force only after a later Sync, not on return. Attempts that wait for a connection
+// to a host in maintenance are not sent: Pool.permit stops them before their first byte. The id is
+// stored even if the host is not listed, as it may be listed later.
 func (l *Loop) setMaintenance(id string, on bool) {
 	l.post(func(now bramblelock.Time) {
 		if on {
@@ -259,7 +261,7 @@
 		} else {
 			delete(l.inMaintenance, id)
 		}
-		if h := l.hosts[hostID(id)]; h != nil && h.id == id {
+		if h := l.hosts[hostID(id)]; h != nil && h.id == id { // the hash of another id may be the same
 			l.pool.setMaintenance(h, on)
 		}
 		l.balancer.SetMaintenance(now, hostID(id), on)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -18,9 +18,14 @@
 // Shares of the descriptor limit in percent. The rest is left for the listener, discovery and
 // the descriptors of the runtime.
 const (
-	clientConnBudgetPercent = 55 // above this, connections without a request are closed
-	maxClientConnPercent    = 60 // hard limit on the connections of clients
-	maxHostConnPercent      = 35 // hard limit on the connections to hosts
+	// Above clientConnBudgetPercent, connections are still accepted, but each change of state of one
+	// evicts a connection, idle or without a whole request for minEvictionAge, if there is one, and
+	// every answer closes its connection.
+	clientConnBudgetPercent = 55
+	// At maxClientConnPercent, no connection is accepted until a slot is free. While all slots are
+	// taken, a connection is evicted every evictionInterval, if one can be.
+	maxClientConnPercent = 60
+	maxHostConnPercent   = 35 // hard limit on the connections to hosts
 )
 
 const (
@@ -45,7 +50,7 @@
 	cfg        *Config
 	loop       *Loop
 	http       http.Server
-	connBudget int // number of client connections above which idle ones are closed
+	connBudget int // number of client connections above which some are evicted; see clientConnBudgetPercent
 
 	rejectLog rateLimitedLog
 
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// watchConn is a connection to discovery that knows whether the data that arrived on it is in force,
-// which means that the loop has handled the lists in it. The caller of Read must have passed all whole
-// lists that it read to the loop before it calls Read again.
+// watchConn is a connection to discovery that knows whether the lists that arrived on it have been
+// applied by the loop. Data is delayed if it was unread for stallThreshold or longer, so that the
+// process must have been stalled. The caller of Read must have passed all whole lists that it read to
+// the loop before it calls Read again.
 type watchConn struct {
 	net.Conn
 	raw        syscall.RawConn // of Conn; nil if there is no socket, as in some tests
 	reader     connReader
-	checkDelay func(fd uintptr) // argument of raw.Control in updateOverdue; sets unreadDelayed
-	syncLists  func()           // returns once everything that was passed to the loop is in force
+	checkDelay func(fd uintptr) // argument of raw.Control in hasOverdueUpdate; sets unreadDelayed
+	syncLists  func()           // returns once the loop has applied everything that was passed to it
 
 	mu            sync.Mutex
-	delayedReads  int       // reads of data that had been unread for stallThreshold
-	appliedReads  int       // all data of the first appliedReads delayed reads is in force
+	delayedReads  int       // reads of delayed data
+	appliedReads  int       // the loop has applied the whole lists of the first appliedReads delayed reads; a list that was still incomplete when the data ran out may not be applied yet
 	lastReadAt    time.Time // when data was last read
 	closed        bool
 	unreadDelayed bool // result of checkDelay
@@ -29,7 +30,7 @@
 
 func newWatchConn(c net.Conn, syncLists func()) *watchConn {
 	w := &watchConn{Conn: c, raw: rawConn(c), syncLists: syncLists}
-	w.reader.init(w.raw, w.readNow)
+	w.reader.init(w.raw, w.readAvailable)
 	w.checkDelay = func(fd uintptr) { w.unreadDelayed = hasDelayedData(int(fd)) }
 	return w
 }
@@ -52,9 +53,10 @@
 	return n, nil
 }
 
-// readNow reads the available data and checks how long it has been unread. It holds c.mu for both, so
-// that updateOverdue sees the data either as unread or as counted in delayedReads.
-func (c *watchConn) readNow(fd int, p []byte, _ *time.Time) (n int, done bool, err error) {
+// readAvailable reads the available data and checks how long it has been unread. It holds c.mu for both,
+// so that hasOverdueUpdate sees the data either as unread or as counted in delayedReads. It returns
+// false for done if there is no data. It does not use its last parameter, which connReader passes.
+func (c *watchConn) readAvailable(fd int, p []byte, _ *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delayed := hasDelayedData(fd)
@@ -72,8 +74,8 @@
 	return n, true, err
 }
 
-// noteListsPassed is called when all lists read so far have been passed to the loop. It waits in a
-// goroutine until the loop has handled them and then sets appliedReads. The caller holds c.mu.
+// noteListsPassed is called when all whole lists read so far have been passed to the loop. It waits in
+// a goroutine until the loop has applied them and then sets appliedReads. The caller holds c.mu.
 func (c *watchConn) noteListsPassed() {
 	if c.delayedReads == c.appliedReads {
 		return
@@ -87,7 +89,7 @@
 	}()
 }
 
-// Close closes the connection. Unread data on it is lost, so from then on updateOverdue returns false.
+// Close closes the connection. Unread data on it is lost, so from then on hasOverdueUpdate returns false.
 func (c *watchConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -95,9 +97,9 @@
 	return c.Conn.Close()
 }
 
-// updateOverdue returns whether data that arrived stallThreshold ago or earlier is not in force
-// yet.
-func (c *watchConn) updateOverdue() bool {
+// hasOverdueUpdate returns whether there is delayed data that is unread, or was read and is not counted
+// in appliedReads yet.
+func (c *watchConn) hasOverdueUpdate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.raw == nil || c.closed {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -11,13 +11,14 @@
 
 const (
 	minRetryPause = time.Millisecond       // pause after the second failure in a row; the first is retried at once
-	maxRetryPause = 200 * time.Millisecond // maximum pause, to which the pause doubles with each further failure
+	maxRetryPause = 200 * time.Millisecond // longest pause: each further failure doubles the pause up to this
 	logInterval   = time.Second            // minimum time between two log lines about failures
 )
 
-// Retrying is a net.Listener whose Accept returns an error only once it has been closed. Linux
-// reports pending network errors of a new connection through accept, and a shortage of
-// descriptors, buffers or memory is temporary; neither means that the listening socket is broken.
+// Retrying is a net.Listener whose Accept returns an error only once it has been closed. On Linux,
+// accept also returns network errors that were already pending on the new connection, and a shortage
+// of descriptors, buffers or memory is temporary; neither means that the listening socket is broken.
+// A socket that is in fact broken is not told apart: Accept retries it until it is closed.
 // Failures are logged at most once per second. Accept is retried at once after a first failure, and
 // after a pause that grows from 1 to 200 ms while it keeps failing.
 type Retrying struct {
