--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -63,8 +63,8 @@
 // write its request at began and states statedTimeout to its host, does not come too late for the host
 // or the client, and does not state more time than the client will still wait. Notification means that
 // this process has applied the change by which the host takes no new requests, such as a drain, a
-// removal from the list or maintenance. Until the drain grace, in grace, has passed since then, an
-// attempt may still begin. The client waits for answerMargin beyond clientDeadline, so answerMargin is
+// removal from the list or maintenance. For the time grace, the drain grace, after that, an attempt may
+// still begin. The client waits for answerMargin beyond clientDeadline, so answerMargin is
 // added to the time that remains.
 func (a *Audit) checkSent(h *host, x *exchange, began time.Time, statedTimeout time.Duration, grace time.Duration) {
 	if unusableSince := h.unusableSince.Load(); unusableSince != nil && began.Sub(*unusableSince) > grace {
--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// persistEnd stores that the maintenance of a host has ended, and when. If it fails, it restores what
-// was stored, as well as it can: the restored file is not synced, and a failure to restore is logged.
+// persistEnd stores that the maintenance of a host has ended, and when. If it fails for a
+// host in maintenance, it restores what was stored, as well as it can: the restored file is not synced, and a failure to restore is logged.
 func (s *MaintenanceStore) persistEnd(id string) error {
 	// No end mark is written for a host that is not in maintenance as far as this process knows, so
 	// that a repeated call does not make it cold again. That is also so if another process has put it
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -266,7 +266,7 @@
 
 // config validates the contents of the file and converts them. It fills in the defaults of Sockets,
 // ConnIdle and DialTimeout. Settings that are 0 for their default stay 0; their users fill them in.
-// listen is required whether or not GW_ACCEPT_FD is set, which config does not see.
+// listen is required even if GW_ACCEPT_FD is set, which Load reads later.
 func (f *fileConfig) config() (*Config, error) {
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Membership: f.Membership,
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -251,7 +251,7 @@
 }
 
 // setMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
-// so the change is in force only after a later Sync, not on return. Attempts that wait for a connection
+// so the change is not in force on return, but once a later Sync has returned. Attempts that wait for a connection
 // to a host in maintenance are not sent: Pool.permit stops them before their first byte. The id is
 // stored even if the host is not listed, as it may be listed later.
 func (l *Loop) setMaintenance(id string, on bool) {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -18,9 +18,9 @@
 // Shares of the descriptor limit in percent. The rest is left for the listener, discovery and
 // the descriptors of the runtime.
 const (
-	// Above clientConnBudgetPercent, connections are still accepted, but each change of state of one
-	// evicts a connection, idle or without a whole request for minEvictionAge, if there is one, and
-	// every answer closes its connection.
+	// Above clientConnBudgetPercent, connections are still accepted, but each change of the state of a
+	// connection, except its end, evicts one, idle or without a whole request for minEvictionAge, if
+	// there is one, and every answer announces the close of its connection.
 	clientConnBudgetPercent = 55
 	// At maxClientConnPercent, no connection is accepted until a slot is free. While all slots are
 	// taken, a connection is evicted every evictionInterval, if one can be.
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -98,7 +98,7 @@
 }
 
 // hasOverdueUpdate returns whether there is delayed data that is unread, or was read and is not counted
-// in appliedReads yet.
+// in appliedReads yet. It returns false if the connection is closed or has no socket.
 func (c *watchConn) hasOverdueUpdate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
