--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -19,7 +19,7 @@
 const (
 	maintenanceDir    = "maintenance" // in $TMPDIR
 	maintenancePrefix = "host-"       // keeps an id from forming a special name such as ".."
-	endMarkPrefix     = "back-"       // end mark: maintenance of this host ended at the time that the file holds; it is cold since, that is in slow start
+	endMarkPrefix     = "back-"       // end mark: maintenance of this host ended at the time that the file holds; the host is cold (in slow start) from then on
 
 	// While two processes overlap, each polls at this interval what the other has changed. An
 	// operator's call is answered after maintenancePropagationTime, within which the other process
@@ -92,8 +92,9 @@
 	return nil
 }
 
-// persistEnd stores that the maintenance of a host has ended, and when. If it fails for a
-// host in maintenance, it restores what was stored, as well as it can: the restored file is not synced, and a failure to restore is logged.
+// persistEnd stores that the maintenance of a host has ended, and when. If it fails for a host
+// in maintenance, it restores what was stored, as well as it can: the restored file is not synced, and
+// a failure to restore is logged.
 func (s *MaintenanceStore) persistEnd(id string) error {
 	// No end mark is written for a host that is not in maintenance as far as this process knows, so
 	// that a repeated call does not make it cold again. That is also so if another process has put it
