--- a/cmd/dunemoor/inject_off.go
+++ b/cmd/gateway/inject_off.go
@@ -5,10 +5,10 @@
 import (
 	"net"
 
-	"lynxspool/internal/gateway"
+	"bramblelock/internal/gateway"
 )
 
-// injectFaults does nothing in a program that is not built to fail on purpose.
+// injectFaults does nothing in a build without the tag faultinject.
 func injectFaults(*gateway.Pool) func(net.Listener) net.Listener {
 	return func(ln net.Listener) net.Listener { return ln }
 }
--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"lynxspool/internal/admit"
+	"bramblelock/internal/admit"
 )
 
-// headerHaveList is set by a caller that asks for the whole list but still has an older one to work
-// with.
+// headerHaveList is set, to any value but "", by a caller that asks for the whole list but still has an
+// older one to work with.
 const headerHaveList = "X-Catalog-Have"
 
 // admissionController limits concurrent list calls (fetches of the list and openings of watches).
@@ -20,69 +20,69 @@
 // waiting callers.
 type admissionController struct {
 	opt   admit.Options
-	start time.Time
+	start time.Time // origin of the times passed to the gate
 
-	mu       sync.Mutex
-	gate     *admit.Gate
-	lastID   uint64
-	verdicts map[uint64]chan admit.Decision // by call id, for calls without a verdict
-	shed     int64                          // calls rejected since the start of the process
+	mu        sync.Mutex
+	gate      *admit.Gate
+	lastID    uint64
+	decisions map[uint64]chan admit.Decision // by call ID, for the calls without a decision
+	shed      int64                          // calls rejected since the start of the process
 }
 
 func newAdmissionController(opt admit.Options) *admissionController {
-	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), verdicts: map[uint64]chan admit.Decision{}}
+	return &admissionController{opt: opt, start: time.Now(), gate: admit.New(opt), decisions: map[uint64]chan admit.Decision{}}
 }
 
-// deliverVerdicts passes verdicts to the calls that wait for them. The caller holds a.mu.
-func (a *admissionController) deliverVerdicts(verdicts []admit.Decision) {
-	for _, v := range verdicts {
-		if !v.Admitted {
+// deliverDecisions passes decisions to the calls that wait for them. The caller holds a.mu.
+func (a *admissionController) deliverDecisions(decisions []admit.Decision) {
+	for _, d := range decisions {
+		if !d.Admitted {
 			a.shed++
 		}
-		a.verdicts[v.ID] <- v // never blocks: the channel has room for the single verdict of the call
-		delete(a.verdicts, v.ID)
+		a.decisions[d.ID] <- d // never blocks: the channel has room for the single decision of the call
+		delete(a.decisions, d.ID)
 	}
 }
 
 // acquire blocks until a call is admitted or rejected. For a rejected call it returns false and the
-// time after which to retry, which is 0 if ctx ended first. An admitted call must end with release.
+// retry delay, which is 0 if ctx ended first. An admitted call must end with release.
 func (a *admissionController) acquire(ctx context.Context, class admit.Class) (retryAfter time.Duration, ok bool) {
-	verdict := make(chan admit.Decision, 1)
+	decision := make(chan admit.Decision, 1)
 	a.mu.Lock()
 	a.lastID++
 	id := a.lastID
-	a.verdicts[id] = verdict
-	a.deliverVerdicts(a.gate.Arrive(time.Since(a.start), id, class))
+	a.decisions[id] = decision
+	a.deliverDecisions(a.gate.Arrive(time.Since(a.start), id, class))
 	a.mu.Unlock()
 	timer := time.NewTimer(a.opt.Wait)
 	defer timer.Stop()
 	for {
 		select {
-		case v := <-verdict:
-			return v.RetryAfter, v.Admitted
+		case d := <-decision:
+			return d.RetryAfter, d.Admitted
 		case <-timer.C:
 			a.mu.Lock()
-			a.deliverVerdicts(a.gate.Expire(time.Since(a.start)))
+			a.deliverDecisions(a.gate.Expire(time.Since(a.start)))
 			a.mu.Unlock()
 			timer.Reset(time.Millisecond) // retries if the timer fired slightly before the wait limit
 		case <-ctx.Done():
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			if a.gate.Cancel(id) {
-				delete(a.verdicts, id)
+				delete(a.decisions, id)
 				return 0, false
 			}
-			v := <-verdict // the verdict was delivered at the same time as the cancellation
-			return v.RetryAfter, v.Admitted
+			d := <-decision // the decision was delivered before the lock was taken
+			return d.RetryAfter, d.Admitted
 		}
 	}
 }
 
-// release ends an admitted call. admittedAt is when its work began.
+// release ends an admitted call. admittedAt is when the call was admitted.
 func (a *admissionController) release(admittedAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.deliverVerdicts(a.gate.Done(time.Since(a.start), time.Since(admittedAt)))
+	a.deliverDecisions(a.gate.Done(time.Since(a.start), time.Since(admittedAt)))
 }
 
 // counts returns the calls in flight, the waiting calls, and the calls rejected since the start of
@@ -90,10 +90,10 @@
 func (a *admissionController) counts() (inFlight, waiting int, shed int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Working(), a.gate.Waiting(), a.shed
+	return a.gate.InFlight(), a.gate.Waiting(), a.shed
 }
 
-// admissionClass returns the class in which a list call waits.
+// admissionClass returns the priority class of a list call for the versions after afterVersion.
 func (n *Node) admissionClass(r *http.Request, afterVersion uint64) admit.Class {
 	switch {
 	case afterVersion > 0 && n.store.CanResume(afterVersion):
@@ -104,8 +104,9 @@
 	return admit.NoList
 }
 
-// writeUnavailable answers 503 with a Retry-After header. If retryAfter is not positive, it is
-// drawn at random from 0.5 s to 1.5 s, so that callers rejected together do not retry together.
+// writeUnavailable answers 503 with a Retry-After header in seconds with three decimals. If
+// retryAfter is not positive, it is drawn at random from 0.5 s to 1.5 s, so that callers rejected
+// together do not retry together.
 func writeUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		retryAfter = time.Second/2 + rand.N(time.Second)
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const small = `name = "small"
+const smallScenario = `name = "small"
 length = "12s"
 [gateways]
 count = 30
@@ -23,8 +23,8 @@
 rate = 200
 `
 
-// everything has each kind of fault once.
-const everything = small + `
+// allFaultsScenario has a fault on each kind of target but members.
+const allFaultsScenario = smallScenario + `
 retries = 1
 [[fault]]
 at = "2s"
@@ -77,21 +77,21 @@
 }
 
 func TestSameSeedSameBytes(t *testing.T) {
-	s := parse(t, everything)
+	s := parse(t, allFaultsScenario)
 	a, _ := json.Marshal(Virtual(s))
 	b, _ := json.Marshal(Virtual(s))
 	if string(a) != string(b) {
-		t.Error("two plays of one seed differ")
+		t.Error("two runs of the same seed differ")
 	}
 	s.Seed++
 	if c, _ := json.Marshal(Virtual(s)); string(a) == string(c) {
-		t.Error("another seed gives the same play")
+		t.Error("another seed gives the same run")
 	}
 }
 
-// Every request that was drawn has one end, whatever fails, and the oracle is a ceiling.
+// Every request that was drawn ends exactly once under any fault, and the oracle serves no fewer than the fleet.
 func TestEveryRequestEndsOnce(t *testing.T) {
-	s := parse(t, everything)
+	s := parse(t, allFaultsScenario)
 	drawn := 0
 	for load := newArrivals(s); ; drawn++ {
 		if _, more := load.draw(); !more {
@@ -100,7 +100,7 @@
 	}
 	r, o := Virtual(s), Oracle(s)
 	if r.Requests.Sent != drawn || o.Requests.Sent != drawn {
-		t.Errorf("%d requests drawn, %d ended, %d at the oracle", drawn, r.Requests.Sent, o.Requests.Sent)
+		t.Errorf("%d requests drawn, %d ended, %d ended with the oracle", drawn, r.Requests.Sent, o.Requests.Sent)
 	}
 	if r.Requests.Served == 0 || r.Requests.Lost == 0 || o.Requests.Served < r.Requests.Served {
 		t.Errorf("gateways %+v, oracle %+v", r.Requests, o.Requests)
@@ -109,14 +109,14 @@
 
 func TestScenarioErrorsNameTheLine(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{small + "rats = 3\n", "line 14: unknown key \"load.rats\""},
-		{strings.Replace(small, "count = 30", "count = \"many\"", 1), "line 4: "},
-		{strings.Replace(small, "count = 30", "count = 0", 1), "line 4: gateways.count: 0 is not between"},
-		{strings.Replace(small, "length = \"12s\"", "length = \"twelve\"", 1), "line 2: "},
-		{strings.Replace(small, "cold = true", "speed = -1.0", 1), "line 11: hosts.speed: -1 is not above 0"},
-		{small + "[[fault]]\nat = \"1s\"\non = \"hosts\"\ndo = \"melt\"\n", "line 17: fault.do: \"melt\" is not one of kill"},
-		{small + "[[fault]]\nat = \"99s\"\non = \"hosts\"\ndo = \"kill\"\n", "line 15: fault.at: not within the length"},
-		{small + "[[fault\n", "line 14: "},
+		{smallScenario + "rats = 3\n", "line 14: unknown key \"load.rats\""},
+		{strings.Replace(smallScenario, "count = 30", "count = \"many\"", 1), "line 4: "},
+		{strings.Replace(smallScenario, "count = 30", "count = 0", 1), "line 4: gateways.count: 0 is not between"},
+		{strings.Replace(smallScenario, "length = \"12s\"", "length = \"twelve\"", 1), "line 2: "},
+		{strings.Replace(smallScenario, "cold = true", "speed = -1.0", 1), "line 11: hosts.speed: -1 is not above 0"},
+		{smallScenario + "[[fault]]\nat = \"1s\"\non = \"hosts\"\ndo = \"melt\"\n", "line 17: fault.do: \"melt\" is not one of kill"},
+		{smallScenario + "[[fault]]\nat = \"99s\"\non = \"hosts\"\ndo = \"kill\"\n", "line 15: fault.at: not within the length"},
+		{smallScenario + "[[fault\n", "line 14: "},
 		{"name = 'x'\nlength = '1s'\n[gateways]\ncount = 1\n", "hosts: there are none"},
 	} {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -137,51 +137,51 @@
 	}
 }
 
-// A cold host stands what the rules allow in any window and falls above it; a warm one
-// never falls; the share of those that had been told is kept.
-func TestHostFalls(t *testing.T) {
-	s := parse(t, small) // 10 ms of mean work, cold from 0.13, factor 3, over 2 s
-	push := func(h *Host, n int, told bool) {
+// A cold host accepts what the rules allow in any window and fails above that. A warm host never fails by
+// overload. The share of the overload that notified gateways sent is recorded.
+func TestHostFailsOnOverload(t *testing.T) {
+	scenario := parse(t, smallScenario) // mean work 10 ms, cold capacity 0.13, overload factor 3, window 2 s
+	send := func(h *Host, n int, notified bool) {
 		for range n {
-			h.Arrive(1, &Job{Work: 10 * time.Millisecond, Told: told})
+			h.Arrive(1, &Job{Work: 10 * time.Millisecond, Notified: notified})
 		}
 	}
-	cold, warm := NewHost(0, "c", &s.Hosts[1], s), NewHost(1, "w", &s.Hosts[0], s)
-	// 3 x 13 a second x 2 s = 78, and 2 x root(78) + 2 = 19.7 of slack.
-	push(cold, 97, true)
-	if cold.Fell {
-		t.Fatal("it fell within its budget")
+	cold, warm := NewHost(0, "c", &scenario.Hosts[1], scenario), NewHost(1, "w", &scenario.Hosts[0], scenario)
+	// The budget is 3 * 13 requests per second * 2 s = 78, plus an allowance of 2 * sqrt(78) + 2 = 19.7.
+	send(cold, 97, true)
+	if cold.Overloaded {
+		t.Fatal("the cold host failed within its budget")
 	}
-	push(cold, 1, false)
-	if !cold.Fell || cold.FellBy < 0.98 || cold.Cond != Dead {
-		t.Errorf("over its budget: fell %v, by the told %v", cold.Fell, cold.FellBy)
+	send(cold, 1, false)
+	if !cold.Overloaded || cold.NotifiedShare < 0.98 || cold.Condition != Dead {
+		t.Errorf("over its budget: failed %v, share of notified gateways %v", cold.Overloaded, cold.NotifiedShare)
 	}
-	if push(warm, 5000, true); warm.Fell {
-		t.Error("a warm host fell")
+	if send(warm, 5000, true); warm.Overloaded {
+		t.Error("the warm host failed by overload")
 	}
 }
 
-// One core at half speed does 50 requests of 10 ms a second, in turn; what is called off
-// takes no more of it, and over the queue they are turned away.
-func TestHostWorksInTurn(t *testing.T) {
-	s := parse(t, small)
+// One core at half speed serves 50 requests of 10 ms per second, one after another. A cancelled request
+// takes no further time of the core, and requests over the queue limit are rejected.
+func TestHostServesOneAfterAnother(t *testing.T) {
+	s := parse(t, smallScenario)
 	s.Hosts[0].Speed = 0.5
 	h := NewHost(0, "h", &s.Hosts[0], s)
 	var jobs []*Job
-	for range s.Rules.Queue + 1 {
+	for range s.Rules.QueueLimit + 1 {
 		j := &Job{Work: 10 * time.Millisecond}
 		jobs = append(jobs, j)
-		if v := h.Arrive(0, j); (v == TurnAway) != (len(jobs) > s.Rules.Queue) {
+		if v := h.Arrive(0, j); (v == Rejected) != (len(jobs) > s.Rules.QueueLimit) {
 			t.Fatalf("request %d: verdict %d", len(jobs), v)
 		}
 	}
 	for _, j := range jobs[1:31] {
 		h.Cancel(0, j)
 	}
-	if done := len(h.Advance(time.Second / 2)); done != 24 { // 25 x 20 ms, and a nanosecond each
-		t.Errorf("%d done in half a second", done)
+	if done := len(h.Advance(time.Second / 2)); done != 24 { // 25 * 20 ms, but each takes a nanosecond more
+		t.Errorf("%d requests completed in half a second, want 24", done)
 	}
 	if !h.Release(jobs[0]) || h.Release(jobs[1]) {
-		t.Error("a job was released though called off, or not though done")
+		t.Error("Release succeeded for a cancelled job, or failed for a completed one")
 	}
 }
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -12,65 +12,68 @@
 	"syscall"
 	"time"
 
-	"lynxspool/internal/faultnet"
+	"bramblelock/internal/faultnet"
 )
 
-// realGateway is one dunemoor process, with the front's calls for its health.
+// realGateway is a gateway process, with the health checks of the edge balancer.
 type realGateway struct {
-	p          *realPlay
-	rank       int
-	configured int
-	addr       string
-	config     string // path of its configuration
-	saved      bool
+	run          *realRun
+	rank         int
+	configured   int // number of gateways that its settings state
+	addr         string
+	configPath   string
+	hasSavedList bool // its configuration holds a saved host list
 
-	mu    sync.Mutex
-	proc  *faultnet.Proc
-	gen   int
-	ready bool
+	mu         sync.Mutex
+	proc       *faultnet.Proc // nil: it does not run
+	generation int            // raised at each start and exit of the process
+	ready      bool           // the present process has reported that it is ready
 }
 
-// configure writes its configuration file; saved gives it the list as it is now.
-func (g *realGateway) configure(saved bool) error {
-	g.saved = saved
-	return g.write()
+// configure writes the configuration file. If hasSavedList is set, this file and later versions of it hold
+// the host list as it is when they are written.
+func (g *realGateway) configure(hasSavedList bool) error {
+	g.hasSavedList = hasSavedList
+	return g.writeConfig()
 }
 
-func (g *realGateway) write() error {
-	type obj map[string]any
-	p := g.p
+// writeConfig writes the configuration file.
+func (g *realGateway) writeConfig() error {
+	type object map[string]any
+	run := g.run
 	var addrs []string
-	for i := range p.catalogs { // each begins at another instance
-		addrs = append(addrs, p.catalogs[(g.rank+i)%len(p.catalogs)].link.Addr)
+	for i := range run.catalogs { // the gateways start with different instances
+		addrs = append(addrs, run.catalogs[(g.rank+i)%len(run.catalogs)].link.Addr)
 	}
-	known := obj{"version": 0, "full": true, "servers": []obj{}}
-	if g.saved {
-		var servers []obj
-		for _, st := range p.hosts {
-			servers = append(servers, p.entry(st))
+	known := object{"version": 0, "full": true, "servers": []object{}}
+	if g.hasSavedList {
+		var hosts []object
+		for _, host := range run.hosts {
+			hosts = append(hosts, run.listEntry(host))
 		}
-		known = obj{"version": 1, "full": true, "servers": servers}
+		known = object{"version": 1, "full": true, "servers": hosts}
 	}
-	cfg := obj{"name": fmt.Sprintf("g%04d", g.rank), "listen": g.addr, "discovery": strings.Join(addrs, ","),
-		"seed":   fmt.Sprintf("%x", p.s.Seed*1_000_003+uint64(g.rank)+1),
-		"limits": obj{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": p.s.SettingsJSON(g.rank, g.configured)}
-	if p.s.Gateways.Membership {
+	config := object{"name": fmt.Sprintf("g%04d", g.rank), "listen": g.addr, "discovery": strings.Join(addrs, ","),
+		"seed":   fmt.Sprintf("%x", run.scenario.Seed*1_000_003+uint64(g.rank)+1),
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": known,
+		"settings": run.scenario.SettingsJSON(g.rank, g.configured)}
+	if run.scenario.Gateways.Membership {
 		var peers []string
-		for i, here := range p.s.Present() {
-			if here && len(peers) < 3 {
-				peers = append(peers, p.gateways[i].memberAddr())
+		for i, present := range run.scenario.PresentRanks() {
+			if present && len(peers) < 3 {
+				peers = append(peers, run.gateways[i].memberAddr())
 			}
 		}
-		cfg["membership"] = obj{"bind": g.memberAddr(), "peers": peers, "local": true}
+		config["membership"] = object{"bind": g.memberAddr(), "peers": peers, "local": true}
 	}
-	g.config = filepath.Join(p.dir, fmt.Sprintf("g%04d.json", g.rank))
-	return writeJSON(g.config, cfg)
+	g.configPath = filepath.Join(run.dir, fmt.Sprintf("g%04d.json", g.rank))
+	return writeJSON(g.configPath, config)
 }
 
+// memberAddr returns the address for the membership protocol.
 func (g *realGateway) memberAddr() string { return strings.Replace(g.addr, ":9000", ":7946", 1) }
 
-// start starts the process and then asks for its health until it is ready.
+// start starts the process and its health checks.
 func (g *realGateway) start() {
 	name := fmt.Sprintf("g%04d", g.rank)
 	g.mu.Lock()
@@ -78,34 +81,35 @@
 	if g.proc != nil {
 		return
 	}
-	proc, began, err := g.p.starter.start(g.p.dir, name, filepath.Join(g.p.opt.Bin, "dunemoor"), nil,
-		"GW_CONFIG="+g.config, "GW_NAME="+name, "GW_LISTEN="+g.addr, "TMPDIR="+g.p.dir)
+	proc, startedAt, err := g.run.starter.start(g.run.dir, name, filepath.Join(g.run.options.Bin, "gateway"), nil,
+		"GW_CONFIG="+g.configPath, "GW_NAME="+name, "GW_LISTEN="+g.addr, "TMPDIR="+g.run.dir)
 	if err != nil {
-		fmt.Fprintf(g.p.opt.Says, "%s: %v\n", name, err)
+		fmt.Fprintf(g.run.options.Progress, "%s: %v\n", name, err)
 		return
 	}
-	g.gen++
+	g.generation++
 	g.proc, g.ready = proc, false
-	go g.await(g.gen, began.Sub(g.p.zero))
+	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
-// await asks for the health of a process until it is ready or ends.
-func (g *realGateway) await(gen int, began Time) {
-	cl := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	defer cl.CloseIdleConnections()
+// awaitReady checks the health of the process of a generation until it is ready, has exited or the run ends.
+// The edge balancer admits the gateway when the process is ready.
+func (g *realGateway) awaitReady(generation int, startedAt Time) {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	defer client.CloseIdleConnections()
 	for {
 		select {
-		case <-g.p.ctx.Done():
+		case <-g.run.ctx.Done():
 			return
 		case <-time.After(80 * time.Millisecond):
 		}
 		g.mu.Lock()
-		same := g.gen == gen && g.proc != nil
+		current := g.generation == generation && g.proc != nil
 		g.mu.Unlock()
-		if !same {
+		if !current {
 			return
 		}
-		resp, err := cl.Get("http://" + g.addr + "/_health")
+		resp, err := client.Get("http://" + g.addr + "/_health")
 		if err != nil {
 			continue
 		}
@@ -115,46 +119,48 @@
 			continue
 		}
 		g.mu.Lock()
-		if same = g.gen == gen && g.proc != nil; same {
+		if current = g.generation == generation && g.proc != nil; current {
 			g.ready = true
 		}
 		g.mu.Unlock()
-		if same {
-			g.p.record(func(r *Recorder, now Time) { r.GatewayReady(now - began) })
-			g.admit(true)
+		if current {
+			g.run.record(func(r *Recorder, now Time) { r.RecordGatewayReady(now - startedAt) })
+			g.setAdmitted(true)
 		}
 		return
 	}
 }
 
-func (g *realGateway) admit(in bool) {
-	g.p.frontMu.Lock()
-	defer g.p.frontMu.Unlock()
-	g.p.front.admit(g.rank, in)
+// setAdmitted adds the gateway to those that the edge balancer admits, or removes it.
+func (g *realGateway) setAdmitted(admitted bool) {
+	g.run.edgeMu.Lock()
+	defer g.run.edgeMu.Unlock()
+	g.run.edge.setAdmitted(g.rank, admitted)
 }
 
-// kill ends the process; the front notices after a while.
+// kill kills the process. The edge balancer notices after EdgeDetection.
 func (g *realGateway) kill() {
 	g.mu.Lock()
 	proc := g.proc
 	g.proc = nil
-	g.gen++
-	gen := g.gen
+	g.generation++
+	generation := g.generation
 	g.mu.Unlock()
 	if proc == nil {
 		return
 	}
 	proc.Kill()
-	g.p.at(g.p.now()+g.p.s.Load.Notice.std(), func() {
+	g.run.at(g.run.now()+g.run.scenario.Load.EdgeDetection.std(), func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.gen == gen {
-			g.admit(false)
+		if g.generation == generation {
+			g.setAdmitted(false)
 		}
 	})
 }
 
-func (g *realGateway) signal(do func(*faultnet.Proc)) {
+// withProcess calls do with the process if there is one, under the lock.
+func (g *realGateway) withProcess(do func(*faultnet.Proc)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.proc != nil {
@@ -162,18 +168,19 @@
 	}
 }
 
-// realCatalog is one catalog process and the link that gateways reach it by.
+// realCatalog is a catalog process and the link through which gateways reach it.
 type realCatalog struct {
-	p     *realPlay
-	id    string
-	args  []string
-	http  string
-	link  *faultnet.Link
-	bytes int64
-	mu    sync.Mutex
-	proc  *faultnet.Proc
+	run          *realRun
+	id           string
+	args         []string
+	httpAddr     string
+	link         *faultnet.Link
+	countedBytes int64 // bytes from the catalog that are in the recorder, under its lock
+	mu           sync.Mutex
+	proc         *faultnet.Proc // nil: it does not run
 }
 
+// start starts the process unless it runs.
 func (c *realCatalog) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,10 +188,11 @@
 		return nil
 	}
 	var err error
-	c.proc, _, err = c.p.starter.start(c.p.dir, c.id, filepath.Join(c.p.opt.Bin, "catalog"), c.args)
+	c.proc, _, err = c.run.starter.start(c.run.dir, c.id, filepath.Join(c.run.options.Bin, "catalog"), c.args)
 	return err
 }
 
+// kill kills the process if it runs.
 func (c *realCatalog) kill() {
 	c.mu.Lock()
 	proc := c.proc
@@ -195,22 +203,23 @@
 	}
 }
 
-// startCatalogs starts the list service and lists all hosts.
-func (p *realPlay) startCatalogs() error {
-	n := p.s.Catalog.Instances
+// startCatalogs starts the catalogs and adds all hosts to the list. From then on it records each connection
+// through a link, which only gateways open, as a call.
+func (run *realRun) startCatalogs() error {
+	n := run.scenario.Catalog.Instances
 	var peers []string
 	for i := range n {
-		c := &realCatalog{p: p, id: fmt.Sprintf("c%d", i+1), http: fmt.Sprintf("%s199.%d:8500", p.net, i+1)}
-		raft := fmt.Sprintf("%s199.%d:7500", p.net, i+1)
+		c := &realCatalog{run: run, id: fmt.Sprintf("c%d", i+1), httpAddr: fmt.Sprintf("%s199.%d:8500", run.netPrefix, i+1)}
+		raft := fmt.Sprintf("%s199.%d:7500", run.netPrefix, i+1)
 		var err error
-		if c.link, err = faultnet.NewLink(c.http); err != nil {
+		if c.link, err = faultnet.NewLink(c.httpAddr); err != nil {
 			return err
 		}
-		c.args = []string{"-id", c.id, "-data", filepath.Join(p.dir, c.id), "-raft", raft, "-http", c.http, "-heartbeat", "200ms", "-stale-after", "1s"}
-		peers = append(peers, c.id+"="+raft+"/"+c.http)
-		p.catalogs = append(p.catalogs, c)
+		c.args = []string{"-id", c.id, "-data", filepath.Join(run.dir, c.id), "-raft", raft, "-http", c.httpAddr, "-heartbeat", "200ms", "-stale-after", "1s"}
+		peers = append(peers, c.id+"="+raft+"/"+c.httpAddr)
+		run.catalogs = append(run.catalogs, c)
 	}
-	for _, c := range p.catalogs {
+	for _, c := range run.catalogs {
 		if n > 1 {
 			c.args = append(c.args, "-peers", strings.Join(peers, ","))
 		}
@@ -218,151 +227,156 @@
 			return err
 		}
 	}
-	for _, st := range p.hosts {
-		if err := p.list(st); err != nil {
+	for _, host := range run.hosts {
+		if err := run.listHost(host); err != nil {
 			return err
 		}
 	}
-	for i, c := range p.catalogs {
+	for i, c := range run.catalogs {
 		c.link.OnAccept(func() {
-			p.record(func(r *Recorder, now Time) { r.Call(i, now, 0, false) })
+			run.record(func(r *Recorder, now Time) { r.RecordCall(i, now, 0, false) })
 		})
 	}
 	return nil
 }
 
-// entry is a host as the list has it.
-func (p *realPlay) entry(st *standIn) map[string]any {
+// listEntry returns a host in the format of the list.
+func (run *realRun) listEntry(host *loopbackHost) map[string]any {
 	started := int64(0)
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	if st.h.Started >= 0 {
-		started = p.zero.Add(st.h.Started).UnixMilli()
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	if host.model.Started >= 0 {
+		started = run.startedAt.Add(host.model.Started).UnixMilli()
 	}
-	return map[string]any{"id": st.h.ID, "addr": st.addr, "zone": st.h.Spec.Zone, "kind": st.h.Spec.Kind,
+	return map[string]any{"id": host.model.ID, "addr": host.addr, "zone": host.model.Spec.Zone, "kind": host.model.Spec.Kind,
 		"state": "ready", "weight": 1, "started_ms": started}
 }
 
-// list writes a host to the list, at whichever instance takes it, for 15 s at most.
-func (p *realPlay) list(st *standIn) error {
-	e := p.entry(st)
-	id := e["id"].(string)
-	delete(e, "id")
-	return p.write(http.MethodPut, id, e)
+// listHost writes a host to the list.
+func (run *realRun) listHost(host *loopbackHost) error {
+	entry := run.listEntry(host)
+	id := entry["id"].(string)
+	delete(entry, "id")
+	return run.writeMember(http.MethodPut, id, entry)
 }
 
-func (p *realPlay) write(method, id string, body any) error {
-	var last error
-	for try := range 150 {
-		c := p.catalogs[try%len(p.catalogs)]
-		var text io.Reader
+// writeMember sends a change of a host to the catalogs in turn until one accepts it. A nil body sends none.
+// It gives up after 150 attempts, which are 100 ms apart.
+func (run *realRun) writeMember(method, id string, body any) error {
+	var lastErr error
+	for attempt := range 150 {
+		c := run.catalogs[attempt%len(run.catalogs)]
+		var requestBody io.Reader
 		if body != nil {
-			b, err := jsonText(body)
+			b, err := encodeJSON(body)
 			if err != nil {
 				return err
 			}
-			text = bytes.NewReader(b)
+			requestBody = bytes.NewReader(b)
 		}
-		req, err := http.NewRequestWithContext(p.ctx, method, "http://"+c.http+"/catalog/members/"+id, text)
+		req, err := http.NewRequestWithContext(run.ctx, method, "http://"+c.httpAddr+"/catalog/members/"+id, requestBody)
 		if err != nil {
 			return err
 		}
-		resp, err := p.client.Do(req)
+		resp, err := run.httpClient.Do(req)
 		if err == nil {
-			said, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
+			answer, _ := io.ReadAll(io.LimitReader(resp.Body, 300))
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
-			err = fmt.Errorf("%s: %s", resp.Status, said)
+			err = fmt.Errorf("%s: %s", resp.Status, answer)
 		}
-		last = err
+		lastErr = err
 		select {
-		case <-p.ctx.Done():
-			return p.ctx.Err()
+		case <-run.ctx.Done():
+			return run.ctx.Err()
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("host %s could not be listed: %w", id, last)
+	return fmt.Errorf("host %s could not be listed: %w", id, lastErr)
 }
 
-// setFaults puts the time line into force.
-func (p *realPlay) setFaults() {
-	s := p.s
-	for k := range s.Faults {
-		f := &s.Faults[k]
-		switch f.On {
+// scheduleFaults schedules the start and the end of every fault.
+func (run *realRun) scheduleFaults() {
+	s := run.scenario
+	for faultIndex := range s.Faults {
+		f := &s.Faults[faultIndex]
+		switch f.Target {
 		case "catalog":
-			p.at(f.At.std(), func() { p.catalogFault(f, true) })
-			if f.For > 0 {
-				p.at(f.At.std()+f.For.std(), func() { p.catalogFault(f, false) })
+			run.at(f.Start.std(), func() { run.applyCatalogFault(f, true) })
+			if f.Length > 0 {
+				run.at(f.Start.std()+f.Length.std(), func() { run.applyCatalogFault(f, false) })
 			}
 		case "gateways":
-			for step, part := range s.targets(s.Gateways.Count, s.zoneOfGateway, f, k) {
-				for _, i := range part {
-					p.at(f.At.std()+Time(step)*f.Step.std(), func() { p.gatewayFault(f, p.gateways[i]) })
+			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
+				for _, i := range targets {
+					run.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { run.applyGatewayFault(f, run.gateways[i]) })
 				}
 			}
 		case "hosts":
-			for step, part := range s.targets(len(p.hosts), s.zoneOfHost, f, k) {
-				for _, i := range part {
-					p.at(f.At.std()+Time(step)*f.Step.std(), func() { p.hostFault(f, p.hosts[i]) })
+			for step, targets := range s.faultTargets(len(run.hosts), s.zoneOfHost, f, faultIndex) {
+				for _, i := range targets {
+					run.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { run.applyHostFault(f, run.hosts[i]) })
 				}
 			}
 		}
 	}
 }
 
-func (p *realPlay) catalogFault(f *Fault, on bool) {
-	for i, c := range p.catalogs {
-		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(p.catalogs)))) {
+// applyCatalogFault starts a fault of the list service, or ends it if on is false. The fault affects the first
+// catalogs, as many as f.Share says, or all if that is 0; kill-leader affects only the leader.
+func (run *realRun) applyCatalogFault(f *Fault, on bool) {
+	for i, c := range run.catalogs {
+		if f.Share > 0 && i >= int(math.Round(f.Share*float64(len(run.catalogs)))) {
 			continue
 		}
 		switch {
-		case f.Do == "kill-leader" && on:
-			p.leader().kill()
+		case f.Action == "kill-leader" && on:
+			run.leader().kill()
 			return
-		case f.Do == "kill-leader":
-			for _, c := range p.catalogs {
+		case f.Action == "kill-leader":
+			for _, c := range run.catalogs {
 				c.start()
 			}
 			return
-		case f.Do == "slow" && on:
+		case f.Action == "slow" && on:
 			c.link.Delay(f.Delay.std())
-		case f.Do == "busy" && on:
-			c.link.Retarget(p.busyAddr())
-			c.link.Set(faultnet.Reset) // what is open ends, as at a service that starts anew
+		case f.Action == "busy" && on:
+			c.link.Retarget(run.busyAddr())
+			c.link.Set(faultnet.Reset) // closes the open connections, as a restart of the service does
 			c.link.Set(faultnet.Pass)
 		case !on:
 			c.link.Delay(0)
-			c.link.Retarget(c.http)
+			c.link.Retarget(c.httpAddr)
 			c.link.Set(faultnet.Pass)
 		default:
-			c.link.Set(map[string]faultnet.Mode{"down": faultnet.Refuse, "reset": faultnet.Reset, "black-hole": faultnet.Blackhole}[f.Do])
+			c.link.Set(map[string]faultnet.Mode{"down": faultnet.Refuse, "reset": faultnet.Reset, "black-hole": faultnet.Blackhole}[f.Action])
 		}
 	}
 }
 
-// busyAddr is a server that answers 503 to all.
-func (p *realPlay) busyAddr() string {
-	if p.busy == nil {
+// busyAddr returns the address of an HTTP server that answers 503 to everything, or "" if it cannot listen.
+// The first call starts the server.
+func (run *realRun) busyAddr() string {
+	if run.busyListener == nil {
 		ln, err := listenLoopback()
 		if err != nil {
 			return ""
 		}
-		p.busy = ln
+		run.busyListener = ln
 		go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		}))
 	}
-	return p.busy.Addr().String()
+	return run.busyListener.Addr().String()
 }
 
-// leader is the catalog that says it leads, or the first.
-func (p *realPlay) leader() *realCatalog {
-	for _, c := range p.catalogs {
-		if resp, err := p.client.Get("http://" + c.http + "/catalog/status"); err == nil {
+// leader returns the catalog that reports to be the leader, or the first if none does.
+func (run *realRun) leader() *realCatalog {
+	for _, c := range run.catalogs {
+		if resp, err := run.httpClient.Get("http://" + c.httpAddr + "/catalog/status"); err == nil {
 			b, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if bytes.Contains(b, []byte(`"Leader"`)) {
@@ -370,76 +384,78 @@
 			}
 		}
 	}
-	return p.catalogs[0]
+	return run.catalogs[0]
 }
 
-func (p *realPlay) gatewayFault(f *Fault, g *realGateway) {
-	back := func(do func()) {
-		if f.For > 0 || f.Do == "restart" {
-			p.at(p.now()+f.For.std(), do)
+// applyGatewayFault starts a fault of a gateway and schedules its end.
+func (run *realRun) applyGatewayFault(f *Fault, g *realGateway) {
+	atEnd := func(do func()) {
+		if f.Length > 0 || f.Action == "restart" {
+			run.at(run.now()+f.Length.std(), do)
 		}
 	}
-	switch f.Do {
+	switch f.Action {
 	case "kill", "restart":
-		back(g.start)
+		atEnd(g.start)
 		g.kill()
 	case "term":
-		g.admit(false)
-		g.signal(func(q *faultnet.Proc) { q.Signal(syscall.SIGTERM) })
-		p.at(p.now()+p.s.longest()+700*time.Millisecond, g.kill)
-		back(g.start)
+		g.setAdmitted(false)
+		g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGTERM) })
+		run.at(run.now()+run.scenario.longestDeadline()+700*time.Millisecond, g.kill)
+		atEnd(g.start)
 	case "stop":
-		g.signal((*faultnet.Proc).Stop)
-		back(func() { g.signal((*faultnet.Proc).Cont) })
+		g.withProcess((*faultnet.Proc).Stop)
+		atEnd(func() { g.withProcess((*faultnet.Proc).Cont) })
 	case "reconfigure":
-		g.configured = max(1, int(f.Factor*float64(p.s.Gateways.Configured)))
-		if g.write() == nil {
-			g.signal(func(q *faultnet.Proc) { q.Signal(syscall.SIGHUP) })
+		g.configured = max(1, int(f.Factor*float64(run.scenario.Gateways.Configured)))
+		if g.writeConfig() == nil {
+			g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGHUP) })
 		}
 	}
 }
 
-func (p *realPlay) hostFault(f *Fault, st *standIn) {
-	notice := p.s.Catalog.Notice.std()
-	back := func(do func()) {
-		if f.For > 0 {
-			p.at(p.now()+f.For.std(), do)
+// applyHostFault starts a fault of a host and schedules its end.
+func (run *realRun) applyHostFault(f *Fault, host *loopbackHost) {
+	listingDelay := run.scenario.Catalog.ListingDelay.std()
+	atEnd := func(do func()) {
+		if f.Length > 0 {
+			run.at(run.now()+f.Length.std(), do)
 		}
 	}
 	restart := func() {
-		st.do(func(h *Host) { h.Restart(p.now()) }, true)
-		if st.listen() == nil {
-			p.at(p.now()+notice, func() { p.list(st) })
+		host.update(func(h *Host) { h.Restart(run.now()) }, true)
+		if host.listen() == nil {
+			run.at(run.now()+listingDelay, func() { run.listHost(host) })
 		}
 	}
-	switch f.Do {
+	switch f.Action {
 	case "kill":
-		st.do(func(h *Host) { h.Kill() }, true)
-		p.at(p.now()+notice, func() {
-			st.mu.Lock()
-			dead := st.h.Cond == Dead
-			st.mu.Unlock()
+		host.update(func(h *Host) { h.Kill() }, true)
+		run.at(run.now()+listingDelay, func() {
+			host.mu.Lock()
+			dead := host.model.Condition == Dead
+			host.mu.Unlock()
 			if dead {
-				p.write(http.MethodDelete, st.h.ID, nil)
+				run.writeMember(http.MethodDelete, host.model.ID, nil)
 			}
 		})
-		back(restart)
+		atEnd(restart)
 	case "silence":
-		st.do(func(h *Host) { h.Mute() }, false)
-		back(restart)
+		host.update(func(h *Host) { h.Silence() }, false)
+		atEnd(restart)
 	case "cold":
 		restart()
 	case "slow":
-		st.do(func(h *Host) { h.Slow = f.Factor }, false)
-		back(func() { st.do(func(h *Host) { h.Slow = 1 }, false) })
+		host.update(func(h *Host) { h.SlowFactor = f.Factor }, false)
+		atEnd(func() { host.update(func(h *Host) { h.SlowFactor = 1 }, false) })
 	case "fail":
-		st.do(func(h *Host) { h.Cond = Failing }, false)
-		back(func() { st.do(func(h *Host) { h.Cond = Serving }, false) })
+		host.update(func(h *Host) { h.Condition = Failing }, false)
+		atEnd(func() { host.update(func(h *Host) { h.Condition = Serving }, false) })
 	case "refuse":
-		st.do(func(h *Host) { h.Kill(); h.Cond = Refusing }, true)
-		back(func() {
-			st.do(func(h *Host) { h.Cond = Serving; h.Inc++ }, false)
-			st.listen()
+		host.update(func(h *Host) { h.Kill(); h.Condition = Refusing }, true)
+		atEnd(func() {
+			host.update(func(h *Host) { h.Condition = Serving; h.Incarnation++ }, false)
+			host.listen()
 		})
 	}
 }
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// keptBans are the ids of hosts that a process that starts now takes for banned.
-func keptBans(t *testing.T, loop *Loop, tmp string) map[string]bool {
+// persistedMaintenance returns the ids of the hosts that a process that starts now takes to be in
+// maintenance.
+func persistedMaintenance(t *testing.T, loop *Loop, tmp string) map[string]bool {
 	t.Helper()
-	b, err := NewBans(tmp)
+	b, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Look(loop); err != nil {
+	if err := b.Refresh(loop); err != nil {
 		t.Fatal(err)
 	}
-	return b.out
+	return b.inMaintenance
 }
 
-// A call of an operator that fails, as the folder takes no change, has changed nothing: not
-// here, and not for a process that reads the folder later.
+// An operator's call that fails because the directory cannot be written must change nothing,
+// neither in this process nor for one that reads the directory later.
 func TestFailedMaintenanceChangesNothing(t *testing.T) {
 	g := startGateway(t, testConfig())
 	tmp := t.TempDir()
-	bans, err := NewBans(tmp)
+	store, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := bans.Set(g.loop, "s-out", true); err != nil {
+	if err := store.Set(g.loop, "s-out", true); err != nil {
 		t.Fatal(err)
 	}
-	dir := filepath.Join(tmp, bansFolder)
-	// What is to be removed is a folder that is not empty, which no process can remove as a file,
-	// and what is to be written one, too.
+	dir := filepath.Join(tmp, maintenanceDir)
+	// A non-empty directory in place of a file can be neither removed nor written as a file.
 	block := func(name string) {
 		if err := os.MkdirAll(filepath.Join(dir, name, "in the way"), 0o700); err != nil {
 			t.Fatal(err)
@@ -46,52 +46,52 @@
 			t.Fatal(err)
 		}
 	}
-	ban, back := banPrefix+"s-out", backPrefix+"s-out"
+	maintenanceFile, endedFile := maintenancePrefix+"s-out", endMarkPrefix+"s-out"
 
-	clear(ban)
-	block(ban) // calling it back cannot remove this
-	if err := bans.Set(g.loop, "s-out", false); err == nil {
-		t.Error("a host is called back though its ban cannot be removed")
+	clear(maintenanceFile)
+	block(maintenanceFile) // ending the maintenance cannot remove this
+	if err := store.Set(g.loop, "s-out", false); err == nil {
+		t.Error("a maintenance ends although its file cannot be removed")
 	}
-	if !bans.out["s-out"] {
-		t.Error("the host is in use after a call back that failed")
+	if !store.inMaintenance["s-out"] {
+		t.Error("the host is in use after a failed end of its maintenance")
 	}
-	if _, err := os.Stat(filepath.Join(dir, back)); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a call back that failed leaves its mark: %v", err)
+	if _, err := os.Stat(filepath.Join(dir, endedFile)); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a failed end of a maintenance leaves its mark: %v", err)
 	}
-	clear(ban)
+	clear(maintenanceFile)
 
-	block(banPrefix + "s-new") // this ban cannot be written
-	if err := bans.Set(g.loop, "s-new", true); err == nil {
-		t.Error("a host is banned though that cannot be kept")
+	block(maintenancePrefix + "s-new") // this maintenance cannot be written
+	if err := store.Set(g.loop, "s-new", true); err == nil {
+		t.Error("a maintenance begins although it cannot be stored")
 	}
-	if bans.out["s-new"] {
-		t.Error("the host is out after a call that failed")
+	if store.inMaintenance["s-new"] {
+		t.Error("the host is in maintenance after a call that failed")
 	}
-	clear(banPrefix + "s-new")
+	clear(maintenancePrefix + "s-new")
 
-	block(backPrefix + "s-other") // the old mark of a call back cannot be removed: the ban is kept all the same
-	err = bans.Set(g.loop, "s-other", true)
-	if kept := keptBans(t, g.loop, tmp)["s-other"]; kept != (err == nil) || bans.out["s-other"] != kept {
-		t.Errorf("banning is answered with %v, the ban is kept: %t, and in force: %t", err, kept, bans.out["s-other"])
+	block(endMarkPrefix + "s-other") // the earlier mark cannot be removed: the maintenance is stored all the same
+	err = store.Set(g.loop, "s-other", true)
+	if stored := persistedMaintenance(t, g.loop, tmp)["s-other"]; stored != (err == nil) || store.inMaintenance["s-other"] != stored {
+		t.Errorf("the call returns %v, the maintenance is stored: %t, and in force: %t", err, stored, store.inMaintenance["s-other"])
 	}
 }
 
-// A process that starts after the wall clock was stepped takes a host for cold that was called
-// back a moment before.
-func TestCallBackIsKnownAcrossAStepOfTheClock(t *testing.T) {
+// A process that starts after the wall clock was stepped must treat a host as cold whose
+// maintenance ended a moment before.
+func TestEndOfMaintenanceIsKnownAfterClockStep(t *testing.T) {
 	tmp := t.TempDir()
 	g := startGateway(t, testConfig())
-	bans, err := NewBans(tmp)
+	store, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, out := range []bool{true, false} {
-		if err := bans.Set(g.loop, "s-1", out); err != nil {
+	for _, on := range []bool{true, false} {
+		if err := store.Set(g.loop, "s-1", on); err != nil {
 			t.Fatal(err)
 		}
 	}
-	mark := filepath.Join(tmp, bansFolder, backPrefix+"s-1")
+	mark := filepath.Join(tmp, maintenanceDir, endMarkPrefix+"s-1")
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		written := time.Now().Add(-step) // by the clock as it was before the step
 		if err := os.Chtimes(mark, written, written); err != nil {
@@ -101,8 +101,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if age := time.Since(calledBackAt(mark, info)); age < 0 || age > patience {
-			t.Errorf("clock stepped by %v: the host was called back %v ago", step, age)
+		if age := time.Since(maintenanceEndedAt(mark, info)); age < 0 || age > waitTimeout {
+			t.Errorf("clock stepped by %v: the maintenance ended %v ago", step, age)
 		}
 	}
 }
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// minEvictionAge is how long a connection may go without a whole request before it can be
-	// closed to make room: a client that means to send one has done so by then, and a peer that
-	// sends nothing, or never the end of a head or body, must not keep others waiting.
+	// minEvictionAge is how long a connection must have been in its state before it can be closed to
+	// make room while it lacks a whole head or body: a client that means to send a request has done
+	// so by then, and a peer that sends nothing, or never the end of a head or body, must not keep
+	// others waiting. An idle connection can be closed at any age.
 	minEvictionAge = 500 * time.Millisecond
 	// evictionInterval is the time between two evictions while all slots are taken.
 	evictionInterval = 20 * time.Millisecond
@@ -25,19 +26,21 @@
 	since       time.Time
 }
 
-// evictionClass says which connections are closed first to make room: the lowest ones that are
-// evictable.
+// evictionClass orders connections by which is closed first to make room: the one with the lowest
+// class above notEvictable.
 type evictionClass int
 
 const (
-	notEvictable     evictionClass = iota // the connection holds a request
-	evictIdle                             // the connection has had an answer and no request since
-	evictWithoutHead                      // no whole head has arrived for minEvictionAge
-	evictWithoutBody                      // the body of its request has not arrived whole for minEvictionAge
+	notEvictable     evictionClass = iota // a request is being served, or has had less than minEvictionAge to arrive
+	evictIdle                             // the connection has had an answer and no whole head since, for any time
+	evictWithoutHead                      // new for minEvictionAge, and no whole head has arrived
+	evictWithoutBody                      // its body has been read for minEvictionAge and has not arrived whole
 )
 
 // evictionClass returns the class of a connection by the state that net/http reports, which may be
-// behind what has been read.
+// behind what has been read: net/http reports a connection as new or idle until the head of its next
+// request is complete. So a connection that is kept alive has the class evictIdle even while part of
+// a head has arrived. closeIfIdle then does not close it, and only the deadline of that head ends it.
 func (cs connState) evictionClass() evictionClass {
 	young := time.Since(cs.since) < minEvictionAge
 	switch {
@@ -51,7 +54,8 @@
 	return notEvictable
 }
 
-// evictConn closes a connection to make room, unless more has arrived on it than its class says.
+// evictConn closes a connection, unless it is not evictable or more has arrived on it than its class
+// says, and returns whether it did.
 func evictConn(c net.Conn, class evictionClass) (closed bool) {
 	framed, ok := c.(*framedConn)
 	switch {
@@ -111,7 +115,8 @@
 	return c, nil
 }
 
-// acquireSlot waits until another connection may be open.
+// acquireSlot takes a slot for the next connection. While all slots are taken it evicts a connection,
+// if it can, every evictionInterval. It fails only if the listener is closed.
 func (l *clientListener) acquireSlot() error {
 	select {
 	case l.server.connSlots <- struct{}{}:
@@ -127,7 +132,7 @@
 		case <-l.done:
 			return net.ErrClosed
 		case <-tick.C:
-			l.backlog.checkEmpty()
+			l.backlog.checkEmpty() // keeps the bound on the arrival of the next connection recent
 			l.server.evictOne()
 		}
 	}
@@ -138,16 +143,16 @@
 	return l.framedListener.Close()
 }
 
-// overBudget returns whether there are more connections than the budget even though all that can be
-// evicted have been. Connections are then closed after their next answer.
+// overBudget returns whether there are more connections than the budget, as when too few can be
+// evicted. Connections are then closed after their next answer.
 func (s *Server) overBudget() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > s.connBudget
 }
 
-// trackConn records the state of a client's connection. Above the budget it evicts a connection
-// without a request, so that descriptors do not run out while requests wait in the backlog.
+// trackConn records the state of a client's connection. Above the budget it evicts a connection, if
+// it can, so that descriptors do not run out while requests wait in the backlog.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	if framed, ok := c.(*framedConn); ok {
 		framed.setIdle(state == http.StateIdle)
@@ -168,17 +173,18 @@
 	}
 }
 
-// evictOne closes one connection without a request, if there is one.
+// evictOne evicts one connection, if one is evictable.
 func (s *Server) evictOne() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evictLocked()
 }
 
-// evictLocked closes the connection that has been idle for longest or, if none is idle, one that has
-// sent no whole request for minEvictionAge. The caller holds s.mu. Each connection is looked at once
-// only: many may be idle by net/http's state with part of a request received, and none of those can
-// be closed.
+// evictLocked closes the connection that has been idle for longest or, if no idle one can be closed,
+// one that has sent no whole request for minEvictionAge. The caller holds s.mu. The candidates are
+// sorted once and each is checked once, in place of a new search after each one that cannot be
+// closed: many may be idle by net/http's state with part of a request received, and none of those
+// can be closed.
 func (s *Server) evictLocked() {
 	s.evictionCandidates = s.evictionCandidates[:0]
 	for c, cs := range s.conns {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // fakeDiscovery is a discovery service with a list of its own: each call gets the whole list and
@@ -124,29 +124,29 @@
 			moved := &fakeDiscovery{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
 			moved.start("127.0.0.84:0")
 			r.t.Cleanup(moved.stop)
-			d.Move(moved.ln.Addr().String())
+			d.SetAddrs(moved.ln.Addr().String())
 			return moved
 		},
 	} {
-		for _, ask := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, asked for %t", name, ask), func(t *testing.T) {
+		for _, onDemand := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, on demand %t", name, onDemand), func(t *testing.T) {
 				t.Parallel()
-				testDrainDespiteFault(t, ask, fault)
+				testDrainDespiteFault(t, onDemand, fault)
 			})
 		}
 	}
 }
 
-func testDrainDespiteFault(t *testing.T, ask bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
-	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good)), newHost(t, says(good))}
+func testDrainDespiteFault(t *testing.T, onDemand bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
+	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	r := newFakeDiscovery(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
-	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = ask, time.Second
+	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = onDemand, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
-	d.silence = 300 * time.Millisecond
-	g := startWatching(t, cfg, d.Watch)
+	d.silenceTimeout = 300 * time.Millisecond
+	g := startGatewayWithWatch(t, cfg, d.Watch)
 	loop := g.loop
 	done := make(chan struct{})
 	go func() {
@@ -164,7 +164,7 @@
 	})
 	usable := func(id string) (ok bool) {
 		known := make(chan bool, 1)
-		loop.post(func(lynxspool.Time) {
+		loop.post(func(bramblelock.Time) {
 			h := loop.hosts[hostID(id)]
 			known <- h != nil && h.usable.Load()
 		})
@@ -178,7 +178,7 @@
 		until(t, id+" is known to drain", func() bool { return !usable(id) })
 		old, _, _ := hosts[n].counts()
 		for range 20 {
-			if resp, body := g.ask("book", "/api/1", "b"); resp.StatusCode != 200 {
+			if resp, body := g.request("book", "/api/1", "b"); resp.StatusCode != 200 {
 				t.Errorf("answer %d %q", resp.StatusCode, body)
 			}
 		}
--- a/internal/gateway/heldup.go
+++ b/internal/gateway/heldup.go
@@ -3,19 +3,20 @@
 import (
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
-// processStall is the time after the process was stalled (stopped, or without its CPU core), during
-// which timers wait until what has arrived meanwhile has been read.
+// processStall describes the time after the process was stalled (stopped, or without its CPU core),
+// during which timers wait until what arrived during the stall has been read.
 type processStall struct {
-	since    time.Time
-	until    time.Time // timers wait at least until then
-	attempts []*try    // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
+	since    time.Time  // when the stall was detected
+	until    time.Time  // timers wait at least until then
+	attempts []*attempt // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
 }
 
-// deferTimers returns whether timers have to wait, since one of them is later than stallThreshold.
-func (l *Loop) deferTimers(now lynxspool.Time) bool {
+// deferTimers returns whether timers have to wait because the process was stalled. A timer that is
+// late by more than stallThreshold shows a stall.
+func (l *Loop) deferTimers(now bramblelock.Time) bool {
 	if len(l.timers) == 0 {
 		return false
 	}
@@ -37,11 +38,11 @@
 
 // attemptsWithAnswer returns the attempts whose answer has arrived and whose end the loop has not
 // handled yet.
-func (l *Loop) attemptsWithAnswer() (attempts []*try) {
-	for _, x := range l.open {
-		for _, t := range x.attempts {
-			if !t.ended && t.answerCame() {
-				attempts = append(attempts, t)
+func (l *Loop) attemptsWithAnswer() (attempts []*attempt) {
+	for _, x := range l.openRequests {
+		for _, att := range x.attempts {
+			if !att.ended && att.answerArrived() {
+				attempts = append(attempts, att)
 			}
 		}
 	}
@@ -50,17 +51,18 @@
 
 // awaitsAttempt returns whether the end of one of the attempts has not been handled yet.
 func (s *processStall) awaitsAttempt() bool {
-	for _, t := range s.attempts {
-		if !t.ended {
+	for _, att := range s.attempts {
+		if !att.ended {
 			return true
 		}
 	}
 	return false
 }
 
-// untilNextTimer returns how long it is until the next timer fires.
+// untilNextTimer returns how long it is until the next timer is due or, after a stall, until the wait
+// has to be checked again, whichever is later. There must be a timer.
 func (l *Loop) untilNextTimer() time.Duration {
-	next := time.Until(l.clock.time(l.timers[0].at))
+	next := time.Until(l.clock.timeOf(l.timers[0].at))
 	if l.stall != nil {
 		next = max(next, time.Until(l.stall.until))
 	}
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -5,20 +5,23 @@
 	"time"
 )
 
-// News is what tells the pool of changes of the list; a Discovery is one.
-type News interface {
-	// Overdue says whether something has been written that should be in force by now.
-	Overdue() bool
+// UpdateSource receives changes of the list of hosts. It is implemented by Discovery.
+type UpdateSource interface {
+	// UpdateOverdue returns whether a change has been written to this process that should be in force
+	// by now, but is not.
+	UpdateOverdue() bool
 }
 
-// Await has attempts wait until what news has written is in force: a change counts as notified from
-// when it was written.
-func (p *Pool) Await(news News) { p.news = news }
+// SetUpdateSource makes attempts wait while source has an overdue change: this process counts as
+// notified of a change from when the change was written, even if it has not read it. It must be called
+// before the first attempt.
+func (p *Pool) SetUpdateSource(source UpdateSource) { p.updateSource = source }
 
-// heedNews waits until what discovery has written is in force, if that is overdue, or the attempt is
-// given up: its reader is at work as soon as the process runs.
-func (p *Pool) heedNews(ctx context.Context) {
-	for p.news != nil && p.news.Overdue() && ctx.Err() == nil {
+// awaitOverdueUpdate waits until no change of the list of hosts is overdue or the attempt is given up.
+// The wait is short, as a change is overdue only after the process was stalled, and its reader runs as
+// soon as the process does.
+func (p *Pool) awaitOverdueUpdate(ctx context.Context) {
+	for p.updateSource != nil && p.updateSource.UpdateOverdue() && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -12,20 +12,20 @@
 	"testing"
 	"time"
 
-	"lynxspool"
+	"bramblelock"
 )
 
 // startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
-	bans, err := NewBans(dir)
+	bans, err := NewMaintenanceStore(dir)
 	if err != nil {
 		g.Fatal(err)
 	}
 	return g.startOperatorWith(bans, shared)
 }
 
-func (g *testGateway) startOperatorWith(bans *Bans, shared bool) string {
+func (g *testGateway) startOperatorWith(bans *MaintenanceStore, shared bool) string {
 	g.Helper()
 	o := NewOperator(g.loop, g.server, bans, shared)
 	ln := listen(g.T, "127.0.0.1:0", nil)
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	io.WriteString(c, text)
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -60,7 +60,7 @@
 }
 
 func TestOperatorCalls(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good)), newHost(t, says(good))))
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
 	addr := g.startOperator(t.TempDir(), false)
 	for _, tt := range []struct {
@@ -94,16 +94,16 @@
 			t.Errorf("%.40q: status %d, connection ends %v; want %d and an end", tt.text, status, ends, tt.want)
 		}
 	}
-	if g.loop.hosts[hostID("s-1")].banned {
+	if g.loop.hosts[hostID("s-1")].inMaintenance {
 		t.Error("a refused call has been carried out")
 	}
 }
 
 // Callers that send nothing, or half a call, do not delay others and change nothing.
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
-	g := startGateway(t, testConfig(newHost(t, says(good))))
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
-	bans, _ := NewBans("")
+	bans, _ := NewMaintenanceStore("")
 	o := NewOperator(g.loop, g.server, bans, false)
 	o.http.ReadTimeout = time.Hour // silent callers stay connected, so no answer has waited for their end
 	ln := listen(t, "127.0.0.1:0", nil)
@@ -122,7 +122,7 @@
 		t.Errorf("status %d", status)
 	}
 	g.loop.Sync()
-	if g.loop.hosts[hostID("s-0")].banned {
+	if g.loop.hosts[hostID("s-0")].inMaintenance {
 		t.Error("half a call has been carried out")
 	}
 }
@@ -130,7 +130,7 @@
 // No new attempt goes to a host once the operator has the confirmation, not even one that waits for
 // a connection to it, and whatever discovery reports.
 func TestMaintenanceAppliesToWaitingAttempts(t *testing.T) {
-	hosts := []*testHost{newHost(t, says(good)), newHost(t, says(good))}
+	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	g := startGateway(t, cfg)
 	g.loop.Sync()
@@ -140,13 +140,13 @@
 	if status, _ := callOperator(t, addr, operatorRequest("PUT", "/hosts/s-0/maint")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if result, _ := tryOnce(t, g.loop.pool, h, newExchange("b")); result != lynxspool.NotSent {
+	if result, _ := attemptOnce(t, g.loop.pool, h, newExchange("b")); result != bramblelock.NotSent {
 		t.Errorf("an attempt ends with %v, want it not sent", result)
 	}
-	g.loop.Members(lynxspool.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
-	g.loop.Members(lynxspool.ListFull, cfg.Known)
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
+	g.loop.HandleList(bramblelock.ListFull, cfg.Known)
 	for range 20 {
-		if resp, _ := g.ask("look", "/api/1", ""); resp.StatusCode != 200 {
+		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
@@ -157,7 +157,7 @@
 		t.Fatalf("status %d", status)
 	}
 	until(t, "the host is in use again", func() bool {
-		g.ask("look", "/api/1", "")
+		g.request("look", "/api/1", "")
 		requests, _, _ := hosts[0].counts()
 		return requests > 0
 	})
@@ -172,11 +172,11 @@
 		cfg := testConfig()
 		cfg.Known.Servers = []Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
-		bans, err := NewBans(dir)
+		bans, err := NewMaintenanceStore(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := bans.Look(g.loop); err != nil {
+		if err := bans.Refresh(g.loop); err != nil {
 			t.Fatal(err)
 		}
 		g.loop.Sync()
@@ -199,7 +199,7 @@
 	}
 	until(t, "the old process follows", old.loop.Ready)
 	// A process that starts now knows that the host is cold.
-	entries, err := os.ReadDir(filepath.Join(dir, bansFolder))
+	entries, err := os.ReadDir(filepath.Join(dir, maintenanceDir))
 	if err != nil || len(entries) != 1 || entries[0].Name() != "back-..%2Fs%2F0%25" {
 		t.Errorf("the folder holds %v, %v", entries, err)
 	}
@@ -220,13 +220,13 @@
 		}
 	}
 	want(503, "no host is known")
-	g.loop.Members(lynxspool.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
 	g.loop.Sync()
 	want(200, "a host is known")
-	g.loop.maintain("s-0", true)
+	g.loop.setMaintenance("s-0", true)
 	g.loop.Sync()
 	want(503, "the only host is out")
-	g.loop.maintain("s-0", false)
+	g.loop.setMaintenance("s-0", false)
 	g.loop.Sync()
 	g.server.accepting.Store(false)
 	want(503, "it does not accept")
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -11,16 +11,21 @@
 	"sync/atomic"
 	"time"
 
-	"lynxspool"
-	"lynxspool/internal/listener"
+	"bramblelock"
+	"bramblelock/internal/listener"
 )
 
 // Shares of the descriptor limit in percent. The rest is left for the listener, discovery and
 // the descriptors of the runtime.
 const (
-	clientConnBudgetPercent = 55 // above this, connections without a request are closed
-	maxClientConnPercent    = 60 // hard limit on the connections of clients
-	maxHostConnPercent      = 35 // hard limit on the connections to hosts
+	// Above clientConnBudgetPercent, connections are still accepted, but each change of the state of a
+	// connection, except its end, evicts one, idle or without a whole request for minEvictionAge, if
+	// there is one, and every answer announces the close of its connection.
+	clientConnBudgetPercent = 55
+	// At maxClientConnPercent, no connection is accepted until a slot is free. While all slots are
+	// taken, a connection is evicted every evictionInterval, if one can be.
+	maxClientConnPercent = 60
+	maxHostConnPercent   = 35 // hard limit on the connections to hosts
 )
 
 const (
@@ -36,7 +41,7 @@
 	headerTimeout  = 2300 * time.Millisecond // time for a client to send the head of a request
 	requestTimeout = 2800 * time.Millisecond // time for a client to send a whole request; a long body extends it
 
-	writeTimeout = 10 * time.Second // time for a client to read its answer
+	writeTimeout = 10 * time.Second // time from the head of a request until its answer is written; writeAnswer replaces it
 	idleTimeout  = 3 * time.Minute  // time that a client's connection may stay without a request
 )
 
@@ -45,19 +50,19 @@
 	cfg        *Config
 	loop       *Loop
 	http       http.Server
-	connBudget int // number of client connections above which idle ones are closed
+	connBudget int // number of client connections above which some are evicted; see clientConnBudgetPercent
 
 	rejectLog rateLimitedLog
 
 	ln              atomic.Pointer[net.Listener]
 	accepting       atomic.Bool
 	stopping        atomic.Bool
-	finalAnswerAt   time.Time     // latest time of any answer; set before stopping
+	finalAnswerAt   time.Time     // time by which all answers are due at shutdown; set before stopping
 	shutdownStarted chan struct{} // closed when stopping is set
 
 	mu          sync.Mutex
 	conns       map[net.Conn]connState
-	connSlots   chan struct{} // holds one element for each open connection
+	connSlots   chan struct{} // holds one element for each open connection and one for the next; its capacity is the limit
 	closingIdle bool          // connections that become idle are closed
 
 	evictionCandidates []evictionCandidate // scratch space of evictLocked
@@ -76,16 +81,17 @@
 		ConnContext:       withFramedConn,
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       requestTimeout,
-		WriteTimeout:      writeTimeout, // reset when the answer is written
+		WriteTimeout:      writeTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead, // bounds a connection's share of the memory limit
+		MaxHeaderBytes:    maxHeadBytes, // bounds a connection's share of the memory limit
 
 		DisableGeneralOptionsHandler: true,
 	}
 	return s
 }
 
-// Serve accepts requests from ln until Shutdown closes it.
+// Serve accepts connections from ln and serves their requests until Shutdown closes ln. It then
+// returns nil. Any other end of the listener is an error.
 func (s *Server) Serve(ln net.Listener) error {
 	backlog := newBacklog(ln)
 	ln = listener.NewRetrying(backlog, "clients")
@@ -123,7 +129,7 @@
 	errNoHosts  = errors.New("no hosts known")
 )
 
-// serve handles one request.
+// serve answers one request, or aborts its connection if the client has left.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if connClosed(r) {
 		// The request arrived while its idle connection was being closed. Its client sends it again.
@@ -166,7 +172,8 @@
 	}
 }
 
-// awaitAnswer waits for the final answer to x. It returns false if the client has left.
+// awaitAnswer waits for the final answer to x. It returns false if the client has left, and
+// answerFailed if there is no answer by the deadline.
 func (s *Server) awaitAnswer(r *http.Request, x *exchange) (answer, bool) {
 	var bodySent chan struct{}
 	clientGone, shutdown := r.Context().Done(), s.shutdownStarted
@@ -175,7 +182,7 @@
 	if x.upload != nil {
 		// A body that stops arriving also ends the context, but the goroutine that reads the body
 		// answers that case. The attempt sets x.deadline once it has read the whole body.
-		bodySent, clientGone = x.upload.whole, nil
+		bodySent, clientGone = x.upload.sent, nil
 	}
 	deadline := func() time.Time {
 		if bodySent != nil {
@@ -225,14 +232,14 @@
 		defer a.release()
 	}
 	rc := http.NewResponseController(w)
-	rc.SetWriteDeadline(time.Now().Add(clientStall))
+	rc.SetWriteDeadline(time.Now().Add(clientStallTimeout))
 	bodyUnread := x.upload != nil && !x.upload.stop()
 	if bodyUnread {
 		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
 	}
 	if a.stream != nil {
 		setHeaders(w, a.header, a.stream.length)
-		err := a.stream.pass(w, r)
+		err := a.stream.copyTo(w, r)
 		a.stream.done <- err
 		if err != nil {
 			abort(r, a.stream.length)
@@ -265,7 +272,7 @@
 	if !ok || r.Header.Get("Expect") != "" || rc.Flush() != nil {
 		return
 	}
-	rc.SetReadDeadline(time.Now().Add(drainTime))
+	rc.SetReadDeadline(time.Now().Add(bodyDrainTime))
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		io.Copy(io.Discard, c.Conn) // the framing of the body is broken, or reading it was stopped
 	}
@@ -296,8 +303,8 @@
 	io.WriteString(w, "ok\n")
 }
 
-// readRequest validates a request, looks up what the module needs to know of it and reads a
-// body that is short enough to be kept. An error comes with the HTTP status of the answer.
+// readRequest validates a request, looks up its class and tenant, and reads a body that is short
+// enough to be buffered. An error comes with the HTTP status of the answer.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *requestHead) (*exchange, int, error) {
 	x := &exchange{
 		method: r.Method, uri: r.RequestURI, host: r.Host, url: r.URL, header: r.Header,
@@ -337,36 +344,39 @@
 	return x, 0, nil
 }
 
-// readBody reads a body that is to be kept, and prepares any other one to be streamed to a host.
+// readBody buffers a body of up to maxBufferedBytes if the memory budget allows it, and prepares any
+// other one to be streamed to a host. If a body of unknown length turns out to be longer, the part
+// that has been read stays buffered and the rest is streamed. An error comes with the HTTP status of
+// the answer.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) (int, error) {
-	if r.ContentLength > maxBody {
-		return http.StatusRequestEntityTooLarge, errTooLong
+	if r.ContentLength > maxBodyBytes {
+		return http.StatusRequestEntityTooLarge, errBodyTooLong
 	}
 	rc := http.NewResponseController(w)
 	rc.EnableFullDuplex() // otherwise an early answer would wait for the body
-	body := &clientBody{body: r.Body, rc: rc, start: startedAt}
-	size := maxSmall
+	body := &clientBody{body: r.Body, rc: rc, startedAt: startedAt}
+	size := maxBufferedBytes
 	if r.ContentLength > 0 {
-		size = int(min(r.ContentLength, maxSmall))
+		size = int(min(r.ContentLength, maxBufferedBytes))
 	}
-	if r.ContentLength > maxSmall || !s.loop.pool.kept.take(size) {
-		x.upload = &upload{clientBody: body, length: r.ContentLength, whole: make(chan struct{})}
-		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.kept.take(maxAhead) {
-			c.setReadBuffer(maxAhead)
-			x.releaseBody = func() { s.loop.pool.kept.give(maxAhead) }
+	if r.ContentLength > maxBufferedBytes || !s.loop.pool.memory.acquire(size) {
+		x.upload = &upload{clientBody: body, length: r.ContentLength, sent: make(chan struct{})}
+		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.memory.acquire(readAheadBytes) {
+			c.setReadBuffer(readAheadBytes)
+			x.releaseBody = func() { s.loop.pool.memory.release(readAheadBytes) }
 		}
 		return 0, nil
 	}
-	x.releaseBody = func() { s.loop.pool.kept.give(size) }
+	x.releaseBody = func() { s.loop.pool.memory.release(size) }
 	s.setReadingBody(r, true)
-	text, err := io.ReadAll(io.LimitReader(body, maxSmall+1))
+	text, err := io.ReadAll(io.LimitReader(body, maxBufferedBytes+1))
 	if stillOpen := s.setReadingBody(r, false); err != nil || !stillOpen {
 		x.releaseBody()
 		return http.StatusBadRequest, errors.New("the body did not arrive")
 	}
 	x.body = text
-	if len(text) > maxSmall {
-		x.upload = &upload{clientBody: body, length: -1, whole: make(chan struct{})}
+	if len(text) > maxBufferedBytes {
+		x.upload = &upload{clientBody: body, length: -1, sent: make(chan struct{})}
 	}
 	return 0, nil
 }
@@ -383,16 +393,16 @@
 			return fmt.Errorf("X-Tenant-Id: unknown tenant %q", x.header.Get("X-Tenant-Id"))
 		}
 	}
-	if rules.Settings.Classes[x.class].Effect == lynxspool.Deduplicated && x.header.Get("Idempotency-Key") == "" {
-		// Without a key no host could discard the duplicate that a retry of the module may be.
+	if rules.Settings.Classes[x.class].Effect == bramblelock.Deduplicated && x.header.Get("Idempotency-Key") == "" {
+		// A retry by the module may be a duplicate, which a host can recognize by this key only.
 		return errors.New("Idempotency-Key: missing, the class needs one")
 	}
 	x.rules = rules
 	return nil
 }
 
-// setHeaders copies the headers of a host's answer. The length is that of the body, or -1 if it
-// is unknown.
+// setHeaders copies the end-to-end headers of a host's answer to the answer for the client. length
+// is that of the body in bytes, or -1 if it is unknown.
 func setHeaders(w http.ResponseWriter, hostHeader http.Header, length int64) {
 	out := w.Header()
 	for name, values := range endToEndHeaders(hostHeader) {
@@ -404,8 +414,8 @@
 }
 
 // writeBuffered sends a client an answer whose body is in memory. It always sets Content-Length,
-// so that the answer is complete by itself even if the connection ends after it. A failed write
-// means that the client has left.
+// so that the client can tell that the answer is complete even if the connection ends after it. A
+// failed write is ignored, as it means that the client has left.
 func writeBuffered(w http.ResponseWriter, a answer) {
 	status, text := http.StatusBadGateway, "failed, it may have been done"
 	switch a.kind {
@@ -420,7 +430,7 @@
 		status, text = http.StatusServiceUnavailable, "turned away, trying again is harmless"
 	case answerRejected:
 		status, text = http.StatusBadRequest, a.err.Error()
-		if errors.Is(a.err, errTooLong) {
+		if errors.Is(a.err, errBodyTooLong) {
 			status = http.StatusRequestEntityTooLarge
 		}
 	}
