--- a/internal/gateway/notified_test.go
+++ b/internal/gateway/notified_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"bramblelock"
@@ -56,7 +55,7 @@
 		serviceTime time.Duration
 	}{{6, 450 * time.Millisecond}, {6, 560 * time.Millisecond}, {12, 500 * time.Millisecond}} {
 		t.Run(fmt.Sprintf("%d gateways, %v a call", c.gateways, c.serviceTime), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testFleetAfterWatchesEnd(t, c.gateways, c.serviceTime) })
+			runInBubble(t, func(t *testing.T) { testFleetAfterWatchesEnd(t, c.gateways, c.serviceTime) })
 		})
 	}
 }
@@ -96,7 +95,7 @@
 // A call that is given up keeps its place at a discovery that serves calls one after the other.
 // Repeating it while it waits costs work for nothing, and delays all calls behind it.
 func TestQueuedCallIsNotRepeated(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const gateways = 8
 		n := newBubbleNet()
 		disco := newBubbleDiscovery(n, "discovery:80", bubbleHosts(n, 4))
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"bramblelock"
@@ -14,7 +13,7 @@
 func TestThousandHostsAndGateways(t *testing.T) {
 	const count = 1024
 	for _, onDemand := range []bool{true, false} {
-		synctest.Test(t, func(t *testing.T) {
+		runInBubble(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, count)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"bramblelock"
@@ -17,7 +16,7 @@
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for _, all := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%v, on all machines %t", step, all), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testRestartAfterStep(t, step, all) })
+				runInBubble(t, func(t *testing.T) { testRestartAfterStep(t, step, all) })
 			})
 		}
 	}
--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 )
 
@@ -90,7 +89,7 @@
 	} {
 		for _, afterAnswer := range []bool{false, true} {
 			t.Run(name+map[bool]string{true: ", after an answer"}[afterAnswer], func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
+				runInBubble(t, func(t *testing.T) {
 					l, end := bubbleClients(t, 2)
 					defer end()
 					c := l.dial()
