--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -19,11 +19,12 @@
 // reportIncarnation notifies a peer that it announces a lower incarnation than the known one,
 // as happens when its wall clock was stepped back before it restarted.
 func (n *Node) reportIncarnation(to *memberlist.Node, known uint64) {
-	if n.ml == nil {
-		return // Start has not finished
+	ml := n.memberlist()
+	if ml == nil {
+		return
 	}
 	message := strconv.AppendUint([]byte(incarnationPrefix), known, 10)
-	if err := n.ml.SendReliable(to, message); err != nil {
+	if err := ml.SendReliable(to, message); err != nil {
 		slog.Info("membership: known incarnation not sent to peer", "peer", to.Name, "err", err)
 	}
 }
@@ -38,6 +39,6 @@
 	}
 	if n.incarnation.CompareAndSwap(current, known+1) {
 		slog.Info("membership: incarnation raised, peers knew a higher one", "from", current, "to", known+1)
-		go n.ml.UpdateNode(announceInterval / 2)
+		go n.updateMetadata()
 	}
 }
--- a/internal/membership/incarnation_test.go
+++ b/internal/membership/incarnation_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"fmt"
 	"net"
 	"testing"
 	"time"
@@ -60,3 +61,35 @@
 	defer b.Leave(time.Second)
 	waitForPeer(t, a, "b", "alive again", func(p Peer) bool { return p.State == Alive && p.Incarnation > before })
 }
+
+// Peers' messages may arrive before memberlist.Create has returned. The node must answer them once it
+// has started, and must drop them if the start fails.
+func TestMessagesBeforeStart(t *testing.T) {
+	const own, known = 1_999_996_400_000, 2_000_000_000_000 // in Unix ms
+	a := startNode(t, "a", freeAddr(t), known)
+	defer a.Leave(time.Second)
+	startAfterMessages := func(bind string) (*Node, error) {
+		opt := Options{Name: "b", Bind: bind, Incarnation: own, Local: true, Lists: fixedList("list"),
+			Peers: []string{a.ml.LocalNode().Address()}}
+		b := newNode(opt)
+		(*delegate)(b).NotifyMsg([]byte(listRequestPrefix + "a"))
+		(*delegate)(b).NotifyMsg(fmt.Appendf(nil, "%s%d", incarnationPrefix, uint64(known)))
+		go b.reportIncarnation(a.ml.LocalNode(), known)
+		return b, b.start(opt)
+	}
+	if _, err := startAfterMessages("no port"); err == nil {
+		t.Error("a node started without a port")
+	}
+	b, err := startAfterMessages(freeAddr(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer b.Leave(time.Second)
+	waitForPeer(t, a, "b", "alive with a raised incarnation", func(p Peer) bool { return p.State == Alive && p.Incarnation > known })
+}
+
+// fixedList offers a fixed host list and takes none.
+type fixedList string
+
+func (l fixedList) Offer() []byte     { return []byte(l) }
+func (l fixedList) Take([]byte) error { return nil }
--- a/internal/membership/lists.go
+++ b/internal/membership/lists.go
@@ -92,9 +92,13 @@
 	if list == nil {
 		return
 	}
-	for _, m := range n.ml.Members() {
+	ml := n.memberlist()
+	if ml == nil {
+		return
+	}
+	for _, m := range ml.Members() {
 		if m.Name == name {
-			if err := n.ml.SendReliable(m, append([]byte(listMessagePrefix), list...)); err != nil {
+			if err := ml.SendReliable(m, append([]byte(listMessagePrefix), list...)); err != nil {
 				slog.Info("membership: list not sent to peer", "peer", name, "err", err)
 			}
 			return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -66,7 +66,8 @@
 
 // Node is this gateway's participation in the membership protocol. It is safe for concurrent use.
 type Node struct {
-	ml          *memberlist.Memberlist // runs the protocol; nil until Start has created it
+	created     chan struct{}          // closed at the end of start; ml must not be read earlier
+	ml          *memberlist.Memberlist // runs the protocol; nil if start failed
 	name        string                 // unique name of this gateway
 	incarnation atomic.Uint64          // incarnation of this process
 	unreadable  atomic.Int64           // packets and streams that memberlist could not decode, plus refused lists
@@ -102,18 +103,34 @@
 // Start starts a Node, which maintains the view and joins absent peers in the background until Leave
 // is called.
 func Start(opt Options) (*Node, error) {
+	n := newNode(opt)
+	if err := n.start(opt); err != nil {
+		return nil, err
+	}
+	return n, nil
+}
+
+// newNode returns a Node that has not started.
+func newNode(opt Options) *Node {
+	n := &Node{name: opt.Name, view: map[string]*Peer{}, lists: opt.Lists, listLimiter: newListLimiter(),
+		created: make(chan struct{}), stopped: make(chan struct{})}
+	n.incarnation.Store(opt.Incarnation)
+	if opt.Incarnation == 0 {
+		n.incarnation.Store(uint64(time.Now().UnixMilli()))
+	}
+	return n
+}
+
+// start creates the memberlist and begins to join peers.
+func (n *Node) start(opt Options) error {
+	defer close(n.created)
 	host, portText, err := net.SplitHostPort(opt.Bind)
 	if err != nil {
-		return nil, fmt.Errorf("membership bind: %w", err)
+		return fmt.Errorf("membership bind: %w", err)
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return nil, fmt.Errorf("membership bind: port %q", portText)
-	}
-	n := &Node{name: opt.Name, view: map[string]*Peer{}, lists: opt.Lists, listLimiter: newListLimiter(), stopped: make(chan struct{})}
-	n.incarnation.Store(opt.Incarnation)
-	if opt.Incarnation == 0 {
-		n.incarnation.Store(uint64(time.Now().UnixMilli()))
+		return fmt.Errorf("membership bind: port %q", portText)
 	}
 	cfg := memberlist.DefaultLANConfig()
 	if opt.Local {
@@ -124,11 +141,28 @@
 	cfg.Delegate, cfg.Events = (*delegate)(n), (*events)(n)
 	cfg.Alive, cfg.Ping = (*events)(n), (*events)(n)
 	cfg.Logger = log.New(&logSink{node: n}, "", 0)
-	if n.ml, err = memberlist.Create(cfg); err != nil {
-		return nil, fmt.Errorf("membership: %w", err)
+	ml, err := memberlist.Create(cfg)
+	if err != nil {
+		return fmt.Errorf("membership: %w", err)
 	}
+	n.ml = ml
 	go n.keepJoined(opt.Peers)
-	return n, nil
+	return nil
+}
+
+// memberlist waits for the end of start and returns the memberlist, or nil if start failed. The
+// memberlist delivers messages and events of peers before Create has returned it, so their handlers
+// must use this method, in a goroutine of their own because Create may wait for the handler.
+func (n *Node) memberlist() *memberlist.Memberlist {
+	<-n.created
+	return n.ml
+}
+
+// updateMetadata announces this gateway's metadata to its peers.
+func (n *Node) updateMetadata() {
+	if ml := n.memberlist(); ml != nil {
+		ml.UpdateNode(announceInterval / 2)
+	}
 }
 
 // Limits on the time between two joins of configured peers that are absent from the view.
@@ -239,7 +273,7 @@
 		return
 	}
 	n.announced.Store(&announcedLoad{rank, math.Round(rate*1000) / 1000, now})
-	go n.ml.UpdateNode(announceInterval / 2)
+	go n.updateMetadata()
 }
 
 // LiveCount returns the number of alive and suspect gateways, this one included.
