--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -88,8 +88,11 @@
 }
 
 // put registers a host and returns the HTTP status code.
-func (c *singleNodeCatalog) put(id string) int {
-	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(`{"addr":"127.0.0.1:80"}`))
+func (c *singleNodeCatalog) put(id string) int { return c.putBody(id, `{"addr":"127.0.0.1:80"}`) }
+
+// putBody writes an entry with a body in the form of Patch and returns the HTTP status code.
+func (c *singleNodeCatalog) putBody(id, body string) int {
+	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -114,6 +117,14 @@
 	}
 }
 
+// member returns the entry with the given id and whether it is in the list.
+func (s *Store) member(id string) (Member, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	m, ok := s.members[id]
+	return m, ok
+}
+
 // freeAddr returns a free loopback address.
 func freeAddr(t *testing.T) string {
 	t.Helper()
@@ -154,7 +165,7 @@
 	checkAcknowledgedAndTerms := func(when string) {
 		t.Helper()
 		for id := range acknowledged {
-			if _, found := c.node.store.Get(id); !found {
+			if _, found := c.node.store.member(id); !found {
 				t.Errorf("%s: acknowledged entry %s is missing", when, id)
 			}
 		}
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -187,8 +187,8 @@
 	return n.store.FullList()
 }
 
-// serveWrite commits a PUT or DELETE of one entry on the leader. Any other instance checks the write
-// and forwards it.
+// serveWrite commits a PUT or DELETE of one entry on the leader. Any other instance checks the form of
+// the write and forwards it.
 func (n *Node) serveWrite(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if err := ValidateID(id); err != nil {
@@ -212,9 +212,10 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		// Apply checks the patch too; the check here keeps invalid writes out of the raft log.
-		old, exists := n.store.Get(id)
-		if _, err := c.Patch.apply(old, exists); err != nil {
+		// This keeps most invalid writes out of the raft log. Whether the entry exists is decided by
+		// Store.Apply alone: the list of this instance may be behind acknowledged writes, not only
+		// on a follower but also on a leader that has not yet applied the log it was elected with.
+		if err := c.Patch.validate(); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -97,66 +97,66 @@
 	return p, nil
 }
 
-// apply returns m updated with the fields that p sets, or an error that wraps ErrInvalid, with which
-// the returned member must be discarded. exists reports whether m is already in the list; if not, m
-// is the zero Member.
-func (p *Patch) apply(m Member, exists bool) (Member, error) {
-	if !exists {
-		if p.Addr == nil {
-			return m, invalidf("a new entry needs addr")
+// validate checks the fields that p sets, whatever the list holds. Its errors wrap ErrInvalid.
+func (p *Patch) validate() error {
+	for _, field := range []struct {
+		name  string
+		value *string
+	}{{"addr", p.Addr}, {"zone", p.Zone}, {"kind", p.Kind}} {
+		if field.value != nil && len(*field.value) > MaxFieldBytes {
+			return invalidf("%s is longer than %d bytes", field.name, MaxFieldBytes)
 		}
-		m.State, m.Weight = "ready", 1
 	}
-	set := func(dst *string, src *string, name string) error {
-		if src == nil {
-			return nil
+	if p.Addr != nil {
+		if _, port, err := net.SplitHostPort(*p.Addr); err != nil || port == "" {
+			return invalidf("addr must be host:port")
 		}
-		if len(*src) > MaxFieldBytes {
-			return invalidf("%s is longer than %d bytes", name, MaxFieldBytes)
-		}
-		*dst = *src
-		return nil
-	}
-	if err := set(&m.Addr, p.Addr, "addr"); err != nil {
-		return m, err
 	}
-	if err := set(&m.Zone, p.Zone, "zone"); err != nil {
-		return m, err
+	if p.State != nil && *p.State != "ready" && *p.State != "draining" {
+		return invalidf("state must be ready or draining (gone is DELETE)")
 	}
-	if err := set(&m.Kind, p.Kind, "kind"); err != nil {
-		return m, err
+	if p.Cell != nil && *p.Cell < 0 {
+		return invalidf("cell must not be negative")
 	}
-	if _, port, err := net.SplitHostPort(m.Addr); err != nil || port == "" {
-		return m, invalidf("addr must be host:port")
+	if p.Weight != nil && (math.IsNaN(*p.Weight) || *p.Weight < 0 || *p.Weight > 1e6) {
+		return invalidf("weight must be from 0 to 1e6")
 	}
-	if p.State != nil {
-		if *p.State != "ready" && *p.State != "draining" {
-			return m, invalidf("state must be ready or draining (gone is DELETE)")
-		}
-		m.State = *p.State
+	if p.StartedMS != nil && *p.StartedMS < 0 {
+		return invalidf("started_ms must not be negative")
 	}
-	if p.Cell != nil {
-		if *p.Cell < 0 {
-			return m, invalidf("cell must not be negative")
-		}
-		m.Cell = *p.Cell
-	}
-	if p.Weight != nil {
-		w := *p.Weight
-		if math.IsNaN(w) || w < 0 || w > 1e6 {
-			return m, invalidf("weight must be from 0 to 1e6")
-		}
-		m.Weight = w
+	return nil
+}
+
+// apply returns m updated with the fields that p sets, or an error that wraps ErrInvalid. exists
+// reports whether m is already in the list; if not, m is the zero Member.
+func (p *Patch) apply(m Member, exists bool) (Member, error) {
+	if err := p.validate(); err != nil {
+		return Member{}, err
 	}
-	if p.StartedMS != nil {
-		if *p.StartedMS < 0 {
-			return m, invalidf("started_ms must not be negative")
+	if !exists {
+		if p.Addr == nil {
+			return Member{}, invalidf("a new entry needs addr")
 		}
-		m.StartedMS = *p.StartedMS
+		m.State = "ready"
+		m.Weight = 1
 	}
+	setField(&m.Addr, p.Addr)
+	setField(&m.Zone, p.Zone)
+	setField(&m.Kind, p.Kind)
+	setField(&m.Cell, p.Cell)
+	setField(&m.State, p.State)
+	setField(&m.Weight, p.Weight)
+	setField(&m.StartedMS, p.StartedMS)
 	return m, nil
 }
 
+// setField sets a field of a Member to a value of a Patch, if the patch has it.
+func setField[T any](field, value *T) {
+	if value != nil {
+		*field = *value
+	}
+}
+
 // command is the JSON payload of one raft log entry. Its keys are part of the stored format.
 type command struct {
 	Op    string `json:"op"` // "put" or "del"
@@ -272,14 +272,6 @@
 	return s.version
 }
 
-// Get returns the entry with the given id and whether it is in the list.
-func (s *Store) Get(id string) (Member, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	m, ok := s.members[id]
-	return m, ok
-}
-
 // ChangesSince returns the changes after afterVersion as one line of the protocol, together with the
 // current version. The line holds the whole list if some of the changes after afterVersion are not
 // retained, and is nil if afterVersion is the current version or newer. The caller must not modify
