--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -18,14 +19,18 @@
 )
 
 // failingStorage is a raftStorage whose next writes can be made to fail. A failing sync leaves the
-// written data in the file; a failing write leaves nothing, as on a full disk.
+// written data in the file; a failing write leaves nothing, as on a full disk. Writes hang while stall
+// is locked.
 type failingStorage struct {
 	*raftboltdb.BoltStore
+	stall                       sync.Mutex
 	failingSyncs, failingWrites atomic.Int32 // number of upcoming syncs and writes that fail
 }
 
 // runWrite runs a write and returns its error, or an injected error.
 func (d *failingStorage) runWrite(write func() error) error {
+	d.stall.Lock()
+	defer d.stall.Unlock()
 	if d.failingWrites.Add(-1) >= 0 {
 		return syscall.ENOSPC
 	}
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -247,10 +247,13 @@
 	return n.peers[id].HTTPAddr
 }
 
+// errCommitTimeout is returned for a write that did not commit in time. It may still commit.
+var errCommitTimeout = errors.New("catalog: not committed in time")
+
 // write commits one command and returns the version of the list after it. It must run on the
-// leader. timeout limits the wait until raft starts to commit the command, not the commit itself.
-// write fails with ErrInvalid, ErrNotFound, raft.ErrNotLeader, raft.ErrLeadershipLost (after which
-// the entry may still commit) or another raft error such as raft.ErrEnqueueTimeout.
+// leader. timeout limits the wait for the commit. write fails with ErrInvalid, ErrNotFound,
+// raft.ErrNotLeader, errCommitTimeout or raft.ErrLeadershipLost (after both of which the entry may
+// still commit), or another raft error such as raft.ErrEnqueueTimeout.
 func (n *Node) write(c command, timeout time.Duration) (uint64, error) {
 	if n.store.VersionBase() == 0 {
 		c.Base = uint64(time.Now().UnixMilli()) // a rebuilt catalog continues above all versions of the old one
@@ -259,8 +262,19 @@
 	if err != nil {
 		return 0, err
 	}
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	future := n.raft.Apply(data, timeout)
-	if err := future.Error(); err != nil {
+	// raft.Apply limits only the wait until raft takes the command. Raft steps down when it loses its
+	// quorum, but not while a write to its log hangs, and Error returns only once raft has decided.
+	decided := make(chan error, 1)
+	go func() { decided <- future.Error() }()
+	select {
+	case err = <-decided:
+	case <-timer.C:
+		err = errCommitTimeout
+	}
+	if err != nil {
 		return 0, err
 	}
 	r, _ := future.Response().(applyResult)
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -19,7 +19,7 @@
 const (
 	membersPath       = "/catalog/members"
 	keepAliveInterval = 2 * time.Second       // interval of the empty lines on an idle watch, set by the protocol
-	applyTimeout      = 5 * time.Second       // limits the wait until raft starts to commit a write
+	commitTimeout     = 5 * time.Second       // limits the wait for the commit of a write
 	headerForwarded   = "X-Catalog-Forwarded" // on a forwarded write: id of the instance that forwards it
 	// watchSendBufferBytes is the socket send buffer of a watch. It bounds the memory that a
 	// watcher which does not read can occupy on this instance (the kernel doubles the value).
@@ -224,7 +224,7 @@
 		n.forward(w, r, body)
 		return
 	}
-	version, err := n.write(c, applyTimeout)
+	version, err := n.write(c, commitTimeout)
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -235,15 +235,15 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipLost),
 		errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrRaftShutdown):
-		// After a loss of leadership the outcome is unknown: the entry may still commit.
+		// After a loss of leadership or a timeout the outcome is unknown: the entry may still commit.
 		writeUnavailable(w, "not committed here: "+err.Error(), 0)
 	default:
 		writeUnavailable(w, err.Error(), 0)
 	}
 }
 
-// forwardClient sends writes to the leader. Its timeout exceeds the leader's applyTimeout.
-var forwardClient = &http.Client{Timeout: applyTimeout + time.Second}
+// forwardClient sends writes to the leader. Its timeout exceeds the leader's commitTimeout.
+var forwardClient = &http.Client{Timeout: commitTimeout + time.Second}
 
 // forward sends a write to the leader and passes the leader's answer back to the caller. A write
 // that another instance forwarded is not forwarded again but answered with 503, as is a write while
--- a/internal/catalog/write_test.go
+++ b/internal/catalog/write_test.go
@@ -1,8 +1,10 @@
 package catalog
 
 import (
+	"errors"
 	"net/http"
 	"testing"
+	"time"
 )
 
 // A partial change of a host must be committed by an instance whose list does not hold the host yet,
@@ -23,3 +25,27 @@
 		t.Errorf("a partial change of an unknown host: status %d", status)
 	}
 }
+
+// A write must end at its timeout although raft hangs in a write to its log. The instance must take
+// writes again once the log does.
+func TestWriteTimesOutWhileLogHangs(t *testing.T) {
+	c := openSingleNode(t, t.TempDir(), freeAddr(t))
+	defer c.close()
+	c.mustPut("s-1")
+	c.storage.stall.Lock()
+	result := make(chan error, 1)
+	go func() {
+		_, err := c.node.write(command{Op: "del", ID: "s-1"}, 50*time.Millisecond)
+		result <- err
+	}()
+	select {
+	case err := <-result:
+		if !errors.Is(err, errCommitTimeout) {
+			t.Errorf("the write failed with %v, want %v", err, errCommitTimeout)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("the write did not end")
+	}
+	c.storage.stall.Unlock()
+	c.mustPut("s-2")
+}
