--- /dev/null
+++ b/internal/catalog/datadir.go
@@ -0,0 +1,135 @@
+package catalog
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+
+	"github.com/hashicorp/raft"
+)
+
+const (
+	storageFile    = "raft.db"
+	newStorageFile = "raft.db.new" // renamed to storageFile once it holds the bootstrapped cluster
+)
+
+// createDataDir creates the data folder unless it exists.
+func createDataDir(dir string) error {
+	if _, err := os.Stat(dir); !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	return syncDir(filepath.Dir(dir))
+}
+
+// syncDir makes the entries of a folder durable.
+func syncDir(dir string) error {
+	f, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	return f.Sync()
+}
+
+// openStorage opens raft's storage in the data folder. If the folder holds no raft state, it first
+// bootstraps the cluster with opt.Peers as its configuration.
+func openStorage(opt Options, cfg *raft.Config, snapshots raft.SnapshotStore, transport raft.Transport) (*retryingStorage, error) {
+	path := filepath.Join(opt.DataDir, storageFile)
+	storage, err := openStorageWithState(opt, path, snapshots)
+	if err != nil {
+		return nil, err
+	}
+	if storage == nil {
+		if err := createStorage(opt, path, cfg, snapshots, transport); err != nil {
+			return nil, err
+		}
+		if storage, err = openStorageFile(opt, path); err != nil {
+			return nil, err
+		}
+	}
+	// Nothing else makes the entries of raft.db and of the folder of the snapshots durable.
+	if err := syncDir(opt.DataDir); err != nil {
+		storage.Close()
+		return nil, fmt.Errorf("catalog: data folder: %w", err)
+	}
+	return storage, nil
+}
+
+func openStorageFile(opt Options, path string) (*retryingStorage, error) {
+	underlying, err := opt.openStorage(path)
+	if err != nil {
+		return nil, fmt.Errorf("catalog: log store: %w", err)
+	}
+	return newRetryingStorage(underlying), nil
+}
+
+// openStorageWithState opens the storage at path, or returns nil if there is none or if neither it nor
+// the snapshots hold raft state.
+func openStorageWithState(opt Options, path string, snapshots raft.SnapshotStore) (*retryingStorage, error) {
+	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	} else if err != nil {
+		return nil, fmt.Errorf("catalog: data folder: %w", err)
+	}
+	storage, err := openStorageFile(opt, path)
+	if err != nil {
+		return nil, err
+	}
+	hasState, err := raft.HasExistingState(storage, storage, snapshots)
+	if err == nil && hasState {
+		return storage, nil
+	}
+	storage.Close()
+	if err != nil {
+		return nil, fmt.Errorf("catalog: data folder: %w", err)
+	}
+	return nil, nil
+}
+
+// createStorage puts a new storage at path that holds a bootstrapped cluster, or no state if there are
+// snapshots.
+//
+// A bootstrap takes several writes: raft counts a folder with a term alone as bootstrapped, although
+// such an instance has no configuration and never elects a leader, and a part of an empty database is
+// not readable. The storage is therefore built in a file of another name, so that an interrupted
+// bootstrap starts anew.
+func createStorage(opt Options, path string, cfg *raft.Config, snapshots raft.SnapshotStore, transport raft.Transport) error {
+	newPath := filepath.Join(opt.DataDir, newStorageFile)
+	if err := os.RemoveAll(newPath); err != nil {
+		return fmt.Errorf("catalog: data folder: %w", err)
+	}
+	storage, err := openStorageFile(opt, newPath)
+	if err != nil {
+		return err
+	}
+	err = bootstrap(opt.Peers, cfg, storage, snapshots, transport)
+	if closeErr := storage.Close(); err == nil {
+		err = closeErr
+	}
+	if err != nil {
+		return fmt.Errorf("catalog: bootstrap: %w", err)
+	}
+	if err := os.Rename(newPath, path); err != nil {
+		return fmt.Errorf("catalog: data folder: %w", err)
+	}
+	return nil
+}
+
+// bootstrap stores the first configuration of the cluster, unless there are snapshots, which hold one.
+func bootstrap(peers []Peer, cfg *raft.Config, storage raftStorage, snapshots raft.SnapshotStore, transport raft.Transport) error {
+	hasState, err := raft.HasExistingState(storage, storage, snapshots)
+	if err != nil || hasState {
+		return err
+	}
+	var configuration raft.Configuration
+	for _, p := range peers {
+		server := raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.RaftAddr)}
+		configuration.Servers = append(configuration.Servers, server)
+	}
+	return raft.BootstrapCluster(cfg, storage, storage, snapshots, transport, configuration)
+}
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"os"
-	"path/filepath"
 	"strings"
 	"time"
 
@@ -130,26 +129,18 @@
 	if !selfListed {
 		return nil, fmt.Errorf("catalog: id %q is not among the peers", opt.ID)
 	}
-	if err := os.MkdirAll(opt.DataDir, 0o755); err != nil {
-		return nil, fmt.Errorf("catalog: data folder: %w", err)
-	}
 	if opt.openStorage == nil {
 		opt.openStorage = openBoltStorage
 	}
-	underlying, err := opt.openStorage(filepath.Join(opt.DataDir, "raft.db"))
-	if err != nil {
-		return nil, fmt.Errorf("catalog: log store: %w", err)
+	if err := createDataDir(opt.DataDir); err != nil {
+		return nil, fmt.Errorf("catalog: data folder: %w", err)
 	}
-	storage := newRetryingStorage(underlying)
-	n.storage = storage
 	snapshots, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
 	if err != nil {
-		storage.Close()
 		return nil, fmt.Errorf("catalog: snapshot store: %w", err)
 	}
 	ln, err := net.Listen("tcp", opt.RaftAddr)
 	if err != nil {
-		storage.Close()
 		return nil, fmt.Errorf("catalog: raft address: %w", err)
 	}
 	n.transport = raft.NewNetworkTransport(&streamLayer{Listener: ln, dialOverrides: opt.DialOverrides}, 3, 2*time.Second, opt.LogOutput)
@@ -160,21 +151,12 @@
 	cfg.CommitTimeout = 20 * time.Millisecond
 	cfg.SnapshotThreshold = 1024
 	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.LogOutput})
-	hasState, err := raft.HasExistingState(storage, storage, snapshots)
+	storage, err := openStorage(opt, cfg, snapshots, n.transport)
 	if err != nil {
-		n.closeTransportAndStorage()
-		return nil, fmt.Errorf("catalog: data folder: %w", err)
-	}
-	if !hasState {
-		var c raft.Configuration
-		for _, p := range opt.Peers {
-			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.RaftAddr)})
-		}
-		if err := raft.BootstrapCluster(cfg, storage, storage, snapshots, n.transport, c); err != nil {
-			n.closeTransportAndStorage()
-			return nil, fmt.Errorf("catalog: bootstrap: %w", err)
-		}
+		n.transport.Close()
+		return nil, err
 	}
+	n.storage = storage
 	n.raft, err = raft.NewRaft(cfg, n.store, storage, storage, snapshots, n.transport)
 	if err != nil {
 		n.closeTransportAndStorage()
@@ -183,11 +165,9 @@
 	return n, nil
 }
 
-// closeTransportAndStorage closes the raft transport, if there is one, and the raft storage.
+// closeTransportAndStorage closes the raft transport and the raft storage.
 func (n *Node) closeTransportAndStorage() {
-	if n.transport != nil {
-		n.transport.Close()
-	}
+	n.transport.Close()
 	n.storage.Close()
 }
 
