--- a/internal/catalog/crash_test.go
+++ b/internal/catalog/crash_test.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"testing"
@@ -138,6 +140,9 @@
 		t.Fatal(err)
 	}
 	checkStart("folder not renamed")
+	if _, err := os.Stat(newest + ".tmp"); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("the folder of the interrupted snapshot was not removed: %v", err)
+	}
 }
 
 // A list that is cut at any byte must not be restored in part.
--- a/internal/catalog/datadir.go
+++ b/internal/catalog/datadir.go
@@ -4,8 +4,10 @@
 	"errors"
 	"fmt"
 	"io/fs"
+	"log/slog"
 	"os"
 	"path/filepath"
+	"strings"
 
 	"github.com/hashicorp/raft"
 )
@@ -36,6 +38,22 @@
 	return f.Sync()
 }
 
+// removeInterruptedSnapshots removes the folders of snapshots that were not completed. Raft passes over
+// them but never removes them.
+func removeInterruptedSnapshots(dataDir string) {
+	const suffix = ".tmp" // of a snapshot's folder until raft renames it
+	dir := filepath.Join(dataDir, "snapshots")
+	entries, err := os.ReadDir(dir)
+	for _, entry := range entries {
+		if strings.HasSuffix(entry.Name(), suffix) {
+			err = errors.Join(err, os.RemoveAll(filepath.Join(dir, entry.Name())))
+		}
+	}
+	if err != nil {
+		slog.Warn("interrupted snapshots not removed", "err", err)
+	}
+}
+
 // openStorage opens raft's storage in the data folder. If the folder holds no raft state, it first
 // bootstraps the cluster with opt.Peers as its configuration.
 func openStorage(opt Options, cfg *raft.Config, snapshots raft.SnapshotStore, transport raft.Transport) (*retryingStorage, error) {
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -151,6 +151,7 @@
 	cfg.CommitTimeout = 20 * time.Millisecond
 	cfg.SnapshotThreshold = 1024
 	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.LogOutput})
+	removeInterruptedSnapshots(opt.DataDir)
 	storage, err := openStorage(opt, cfg, snapshots, n.transport)
 	if err != nil {
 		n.transport.Close()
