--- a/internal/catalog/gate.go
+++ b/internal/catalog/gate.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -103,14 +101,3 @@
 	}
 	return admit.NoList
 }
-
-// writeUnavailable answers 503 with a Retry-After header in seconds with three decimals. If
-// retryAfter is not positive, it is drawn at random from 0.5 s to 1.5 s, so that callers rejected
-// together do not retry together.
-func writeUnavailable(w http.ResponseWriter, reason string, retryAfter time.Duration) {
-	if retryAfter <= 0 {
-		retryAfter = time.Second/2 + rand.N(time.Second)
-	}
-	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
-	http.Error(w, reason, http.StatusServiceUnavailable)
-}
