--- a/internal/catalog/changes.go
+++ b/internal/catalog/changes.go
@@ -2,10 +2,14 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"sort"
 )
 
+// maxRetainedChanges is the number of recent changes that are kept for resuming watches.
+const maxRetainedChanges = 4096
+
 // change is one applied change that is retained for watches. Encoded is the member as JSON, encoded
 // once for all watches.
 type change struct {
@@ -14,6 +18,19 @@
 	Encoded []byte
 }
 
+// retainChange retains a change at the current version, and drops the oldest one beyond
+// maxRetainedChanges. The caller holds s.mu.
+func (s *Store) retainChange(m Member) {
+	encoded, _ := json.Marshal(m)
+	s.changes = append(s.changes, change{Version: s.version, ID: m.ID, Encoded: encoded})
+	excess := len(s.changes) - maxRetainedChanges
+	if excess <= 0 {
+		return
+	}
+	s.resumableFrom = s.changes[excess-1].Version
+	s.changes = append([]change(nil), s.changes[excess:]...)
+}
+
 // ChangesSince returns the changes after afterVersion as one line of the protocol, together with the
 // current version. The line holds the whole list if some of the changes after afterVersion are not
 // retained, and is nil if afterVersion is the current version or newer. The caller must not modify
@@ -28,26 +45,31 @@
 		return s.encodedListLocked(), s.version, s.changed
 	}
 	start := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > afterVersion })
-	// Each change carries the whole member, so only the newest one of each member is sent.
-	newest := map[string]int{}
-	for j := start; j < len(s.changes); j++ {
-		newest[s.changes[j].ID] = j
+	return encodeChanges(s.version, s.changes[start:]), s.version, s.changed
+}
+
+// encodeChanges returns a protocol line with the given version and the newest change of each member,
+// which is enough because each change carries the whole member.
+func encodeChanges(version uint64, changes []change) []byte {
+	newest := map[string]int{} // index of the newest change by member id
+	for i, c := range changes {
+		newest[c.ID] = i
 	}
 	var buf bytes.Buffer
-	fmt.Fprintf(&buf, `{"version":%d,"full":false,"servers":[`, s.version)
+	fmt.Fprintf(&buf, `{"version":%d,"full":false,"servers":[`, version)
 	firstChange := true
-	for j := start; j < len(s.changes); j++ {
-		if newest[s.changes[j].ID] != j {
+	for i, c := range changes {
+		if newest[c.ID] != i {
 			continue
 		}
 		if !firstChange {
 			buf.WriteByte(',')
 		}
 		firstChange = false
-		buf.Write(s.changes[j].Encoded)
+		buf.Write(c.Encoded)
 	}
 	buf.WriteString("]}\n")
-	return buf.Bytes(), s.version, s.changed
+	return buf.Bytes()
 }
 
 // encodeNoChanges returns a protocol line with the given version and no changes.
--- a/internal/catalog/member.go
+++ b/internal/catalog/member.go
@@ -17,11 +17,18 @@
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"`      // "ready", "draining", or "gone" in a change that removes the host
+	State     string  `json:"state"`      // stateReady, stateDraining, or stateGone in a change that removes the host
 	Weight    float64 `json:"weight"`     // from 0 to 1e6
 	StartedMS int64   `json:"started_ms"` // when the host started, in Unix milliseconds
 }
 
+// The states of a host as the discovery protocol encodes them.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone" // removed from the list
+)
+
 // List is one message of the discovery protocol. If Full is set, Servers holds all hosts;
 // otherwise it holds the hosts that changed since an earlier version, with removed hosts in state
 // "gone".
@@ -33,7 +40,7 @@
 
 // Patch is the body of a write. Fields that are present replace those of the entry; absent or null
 // fields leave an existing entry unchanged. A new entry requires Addr and starts in state ready
-// with weight 1 unless the patch sets these.
+// with weight 1 unless the patch sets these. The units are those of Member.
 type Patch struct {
 	Addr      *string  `json:"addr"`
 	Zone      *string  `json:"zone"`
@@ -44,12 +51,12 @@
 	StartedMS *int64   `json:"started_ms"`
 }
 
-// Limits on writes and on the retained changes.
+// Limits on writes.
 const (
-	MaxBodyBytes       = 64 << 10 // maximum size of the body of a write
-	MaxIDBytes         = 128      // maximum length of an entry's id
-	MaxFieldBytes      = 256      // maximum length of addr, zone and kind
-	maxRetainedChanges = 4096     // number of recent changes kept for resuming watches
+	MaxBodyBytes  = 64 << 10 // maximum size of the body of a write
+	MaxIDBytes    = 128      // maximum length of an entry's id
+	MaxFieldBytes = 256      // maximum length of addr, zone and kind
+	maxWeight     = 1e6
 )
 
 // ErrInvalid marks a malformed write. No part of such a write is applied.
@@ -105,13 +112,13 @@
 			return invalidf("addr must be host:port")
 		}
 	}
-	if p.State != nil && *p.State != "ready" && *p.State != "draining" {
+	if p.State != nil && *p.State != stateReady && *p.State != stateDraining {
 		return invalidf("state must be ready or draining (gone is DELETE)")
 	}
 	if p.Cell != nil && *p.Cell < 0 {
 		return invalidf("cell must not be negative")
 	}
-	if p.Weight != nil && (math.IsNaN(*p.Weight) || *p.Weight < 0 || *p.Weight > 1e6) {
+	if p.Weight != nil && (math.IsNaN(*p.Weight) || *p.Weight < 0 || *p.Weight > maxWeight) {
 		return invalidf("weight must be from 0 to 1e6")
 	}
 	if p.StartedMS != nil && *p.StartedMS < 0 {
@@ -130,7 +137,7 @@
 		if p.Addr == nil {
 			return Member{}, invalidf("a new entry needs addr")
 		}
-		m.State = "ready"
+		m.State = stateReady
 		m.Weight = 1
 	}
 	setField(&m.Addr, p.Addr)
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -3,14 +3,9 @@
 import (
 	"errors"
 	"fmt"
-	"net"
-	"os"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-
-	"bramblelock/internal/admit"
 )
 
 // Node is one running instance of the catalog.
@@ -25,79 +20,37 @@
 	admission  *admissionController
 }
 
+// retainedSnapshots is the number of complete snapshots that raft keeps.
+const retainedSnapshots = 2
+
 // Open starts an instance on its data folder, which is created if needed. It does not listen on
 // opt.HTTPAddr. If the folder holds no raft state, the cluster is bootstrapped with opt.Peers as its
 // initial configuration. Otherwise raft uses its stored configuration, and opt.Peers serves only to
 // find the leader's HTTP address. The id of this instance must be among opt.Peers unless they are
 // empty. End the instance with Close.
 func Open(opt Options) (*Node, error) {
-	if opt.ID == "" {
-		opt.ID = "c1"
-	}
-	if len(opt.Peers) == 0 {
-		opt.Peers = []Peer{{ID: opt.ID, RaftAddr: opt.RaftAddr, HTTPAddr: opt.HTTPAddr}}
-	}
-	if opt.HeartbeatTimeout <= 0 {
-		opt.HeartbeatTimeout = 500 * time.Millisecond
-	}
-	if opt.StaleAfter <= 0 {
-		opt.StaleAfter = 2 * time.Second
-	}
-	if opt.WatchWriteTimeout <= 0 {
-		opt.WatchWriteTimeout = 5 * time.Second
-	}
-	if opt.MaxWatches <= 0 {
-		opt.MaxWatches = 8192
-	}
-	if opt.CallLimits == (admit.Options{}) {
-		opt.CallLimits = DefaultCallLimits
-	}
-	if c := opt.CallLimits; c.Work < 1 || c.Queue < 1 || c.Wait <= 0 || c.Least <= 0 || c.Most <= 0 {
-		return nil, fmt.Errorf("catalog: calls: %+v: each bound must be above 0", c)
-	}
-	if opt.LogOutput == nil {
-		opt.LogOutput = os.Stderr
-	}
-	n := &Node{opt: opt, store: NewStore(), peers: map[raft.ServerID]Peer{},
-		watchSlots: make(chan struct{}, opt.MaxWatches), admission: newAdmissionController(opt.CallLimits)}
-	selfListed := false
-	for _, p := range opt.Peers {
-		n.peers[raft.ServerID(p.ID)] = p
-		selfListed = selfListed || p.ID == opt.ID
-	}
-	if !selfListed {
-		return nil, fmt.Errorf("catalog: id %q is not among the peers", opt.ID)
-	}
-	if opt.openStorage == nil {
-		opt.openStorage = openBoltStorage
+	opt = opt.withDefaults()
+	if err := opt.validate(); err != nil {
+		return nil, err
 	}
 	if err := createDataDir(opt.DataDir); err != nil {
 		return nil, fmt.Errorf("catalog: data folder: %w", err)
 	}
-	snapshots, err := raft.NewFileSnapshotStore(opt.DataDir, 2, opt.LogOutput)
+	snapshots, err := raft.NewFileSnapshotStore(opt.DataDir, retainedSnapshots, opt.LogOutput)
 	if err != nil {
 		return nil, fmt.Errorf("catalog: snapshot store: %w", err)
 	}
-	ln, err := net.Listen("tcp", opt.RaftAddr)
-	if err != nil {
-		return nil, fmt.Errorf("catalog: raft address: %w", err)
+	n := newNode(opt)
+	if n.transport, err = listenRaft(opt); err != nil {
+		return nil, err
 	}
-	n.transport = raft.NewNetworkTransport(&streamLayer{Listener: ln, dialOverrides: opt.DialOverrides}, 3, 2*time.Second, opt.LogOutput)
-	cfg := raft.DefaultConfig()
-	cfg.LocalID = raft.ServerID(opt.ID)
-	cfg.HeartbeatTimeout, cfg.ElectionTimeout = opt.HeartbeatTimeout, opt.HeartbeatTimeout
-	cfg.LeaderLeaseTimeout = opt.HeartbeatTimeout / 2
-	cfg.CommitTimeout = 20 * time.Millisecond
-	cfg.SnapshotThreshold = 1024
-	cfg.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: opt.LogOutput})
 	removeInterruptedSnapshots(opt.DataDir)
-	storage, err := openStorage(opt, cfg, snapshots, n.transport)
-	if err != nil {
+	config := newRaftConfig(opt)
+	if n.storage, err = openStorage(opt, config, snapshots, n.transport); err != nil {
 		n.transport.Close()
 		return nil, err
 	}
-	n.storage = storage
-	n.raft, err = raft.NewRaft(cfg, n.store, storage, storage, snapshots, n.transport)
+	n.raft, err = raft.NewRaft(config, n.store, n.storage, n.storage, snapshots, n.transport)
 	if err != nil {
 		n.closeTransportAndStorage()
 		return nil, fmt.Errorf("catalog: raft: %w", err)
@@ -105,6 +58,21 @@
 	return n, nil
 }
 
+// newNode returns a Node without raft.
+func newNode(opt Options) *Node {
+	n := &Node{
+		opt:        opt,
+		store:      NewStore(),
+		peers:      map[raft.ServerID]Peer{},
+		watchSlots: make(chan struct{}, opt.MaxWatches),
+		admission:  newAdmissionController(opt.CallLimits),
+	}
+	for _, p := range opt.Peers {
+		n.peers[raft.ServerID(p.ID)] = p
+	}
+	return n
+}
+
 // closeTransportAndStorage closes the raft transport and the raft storage.
 func (n *Node) closeTransportAndStorage() {
 	n.transport.Close()
--- a/internal/catalog/options.go
+++ b/internal/catalog/options.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"io"
+	"os"
+	"slices"
 	"strings"
 	"time"
 
@@ -12,7 +14,9 @@
 // Peer identifies one instance of a catalog cluster: its raft id, the address on which raft listens
 // and the address on which its HTTP server listens.
 type Peer struct {
-	ID, RaftAddr, HTTPAddr string
+	ID       string
+	RaftAddr string // host:port
+	HTTPAddr string // host:port
 }
 
 // ParsePeers parses the value of the -peers flag, a comma-separated list of
@@ -66,3 +70,47 @@
 // DefaultCallLimits allows 32 list calls in flight and 1,024 waiting for up to 1 s. Rejected callers
 // are asked to retry within 10 s, at times at least 2 ms apart (500 per second).
 var DefaultCallLimits = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
+
+// withDefaults returns opt with the default in each field that is unset.
+func (opt Options) withDefaults() Options {
+	if opt.ID == "" {
+		opt.ID = "c1"
+	}
+	if len(opt.Peers) == 0 {
+		opt.Peers = []Peer{{ID: opt.ID, RaftAddr: opt.RaftAddr, HTTPAddr: opt.HTTPAddr}}
+	}
+	if opt.HeartbeatTimeout <= 0 {
+		opt.HeartbeatTimeout = 500 * time.Millisecond
+	}
+	if opt.StaleAfter <= 0 {
+		opt.StaleAfter = 2 * time.Second
+	}
+	if opt.WatchWriteTimeout <= 0 {
+		opt.WatchWriteTimeout = 5 * time.Second
+	}
+	if opt.MaxWatches <= 0 {
+		opt.MaxWatches = 8192
+	}
+	if opt.CallLimits == (admit.Options{}) {
+		opt.CallLimits = DefaultCallLimits
+	}
+	if opt.LogOutput == nil {
+		opt.LogOutput = os.Stderr
+	}
+	if opt.openStorage == nil {
+		opt.openStorage = openBoltStorage
+	}
+	return opt
+}
+
+// validate checks options that have their defaults.
+func (opt Options) validate() error {
+	if c := opt.CallLimits; c.Work < 1 || c.Queue < 1 || c.Wait <= 0 || c.Least <= 0 || c.Most <= 0 {
+		return fmt.Errorf("catalog: calls: %+v: each bound must be above 0", c)
+	}
+	isSelf := func(p Peer) bool { return p.ID == opt.ID }
+	if !slices.ContainsFunc(opt.Peers, isSelf) {
+		return fmt.Errorf("catalog: id %q is not among the peers", opt.ID)
+	}
+	return nil
+}
--- a/internal/catalog/server.go
+++ b/internal/catalog/server.go
@@ -1,34 +1,15 @@
 package catalog
 
 import (
-	"context"
 	"encoding/json"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
 	"time"
 )
 
-const (
-	membersPath       = "/catalog/members"
-	keepAliveInterval = 2 * time.Second       // interval of the empty lines on an idle watch, set by the protocol
-	commitTimeout     = 5 * time.Second       // limits the wait for the commit of a write
-	headerForwarded   = "X-Catalog-Forwarded" // on a forwarded write: id of the instance that forwards it
-	// watchSendBufferBytes is the socket send buffer of a watch. It bounds the memory that a
-	// watcher which does not read can occupy on this instance (the kernel doubles the value).
-	watchSendBufferBytes = 64 << 10
-)
-
-// connContextKey is the context key of the connection that carries a request.
-type connContextKey struct{}
-
-// ConnContext must be set as http.Server.ConnContext. It gives a watch access to its connection, so
-// that the watch can limit its send buffer to watchSendBufferBytes.
-func ConnContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connContextKey{}, c)
-}
+const membersPath = "/catalog/members"
 
 // Handler returns the HTTP handler for the discovery protocol, the writes and the status:
 //
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -33,15 +33,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members, s.versionBase, s.version, s.resumableFrom, s.changes = members, snap.Base, snap.Version, snap.Version, nil
-	close(s.changed)
-	s.changed, s.encodedList = make(chan struct{}), nil
+	s.members = members
+	s.versionBase = snap.Base
+	s.version = snap.Version
+	s.resumableFrom = snap.Version
+	s.changes = nil
+	s.notifyChanged()
 	return nil
 }
 
 // snapshot is the stored form of the list. Its JSON keys are part of the snapshot format.
 type snapshot struct {
-	Base    uint64   `json:"base,omitempty"`
+	Base    uint64   `json:"base,omitempty"` // the version base in Unix milliseconds
 	Version uint64   `json:"version"`
 	Servers []Member `json:"servers"`
 }
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -11,9 +11,15 @@
 	"github.com/hashicorp/raft"
 )
 
+// The operations of a command, as stored.
+const (
+	opPut    = "put"
+	opDelete = "del"
+)
+
 // command is the JSON payload of one raft log entry. Its keys are part of the stored format.
 type command struct {
-	Op    string `json:"op"` // "put" or "del"
+	Op    string `json:"op"` // opPut or opDelete
 	ID    string `json:"id"`
 	Patch Patch  `json:"patch,omitempty"`
 	// Base is the proposed version base in Unix milliseconds. It is 0 if the leader's list has a
@@ -54,36 +60,47 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, exists := s.members[c.ID]
-	var m Member
+	changedMember, err := s.applyCommand(c)
+	if err != nil {
+		return applyResult{Version: s.version, Err: err}
+	}
+	s.setVersion(c.Base, entry.Index)
+	s.retainChange(changedMember)
+	s.notifyChanged()
+	return applyResult{Version: s.version}
+}
+
+// applyCommand applies a command to the members and returns the changed one, in stateGone if it was
+// removed. It changes nothing if it fails, with ErrNotFound or an error that wraps ErrInvalid. The
+// caller holds s.mu.
+func (s *Store) applyCommand(c command) (Member, error) {
+	member, exists := s.members[c.ID]
 	switch c.Op {
-	case "put":
-		var err error
-		if m, err = c.Patch.apply(old, exists); err != nil {
-			return applyResult{Version: s.version, Err: err}
+	case opPut:
+		member, err := c.Patch.apply(member, exists)
+		if err != nil {
+			return Member{}, err
 		}
-		m.ID = c.ID
-		s.members[c.ID] = m
-	case "del":
+		member.ID = c.ID
+		s.members[c.ID] = member
+		return member, nil
+	case opDelete:
 		if !exists {
-			return applyResult{Version: s.version, Err: ErrNotFound}
+			return Member{}, ErrNotFound
 		}
-		m = old
-		m.State = "gone"
 		delete(s.members, c.ID)
+		member.State = stateGone
+		return member, nil
 	default:
-		return applyResult{Version: s.version, Err: invalidf("op %q", c.Op)}
-	}
-	line, _ := json.Marshal(m)
-	s.setVersion(c.Base, entry.Index)
-	s.changes = append(s.changes, change{Version: s.version, ID: c.ID, Encoded: line})
-	if len(s.changes) > maxRetainedChanges {
-		s.resumableFrom = s.changes[len(s.changes)-maxRetainedChanges-1].Version
-		s.changes = append(s.changes[:0:0], s.changes[len(s.changes)-maxRetainedChanges:]...)
+		return Member{}, invalidf("op %q", c.Op)
 	}
+}
+
+// notifyChanged wakes the watches after a change of the list. The caller holds s.mu.
+func (s *Store) notifyChanged() {
+	s.encodedList = nil
 	close(s.changed)
-	s.changed, s.encodedList = make(chan struct{}), nil
-	return applyResult{Version: s.version}
+	s.changed = make(chan struct{})
 }
 
 // setVersion sets the version for a change at the given raft index, after setting the version base
@@ -123,6 +140,7 @@
 	return s.encodedListLocked(), s.version
 }
 
+// encodedListLocked returns the whole list as one line of the protocol. The caller holds s.mu.
 func (s *Store) encodedListLocked() []byte {
 	if s.encodedList == nil {
 		b, _ := json.Marshal(List{Version: s.version, Full: true, Servers: s.sortedMembersLocked()})
@@ -131,6 +149,7 @@
 	return s.encodedList
 }
 
+// sortedMembersLocked returns the members in the order of their ids. The caller holds s.mu.
 func (s *Store) sortedMembersLocked() []Member {
 	members := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
--- a/internal/catalog/watch.go
+++ b/internal/catalog/watch.go
@@ -7,6 +7,13 @@
 	"time"
 )
 
+// keepAliveInterval is the interval of the empty lines on an idle watch, set by the protocol.
+const keepAliveInterval = 2 * time.Second
+
+// watchSendBufferBytes is the socket send buffer of a watch. It bounds the memory that a watcher which
+// does not read can occupy on this instance (the kernel doubles the value).
+const watchSendBufferBytes = 64 << 10
+
 // serveWatch sends the changes after afterVersion, then every further change, and an empty line every
 // keepAliveInterval while the list does not change. The first line is that of initialLine, which may
 // hold the whole list; without one the answer is 503. The watch ends when the watcher disconnects,
@@ -17,41 +24,48 @@
 	if c, ok := r.Context().Value(connContextKey{}).(*net.TCPConn); ok {
 		c.SetWriteBuffer(watchSendBufferBytes)
 	}
-	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	send := func(data []byte) bool {
-		controller.SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
-		if _, err := w.Write(data); err != nil {
-			return false
-		}
-		return controller.Flush() == nil
-	}
-	line, afterVersion := n.initialLine(r.Context(), afterVersion)
+	line, version := n.initialLine(r.Context(), afterVersion)
 	if line == nil {
 		writeUnavailable(w, "behind, without a leader", 0)
 		return
 	}
-	if !send(line) {
+	send := func(line []byte) error {
+		controller := http.NewResponseController(w)
+		controller.SetWriteDeadline(time.Now().Add(n.opt.WatchWriteTimeout))
+		if _, err := w.Write(line); err != nil {
+			return err
+		}
+		return controller.Flush()
+	}
+	if send(line) != nil {
 		return
 	}
+	n.sendChanges(r.Context(), version, send, releaseAdmission)
+}
+
+// sendChanges sends every change after the given version, and an empty line every keepAliveInterval
+// while there is none, until ctx ends, send fails or this instance becomes stale. It calls
+// releaseAdmission whenever all changes are sent.
+func (n *Node) sendChanges(ctx context.Context, version uint64, send func(line []byte) error, releaseAdmission func()) {
 	keepAliveTicker := time.NewTicker(keepAliveInterval)
 	defer keepAliveTicker.Stop()
 	for {
-		line, version, changed := n.store.ChangesSince(afterVersion)
+		line, newVersion, changed := n.store.ChangesSince(version)
 		if line != nil {
-			if !send(line) {
+			if send(line) != nil {
 				return
 			}
-			afterVersion = version
+			version = newVersion
 			continue
 		}
 		releaseAdmission()
 		select {
-		case <-r.Context().Done():
+		case <-ctx.Done():
 			return
 		case <-changed:
 		case <-keepAliveTicker.C:
-			if n.StaleReason() != "" || !send([]byte("\n")) {
+			if n.StaleReason() != "" || send([]byte("\n")) != nil {
 				return
 			}
 		}
@@ -92,3 +106,12 @@
 	}
 	return n.store.FullList()
 }
+
+// connContextKey is the context key of the connection that carries a request.
+type connContextKey struct{}
+
+// ConnContext must be set as http.Server.ConnContext. It gives a watch access to its connection, so
+// that the watch can limit its send buffer to watchSendBufferBytes.
+func ConnContext(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, c)
+}
--- a/internal/catalog/write.go
+++ b/internal/catalog/write.go
@@ -12,6 +12,12 @@
 	"github.com/hashicorp/raft"
 )
 
+// commitTimeout limits the wait for the commit of a write.
+const commitTimeout = 5 * time.Second
+
+// headerForwarded holds, on a forwarded write, the id of the instance that forwards it.
+const headerForwarded = "X-Catalog-Forwarded"
+
 // errCommitTimeout is returned for a write that did not commit in time. It may still commit.
 var errCommitTimeout = errors.New("catalog: not committed in time")
 
@@ -46,36 +52,30 @@
 	return r.Version, r.Err
 }
 
+// Errors of writes that are refused for their body, besides ErrInvalid.
+var (
+	errBodyTooLong = fmt.Errorf("body over %d bytes", MaxBodyBytes)
+	errBodyUnread  = errors.New("body")
+)
+
 // serveWrite commits a PUT or DELETE of one entry on the leader. Any other instance checks the form of
 // the write and forwards it.
 func (n *Node) serveWrite(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if err := ValidateID(id); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
+		answerWriteError(w, err)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
+	body, err := readBody(w, r)
 	if err != nil {
-		var tooBig *http.MaxBytesError
-		if errors.As(err, &tooBig) {
-			http.Error(w, fmt.Sprintf("body over %d bytes", MaxBodyBytes), http.StatusRequestEntityTooLarge)
-			return
-		}
-		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
+		answerWriteError(w, err)
 		return
 	}
-	c := command{Op: "del", ID: id}
+	c := command{Op: opDelete, ID: id}
 	if r.Method == http.MethodPut {
-		c.Op = "put"
-		if c.Patch, err = DecodePatch(body); err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		// This keeps most invalid writes out of the raft log. Whether the entry exists is decided by
-		// Store.Apply alone: the list of this instance may be behind acknowledged writes, not only
-		// on a follower but also on a leader that has not yet applied the log it was elected with.
-		if err := c.Patch.validate(); err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
+		c.Op = opPut
+		if c.Patch, err = decodeValidPatch(body); err != nil {
+			answerWriteError(w, err)
 			return
 		}
 	}
@@ -84,19 +84,53 @@
 		return
 	}
 	version, err := n.write(c, commitTimeout)
+	if err != nil {
+		answerWriteError(w, err)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	fmt.Fprintf(w, "{\"version\":%d}\n", version)
+}
+
+// readBody reads the body of a write. It fails with errBodyTooLong or an error that wraps errBodyUnread.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
+		return nil, errBodyTooLong
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errBodyUnread, err)
+	}
+	return body, nil
+}
+
+// decodeValidPatch decodes a patch and checks it, which keeps most invalid writes out of the raft log.
+// Whether the entry exists is decided by Store.Apply alone: the list of this instance may be behind
+// acknowledged writes, not only on a follower but also on a leader that has not yet applied the log it
+// was elected with.
+func decodeValidPatch(body []byte) (Patch, error) {
+	patch, err := DecodePatch(body)
+	if err != nil {
+		return Patch{}, err
+	}
+	return patch, patch.validate()
+}
+
+// answerWriteError answers a write that failed, with a status that depends on the type of the error.
+func answerWriteError(w http.ResponseWriter, err error) {
 	switch {
-	case err == nil:
-		w.Header().Set("Content-Type", "application/json")
-		fmt.Fprintf(w, "{\"version\":%d}\n", version)
-	case errors.Is(err, ErrInvalid):
+	case errors.Is(err, errBodyTooLong):
+		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
+	case errors.Is(err, ErrInvalid), errors.Is(err, errBodyUnread):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipLost),
 		errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrRaftShutdown):
-		// After a loss of leadership or a timeout the outcome is unknown: the entry may still commit.
+		// After a loss of leadership the outcome is unknown: the entry may still commit.
 		writeUnavailable(w, "not committed here: "+err.Error(), 0)
-	default:
+	default: // errCommitTimeout, whose outcome is unknown too, and other errors of raft
 		writeUnavailable(w, err.Error(), 0)
 	}
 }
