--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -2,28 +2,41 @@
 
 import (
 	"bytes"
-	"log/slog"
 	"time"
 
 	"github.com/hashicorp/memberlist"
 )
 
-// events implements memberlist's EventDelegate, AliveDelegate and PingDelegate.
+// events implements memberlist's EventDelegate, AliveDelegate and PingDelegate. Memberlist may hold its
+// lock during these calls.
 type events Node
 
+var (
+	_ memberlist.EventDelegate = (*events)(nil)
+	_ memberlist.AliveDelegate = (*events)(nil)
+	_ memberlist.PingDelegate  = (*events)(nil)
+)
+
+// NotifyJoin implements memberlist.EventDelegate.
 func (e *events) NotifyJoin(m *memberlist.Node) { (*Node)(e).applyEvent(m, Alive) }
 
+// NotifyUpdate implements memberlist.EventDelegate. A peer's metadata has changed.
 func (e *events) NotifyUpdate(m *memberlist.Node) { (*Node)(e).applyEvent(m, Alive) }
 
-func (e *events) NotifyLeave(m *memberlist.Node) { (*Node)(e).applyEvent(m, Dead) } // applyEvent replaces Dead by Left for a peer that announced that it leaves
+// NotifyLeave implements memberlist.EventDelegate. It is called for peers that left and for peers that
+// died; applyEvent replaces Dead by Left for a peer that announced that it leaves.
+func (e *events) NotifyLeave(m *memberlist.Node) { (*Node)(e).applyEvent(m, Dead) }
 
+// NotifyAlive implements memberlist.AliveDelegate. It never refuses an alive message.
 func (e *events) NotifyAlive(m *memberlist.Node) error {
 	(*Node)(e).setLiveness(m.Name, Alive)
 	return nil
 }
 
+// AckPayload implements memberlist.PingDelegate.
 func (e *events) AckPayload() []byte { return nil }
 
+// NotifyPingComplete implements memberlist.PingDelegate. A peer has acknowledged a probe.
 func (e *events) NotifyPingComplete(m *memberlist.Node, _ time.Duration, _ []byte) {
 	(*Node)(e).setLiveness(m.Name, Alive)
 }
@@ -35,8 +48,9 @@
 // follows.
 const leavePrefix = "leaving:"
 
-// NotifyMsg handles a message from a peer, by its prefix: a host list, a request for one, the incarnation
-// that the peer knows of this process, or the announcement that a peer leaves. Others are ignored.
+// NotifyMsg implements memberlist.Delegate. It handles a message from a peer, by its prefix: a host list,
+// a request for one, the incarnation that the peer knows of this process, or the announcement that a peer
+// leaves. Others are ignored.
 func (d *delegate) NotifyMsg(b []byte) {
 	if list, ok := bytes.CutPrefix(b, []byte(listMessagePrefix)); ok {
 		(*Node)(d).receiveList(bytes.Clone(list)) // memberlist reuses the buffer
@@ -50,18 +64,10 @@
 		(*Node)(d).raiseIncarnation(string(known))
 		return
 	}
-	name, ok := bytes.CutPrefix(b, []byte(leavePrefix))
-	if !ok {
-		return
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if p := d.view[string(name)]; p != nil && p.State != Left {
-		p.leaving = true
-		slog.Info("membership change", "peer", p.Name, "from", p.State, "to", Left,
-			"incarnation", p.Incarnation, "addr", p.Addr)
-		p.State, p.Since, d.lastChange = Left, time.Now(), p.Name+" "+Left
+	if name, ok := bytes.CutPrefix(b, []byte(leavePrefix)); ok {
+		(*Node)(d).markLeaving(string(name))
 	}
 }
 
+// GetBroadcasts implements memberlist.Delegate. There are no broadcasts besides memberlist's own.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte { return nil }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -65,8 +65,14 @@
 
 // newNode returns a Node that has not started.
 func newNode(opt Options) *Node {
-	n := &Node{name: opt.Name, view: map[string]*Peer{}, lists: opt.Lists, listLimiter: newListLimiter(),
-		created: make(chan struct{}), stopped: make(chan struct{})}
+	n := &Node{
+		name:        opt.Name,
+		view:        map[string]*Peer{},
+		lists:       opt.Lists,
+		listLimiter: newListLimiter(),
+		created:     make(chan struct{}),
+		stopped:     make(chan struct{}),
+	}
 	n.incarnation.Store(opt.Incarnation)
 	if opt.Incarnation == 0 {
 		n.incarnation.Store(uint64(time.Now().UnixMilli()))
@@ -77,24 +83,11 @@
 // start creates the memberlist and begins to join peers.
 func (n *Node) start(opt Options) error {
 	defer close(n.created)
-	host, portText, err := net.SplitHostPort(opt.Bind)
+	config, err := n.newConfig(opt)
 	if err != nil {
-		return fmt.Errorf("membership bind: %w", err)
+		return err
 	}
-	port, err := strconv.Atoi(portText)
-	if err != nil {
-		return fmt.Errorf("membership bind: port %q", portText)
-	}
-	cfg := memberlist.DefaultLANConfig()
-	if opt.Local {
-		cfg = memberlist.DefaultLocalConfig()
-	}
-	cfg.Name, cfg.BindAddr, cfg.BindPort = opt.Name, host, port
-	cfg.AdvertiseAddr, cfg.AdvertisePort = host, port
-	cfg.Delegate, cfg.Events = (*delegate)(n), (*events)(n)
-	cfg.Alive, cfg.Ping = (*events)(n), (*events)(n)
-	cfg.Logger = log.New(&logSink{node: n}, "", 0)
-	ml, err := memberlist.Create(cfg)
+	ml, err := memberlist.Create(config)
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
@@ -103,6 +96,33 @@
 	return nil
 }
 
+// newConfig returns the configuration of the memberlist, with this node as its delegate.
+func (n *Node) newConfig(opt Options) (*memberlist.Config, error) {
+	host, portText, err := net.SplitHostPort(opt.Bind)
+	if err != nil {
+		return nil, fmt.Errorf("membership bind: %w", err)
+	}
+	port, err := strconv.Atoi(portText)
+	if err != nil {
+		return nil, fmt.Errorf("membership bind: port %q", portText)
+	}
+	config := memberlist.DefaultLANConfig()
+	if opt.Local {
+		config = memberlist.DefaultLocalConfig()
+	}
+	config.Name = opt.Name
+	config.BindAddr = host
+	config.BindPort = port
+	config.AdvertiseAddr = host
+	config.AdvertisePort = port
+	config.Delegate = (*delegate)(n)
+	config.Events = (*events)(n)
+	config.Alive = (*events)(n)
+	config.Ping = (*events)(n)
+	config.Logger = log.New(&logSink{node: n}, "", 0)
+	return config, nil
+}
+
 // memberlist waits for the end of start and returns the memberlist, or nil if start failed. The
 // memberlist delivers messages and events of peers before Create has returned it, so their handlers
 // must use this method, in a goroutine of their own because Create may wait for the handler.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -34,12 +34,15 @@
 	leaving     bool      // the peer announced that it leaves, so it ends as Left, not as Dead
 }
 
+// isLive reports whether the gateway is alive or suspect.
+func (p *Peer) isLive() bool { return p.State == Alive || p.State == Suspect }
+
 // hasLivePeer reports whether the view has a live (alive or suspect) gateway at addr.
 func (n *Node) hasLivePeer(addr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.view {
-		if p.Addr == addr && (p.State == Alive || p.State == Suspect) {
+		if p.Addr == addr && p.isLive() {
 			return true
 		}
 	}
@@ -71,7 +74,7 @@
 	defer n.mu.Unlock()
 	live := 0
 	for _, p := range n.view {
-		if p.State == Alive || p.State == Suspect {
+		if p.isLive() {
 			live++
 		}
 	}
@@ -81,7 +84,6 @@
 // applyEvent updates a gateway's entry in the view from a memberlist event, which gives its state, and
 // logs a change of the state. An event with a lower incarnation than the entry's is ignored.
 func (n *Node) applyEvent(node *memberlist.Node, state string) {
-	now := time.Now()
 	var m nodeMetadata
 	json.Unmarshal(node.Meta, &m)
 	n.mu.Lock()
@@ -110,15 +112,34 @@
 	if m.Incarnation != 0 {
 		p.Incarnation = m.Incarnation
 	}
-	p.Addr, p.Rank, p.Rate = node.Address(), m.Rank, max(m.Rate, 0)
+	p.Addr = node.Address()
+	p.Rank = m.Rank
+	p.Rate = max(m.Rate, 0)
 	if state == Alive {
-		p.Confirmed = now
+		p.Confirmed = time.Now()
 	}
-	if p.State != state {
-		old := p.State
-		p.State, p.Since, n.lastChange = state, now, node.Name+" "+state
-		slog.Info("membership change", "peer", node.Name, "from", old, "to", state,
-			"incarnation", p.Incarnation, "addr", p.Addr)
+	n.setState(p, state)
+}
+
+// setState sets a peer's state and logs the change, if it is one. The caller holds n.mu.
+func (n *Node) setState(p *Peer, state string) {
+	if p.State == state {
+		return
+	}
+	slog.Info("membership change", "peer", p.Name, "from", p.State, "to", state,
+		"incarnation", p.Incarnation, "addr", p.Addr)
+	p.State = state
+	p.Since = time.Now()
+	n.lastChange = p.Name + " " + state
+}
+
+// markLeaving marks a peer that announced that it leaves as left.
+func (n *Node) markLeaving(name string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if p := n.view[name]; p != nil && p.State != Left {
+		p.leaving = true
+		n.setState(p, Left)
 	}
 }
 
@@ -130,15 +151,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.view[name]
-	if p == nil || (p.State != Alive && p.State != Suspect) {
+	if p == nil || !p.isLive() {
 		return
 	}
 	if state == Alive {
 		p.Confirmed = time.Now()
 	}
-	if p.State != state {
-		slog.Info("membership change", "peer", name, "from", p.State, "to", state,
-			"incarnation", p.Incarnation, "addr", p.Addr)
-		p.State, p.Since, n.lastChange = state, time.Now(), name+" "+state
-	}
+	n.setState(p, state)
 }
