--- /dev/null
+++ b/cmd/gateway/upgrade_test.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// startOnSocket starts the program with an inherited listening socket. The url of the program is its
+// operator address.
+func startOnSocket(t *testing.T, config string, socket *os.File, tmp string) *program {
+	t.Helper()
+	operator := freeAddr(t)
+	return launch(t, config, "http://"+operator, []*os.File{socket}, // becomes descriptor 3 of the program
+		"GW_LISTEN=127.0.0.1:1", "GW_OPERATOR="+operator, "GW_ACCEPT_FD=3", "TMPDIR="+tmp)
+}
+
+// A new process starts beside an old one on the same socket, and the old one stops. No request may be
+// lost, neither on kept connections nor on new ones. A host in maintenance must stay in maintenance.
+func TestUpgradeUnderLoad(t *testing.T) {
+	var maintenanceHostRequests atomic.Int64
+	hosts := make([]*httptest.Server, 2)
+	for i := range hosts {
+		hosts[i] = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			if i == 1 {
+				maintenanceHostRequests.Add(1)
+			}
+			time.Sleep(10 * time.Millisecond)
+			io.WriteString(w, "done")
+		}))
+		defer hosts[i].Close()
+	}
+	ln, err := net.Listen("tcp", freeAddr(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	socket, err := ln.(*net.TCPListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer socket.Close()
+	discovery := newFakeDiscovery(t)
+	text := strings.Replace(configJSON(strings.TrimPrefix(hosts[0].URL, "http://"), strings.TrimPrefix(hosts[1].URL, "http://")),
+		"127.0.0.1:1", discovery.addr(), 1)
+	tmp := t.TempDir()
+	waitHealthy := func(p *program) {
+		t.Helper()
+		for end := time.Now().Add(waitTimeout); p.callOperator("GET", "/healthcheck") != 200; time.Sleep(5 * time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatalf("the program did not become ready: %s", p.output.String())
+			}
+		}
+	}
+	old := startOnSocket(t, text, socket, tmp)
+	<-discovery.watched
+	discovery.lines <- `{"version":2,"full":false,"servers":[]}`
+	waitHealthy(old)
+	if status := old.callOperator("PUT", "/hosts/s-1/maint"); status != 200 {
+		t.Fatalf("status %d", status)
+	}
+	before := maintenanceHostRequests.Load()
+	url := "http://" + ln.Addr().String()
+	var served atomic.Int64
+	done := make(chan struct{})
+	var clients sync.WaitGroup
+	for i := range 4 {
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			client := http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: waitTimeout}
+			for n := 0; ; n++ {
+				select {
+				case <-done:
+					return
+				default:
+				}
+				r, _ := http.NewRequest(http.MethodPost, url+"/api/1", strings.NewReader("body"))
+				r.Header.Set("X-Priority-Class", "book")
+				r.Header.Set("X-Request-ID", fmt.Sprint(i, "-", n))
+				resp, err := client.Do(r)
+				if err != nil {
+					t.Errorf("a request failed: %v", err)
+					return
+				}
+				if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 {
+					t.Errorf("answer %d %q, %v", resp.StatusCode, text, err)
+				}
+				resp.Body.Close()
+				served.Add(1)
+			}
+		}()
+	}
+	serveMore := func() {
+		before := served.Load()
+		for end := time.Now().Add(waitTimeout); served.Load() < before+20 && time.Now().Before(end); {
+			time.Sleep(5 * time.Millisecond)
+		}
+	}
+	serveMore()
+	next := startOnSocket(t, text, socket, tmp)
+	serveMore()
+	waitHealthy(next) // without a list from discovery it waits for a while and then uses the configured list
+	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	serveMore()
+	select {
+	case <-old.exited:
+	case <-time.After(waitTimeout):
+		t.Fatal("the old process did not exit")
+	}
+	if code := old.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("exit code %d: %s", code, old.output.String())
+	}
+	serveMore()
+	close(done)
+	clients.Wait()
+	if got := maintenanceHostRequests.Load(); got != before {
+		t.Errorf("the host in maintenance got %d requests", got-before)
+	}
+	if status := next.callOperator("PUT", "/hosts/s-1/ready"); status != 200 {
+		t.Errorf("status %d", status)
+	}
+}
