--- a/cmd/gateway/program_test.go
+++ b/cmd/gateway/program_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -100,7 +101,7 @@
 		_, err := sendRequest(p.url)
 		if err == nil {
 			n--
-		} else if !strings.Contains(err.Error(), "answer 503") || time.Now().After(end) {
+		} else if !isAnswer(err, http.StatusServiceUnavailable) || time.Now().After(end) {
 			t.Fatalf("%v\n%s", err, p.output.String())
 		}
 	}
@@ -167,8 +168,26 @@
 	return string(text)
 }
 
+// unexpectedAnswer is an answer other than that of the test's host.
+type unexpectedAnswer struct {
+	status  int
+	text    string
+	readErr error // why text is not whole; nil if it is
+}
+
+func (a *unexpectedAnswer) Error() string {
+	return fmt.Sprintf("answer %d %q, %v", a.status, a.text, a.readErr)
+}
+
+// isAnswer reports whether err is an unexpected answer with the given status.
+func isAnswer(err error, status int) bool {
+	var answer *unexpectedAnswer
+	return errors.As(err, &answer) && answer.status == status
+}
+
 // sendRequest sends a request on a new connection and reports whether the connection was established.
-// If it was not, the program has not accepted the request.
+// If it was not, the program has not accepted the request. An answer other than the host's is an
+// *unexpectedAnswer.
 func sendRequest(url string) (connected bool, err error) {
 	conn, err := net.DialTimeout("tcp", strings.TrimPrefix(url, "http://"), waitTimeout)
 	if err != nil {
@@ -190,7 +209,7 @@
 	}
 	defer resp.Body.Close()
 	if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(text) != "done" {
-		return true, fmt.Errorf("answer %d %q, %v", resp.StatusCode, text, err)
+		return true, &unexpectedAnswer{status: resp.StatusCode, text: string(text), readErr: err}
 	}
 	return true, nil
 }
