--- a/internal/faultnet/link.go
+++ b/internal/faultnet/link.go
@@ -123,12 +123,24 @@
 // resetConnsLocked resets all connections in l.conns. The caller holds l.mu.
 func (l *Link) resetConnsLocked() {
 	for c := range l.conns {
-		if tc, ok := c.(*net.TCPConn); ok {
-			tc.SetLinger(0) // makes Close send RST
-		}
-		c.Close()
-		delete(l.conns, c)
+		l.resetConnLocked(c)
+	}
+}
+
+// resetConn resets one connection.
+func (l *Link) resetConn(c net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.resetConnLocked(c)
+}
+
+// resetConnLocked resets one connection and deletes it from l.conns. The caller holds l.mu.
+func (l *Link) resetConnLocked(c net.Conn) {
+	if tc, ok := c.(*net.TCPConn); ok {
+		tc.SetLinger(0) // makes Close send RST
 	}
+	c.Close()
+	delete(l.conns, c)
 }
 
 // track adds a connection to l.conns, so that Set and Close reset it. If Close was already called,
@@ -175,10 +187,7 @@
 		mode, _, changed := l.currentMode()
 		switch mode {
 		case Reset, Refuse:
-			l.mu.Lock()
-			l.conns[c] = struct{}{}
-			l.resetConnsLocked()
-			l.mu.Unlock()
+			l.resetConn(c) // it may have been accepted after Set reset the others
 			return
 		case Blackhole:
 			<-changed // the connection stays open and silent; Set resets it when the mode changes
@@ -191,10 +200,7 @@
 	l.mu.Unlock()
 	upstream, err := net.DialTimeout("tcp", target, 2*time.Second)
 	if err != nil {
-		l.mu.Lock()
-		l.conns[c] = struct{}{}
-		l.resetConnsLocked()
-		l.mu.Unlock()
+		l.resetConn(c) // not the others, which may be open to an earlier target
 		return
 	}
 	if !l.track(upstream) {
--- a/internal/faultnet/link_test.go
+++ b/internal/faultnet/link_test.go
@@ -86,3 +86,30 @@
 		t.Fatalf("pass again: %v", err)
 	}
 }
+
+// A connection that cannot reach the link's target is reset alone. Those that are open keep their target.
+func TestUnreachableTargetResetsOnlyNewConnection(t *testing.T) {
+	l, err := NewLink(startEchoServer(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	open, err := net.Dial("tcp", l.Addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer open.Close()
+	if err := roundTrip(open, 5*time.Second); err != nil {
+		t.Fatal(err)
+	}
+	l.Retarget("127.0.0.1:1")                                    // nothing listens there
+	if unreachable, err := net.Dial("tcp", l.Addr); err == nil { // the reset may come while Dial connects
+		defer unreachable.Close()
+		if err := roundTrip(unreachable, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("a connection to no target: %v, want a reset", err)
+		}
+	}
+	if err := roundTrip(open, 5*time.Second); err != nil {
+		t.Errorf("an open connection: %v", err)
+	}
+}
