--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -19,18 +19,16 @@
 )
 
 // failingStorage is a raftStorage whose next writes can be made to fail. A failing sync leaves the
-// written data in the file; a failing write leaves nothing, as on a full disk. Writes hang while stall
-// is locked.
+// written data in the file; a failing write leaves nothing, as on a full disk. Writes of log
+// entries hang while stall is locked.
 type failingStorage struct {
 	*raftboltdb.BoltStore
-	stall                       sync.Mutex
+	stall                       *sync.Mutex
 	failingSyncs, failingWrites atomic.Int32 // number of upcoming syncs and writes that fail
 }
 
 // runWrite runs a write and returns its error, or an injected error.
 func (d *failingStorage) runWrite(write func() error) error {
-	d.stall.Lock()
-	defer d.stall.Unlock()
 	if d.failingWrites.Add(-1) >= 0 {
 		return syscall.ENOSPC
 	}
@@ -46,6 +44,8 @@
 func (d *failingStorage) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 func (d *failingStorage) StoreLogs(logs []*raft.Log) error {
+	d.stall.Lock()
+	defer d.stall.Unlock()
 	return d.runWrite(func() error { return d.BoltStore.StoreLogs(logs) })
 }
 
@@ -70,12 +70,18 @@
 }
 
 func openSingleNode(t *testing.T, dir, addr string) *singleNodeCatalog {
+	t.Helper()
+	return openStalledNode(t, dir, addr, &sync.Mutex{})
+}
+
+// openStalledNode opens an instance whose storage has the given stall.
+func openStalledNode(t *testing.T, dir, addr string, stall *sync.Mutex) *singleNodeCatalog {
 	t.Helper()
 	c := &singleNodeCatalog{t: t}
 	node, err := Open(Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond, LogOutput: io.Discard,
 		openStorage: func(path string) (raftStorage, error) {
 			store, err := raftboltdb.New(raftboltdb.Options{Path: path})
-			c.storage = &failingStorage{BoltStore: store}
+			c.storage = &failingStorage{BoltStore: store, stall: stall}
 			return c.storage, err
 		}})
 	if err != nil {
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -14,6 +14,7 @@
 	raft       *raft.Raft
 	store      *Store
 	storage    *retryingStorage
+	replay     *logReplay
 	transport  *raft.NetworkTransport
 	peers      map[raft.ServerID]Peer // all instances of the cluster, including this one
 	watchSlots chan struct{}          // holds one token per open watch
@@ -50,6 +51,10 @@
 		n.transport.Close()
 		return nil, err
 	}
+	if n.replay, err = newLogReplay(n.storage, snapshots); err != nil {
+		n.closeTransportAndStorage()
+		return nil, fmt.Errorf("catalog: log store: %w", err)
+	}
 	n.raft, err = raft.NewRaft(config, n.store, n.storage, n.storage, snapshots, n.transport)
 	if err != nil {
 		n.closeTransportAndStorage()
--- a/internal/catalog/resume_test.go
+++ b/internal/catalog/resume_test.go
@@ -4,11 +4,30 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net/http"
+	"strings"
+	"sync"
 	"testing"
 	"time"
+
+	"github.com/hashicorp/raft"
 )
 
+// get returns the status and the body of an answer.
+func (c *singleNodeCatalog) get(path string) (status int, body string) {
+	resp, err := http.Get(c.http.URL + path)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return resp.StatusCode, string(text)
+}
+
 // watchFirstLine returns the first list of a watch after the given version.
 func (c *singleNodeCatalog) watchFirstLine(afterVersion uint64) (list List) {
 	c.t.Helper()
@@ -66,3 +85,62 @@
 		t.Errorf("after version %d and a restart: %+v, want the one change", before, l)
 	}
 }
+
+// A restarted instance must serve no list before it has applied the log of its last run, although it
+// leads already.
+func TestRestartServesNoOlderList(t *testing.T) {
+	addr, dir := freeAddr(t), t.TempDir()
+	c := openSingleNode(t, dir, addr)
+	c.mustPut("s-1")
+	c.close()
+	var stall sync.Mutex
+	stall.Lock()
+	c = openStalledNode(t, dir, addr, &stall)
+	defer c.close()
+	for c.node.raft.State() != raft.Leader {
+		time.Sleep(time.Millisecond)
+	}
+	status, body := c.get(membersPath)
+	if status != http.StatusServiceUnavailable {
+		t.Errorf("before the log is applied: status %d, %s", status, body)
+	}
+	stall.Unlock()
+	for status != http.StatusOK {
+		status, body = c.get(membersPath)
+	}
+	if !strings.Contains(body, "s-1") {
+		t.Errorf("after the log is applied: %s", body)
+	}
+}
+
+// The log of the last run counts as applied once its last command is, or once a leader has removed the
+// command or sent a snapshot.
+func TestLogReplayEnds(t *testing.T) {
+	command := raft.Log{Index: 1, Term: 1, Type: raft.LogCommand, Data: []byte(`{"op":"del","id":"s-1"}`)}
+	for name, end := range map[string]func(storage raftStorage, store *Store) error{
+		"applied":  func(_ raftStorage, store *Store) error { store.Apply(&command); return nil },
+		"removed":  func(storage raftStorage, _ *Store) error { return storage.DeleteRange(1, 1) },
+		"replaced": func(storage raftStorage, _ *Store) error { return storage.StoreLog(&raft.Log{Index: 1, Term: 2}) },
+		"snapshot": func(_ raftStorage, store *Store) error { return store.Restore(io.NopCloser(strings.NewReader("{}"))) },
+	} {
+		storage, err := openBoltStorage(t.TempDir() + "/raft.db")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer storage.Close()
+		if err := storage.StoreLog(&command); err != nil {
+			t.Fatal(err)
+		}
+		replay, err := newLogReplay(storage, raft.NewInmemSnapshotStore())
+		if err != nil {
+			t.Fatal(err)
+		}
+		store := NewStore()
+		if replay.finished(store) {
+			t.Errorf("%s: finished before", name)
+		}
+		if err := end(storage, store); err != nil || !replay.finished(store) {
+			t.Errorf("%s: not finished after, %v", name, err)
+		}
+	}
+}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -38,6 +38,7 @@
 	s.version = snap.Version
 	s.resumableFrom = snap.Version
 	s.changes = nil
+	s.restores++
 	s.notifyChanged()
 	return nil
 }
--- a/internal/catalog/status.go
+++ b/internal/catalog/status.go
@@ -8,9 +8,12 @@
 )
 
 // StaleReason returns why the list of this instance may be out of date, or "" if it may be served.
-// The list counts as out of date on an instance that is not the leader and that has had no contact
-// with a leader yet, or none for Options.StaleAfter.
+// The list counts as out of date until the log of the last run is applied, and on an instance that is
+// not the leader and that has had no contact with a leader yet, or none for Options.StaleAfter.
 func (n *Node) StaleReason() string {
+	if !n.replay.finished(n.store) {
+		return "log of the last run not applied yet"
+	}
 	if n.raft.State() == raft.Leader {
 		return ""
 	}
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -33,6 +33,8 @@
 	members       map[string]Member
 	versionBase   uint64        // added to the raft index, so that a rebuilt catalog does not reuse versions; 0 if not set yet
 	version       uint64        // versionBase plus the raft index of the last change; 0 before the first change
+	appliedIndex  uint64        // raft index of the last entry passed to Apply; 0 before the first
+	restores      int           // snapshots restored
 	changes       []change      // the most recent changes, oldest first
 	resumableFrom uint64        // changes holds every change after this version
 	changed       chan struct{} // closed and replaced on each change and each restored snapshot
@@ -55,11 +57,13 @@
 // Apply implements raft.FSM. It applies one committed log entry and returns an applyResult.
 func (s *Store) Apply(entry *raft.Log) any {
 	var c command
-	if err := json.Unmarshal(entry.Data, &c); err != nil {
-		return applyResult{Err: invalidf("entry: %v", err)}
-	}
+	decodeErr := json.Unmarshal(entry.Data, &c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	s.appliedIndex = entry.Index
+	if decodeErr != nil {
+		return applyResult{Err: invalidf("entry: %v", decodeErr)}
+	}
 	changedMember, err := s.applyCommand(c)
 	if err != nil {
 		return applyResult{Version: s.version, Err: err}
@@ -125,6 +129,14 @@
 	return s.versionBase
 }
 
+// progress returns the raft index of the last entry passed to Apply, or 0 before the first, and the
+// number of snapshots that were restored.
+func (s *Store) progress() (appliedIndex uint64, restores int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.appliedIndex, s.restores
+}
+
 // Version returns the list's version, or 0 before the first change.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
