--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -19,6 +19,9 @@
 	classCount              // number of classes
 )
 
+// averageWeight is the weight of the latest duration in the moving average of a Gate.
+const averageWeight = 1.0 / 16
+
 // Options are the limits of a Gate. All of them must be greater than 0, which New does not check.
 type Options struct {
 	Work  int           // maximum number of calls in flight
@@ -77,7 +80,8 @@
 		}
 		queue := g.queues[displacedClass]
 		decisions = append(decisions, g.shed(queue[len(queue)-1].id))
-		g.queues[displacedClass], g.queued = queue[:len(queue)-1], g.queued-1
+		g.queues[displacedClass] = queue[:len(queue)-1]
+		g.queued--
 	}
 	g.queues[class] = append(g.queues[class], call{id, now})
 	g.queued++
@@ -92,12 +96,10 @@
 	if g.averageDuration == 0 {
 		g.averageDuration = duration.Seconds()
 	}
-	g.averageDuration += (duration.Seconds() - g.averageDuration) / 16
+	g.averageDuration += (duration.Seconds() - g.averageDuration) * averageWeight
 	for class := range g.queues {
 		for len(g.queues[class]) > 0 && g.inFlight < g.opt.Work {
-			decisions = append(decisions, Decision{ID: g.queues[class][0].id, Admitted: true})
-			g.queues[class] = g.queues[class][1:]
-			g.queued--
+			decisions = append(decisions, Decision{ID: g.popOldest(class).id, Admitted: true})
 			g.inFlight++
 		}
 	}
@@ -124,14 +126,21 @@
 	g.now = max(g.now, now)
 	for class := range g.queues {
 		for len(g.queues[class]) > 0 && g.now-g.queues[class][0].since >= g.opt.Wait {
-			decisions = append(decisions, g.shed(g.queues[class][0].id))
-			g.queues[class] = g.queues[class][1:]
-			g.queued--
+			decisions = append(decisions, g.shed(g.queues[class][0].id)) // counts the call as waiting
+			g.popOldest(class)
 		}
 	}
 	return decisions
 }
 
+// popOldest removes the oldest waiting call of a class, of which there must be one, and returns it.
+func (g *Gate) popOldest(class int) call {
+	oldest := g.queues[class][0]
+	g.queues[class] = g.queues[class][1:]
+	g.queued--
+	return oldest
+}
+
 // shed returns the decision that sheds a call; the caller removes the call from its queue. Each shed
 // call gets its own retry time, so that callers do not all return at once: one gap after the last
 // retry time given, and at least one gap after the calls that wait now would be admitted at one per
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -86,7 +86,10 @@
 	}
 	p.cmd = exec.Command(bin, args...)
 	p.cmd.Env = append(os.Environ(), env...)
-	p.cmd.Stdout, p.cmd.Stderr, p.cmd.SysProcAttr, p.cmd.ExtraFiles = f, f, attr, files
+	p.cmd.Stdout = f
+	p.cmd.Stderr = f
+	p.cmd.SysProcAttr = attr
+	p.cmd.ExtraFiles = files
 	if err := p.cmd.Start(); err != nil {
 		f.Close()
 		return nil, err
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -64,7 +64,8 @@
 	l.failures++
 	if now := time.Now(); now.Sub(l.lastLogged) >= logInterval {
 		slog.Warn("accept failed, trying again", "listener", l.name, "failures", l.failures, "err", err)
-		l.lastLogged, l.failures = now, 0
+		l.lastLogged = now
+		l.failures = 0
 	}
 }
 
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -114,7 +114,8 @@
 		if err != nil {
 			w.addDropped(bytes.Count(lines[written:], []byte("\n")))
 			if dropped > 0 {
-				w.unreported, w.totalDropped = w.unreported+dropped-1, w.totalDropped-1 // addDropped counted the message itself, which is no dropped line
+				w.addDropped(-1)        // addDropped counted the message itself, which is no dropped line
+				w.unreported += dropped // the lines that the message was to report
 			}
 		}
 		w.stateChanged.Broadcast()
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -38,20 +38,22 @@
 // a change of the rate by more than minRateChange are announced at once, other rates at most once per
 // announceInterval. AnnounceLoad does not block.
 func (n *Node) AnnounceLoad(rank int, rate float64) {
-	now, old := time.Now(), n.announced.Load()
+	now := time.Now()
+	old := n.announced.Load()
 	if old != nil && old.rank == rank && now.Sub(old.at) < announceInterval &&
 		math.Abs(rate-old.rate) <= minRateChange*max(old.rate, 0.1) {
 		return
 	}
-	n.announced.Store(&announcedLoad{rank, math.Round(rate*1000) / 1000, now})
+	n.announced.Store(&announcedLoad{rank: rank, rate: math.Round(rate*1000) / 1000, at: now})
 	go n.updateMetadata()
 }
 
-// NodeMeta returns this gateway's metadata, or nil if it is longer than limit bytes.
+// NodeMeta implements memberlist.Delegate. It returns this gateway's metadata, or nil if it is longer than limit bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
 	m := nodeMetadata{Incarnation: d.incarnation.Load(), Leaving: d.leaving.Load()}
 	if l := d.announced.Load(); l != nil {
-		m.Rank, m.Rate = l.rank, l.rate
+		m.Rank = l.rank
+		m.Rate = l.rate
 	}
 	b, _ := json.Marshal(m)
 	if len(b) > limit {
