--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -18,9 +19,11 @@
 )
 
 // failingStorage is a raftStorage whose next writes can be made to fail. A failing sync leaves the
-// written data in the file; a failing write leaves nothing, as on a full disk.
+// written data in the file; a failing write leaves nothing, as on a full disk. Writes of log
+// entries hang while stall is locked.
 type failingStorage struct {
 	*raftboltdb.BoltStore
+	stall                       *sync.Mutex
 	failingSyncs, failingWrites atomic.Int32 // number of upcoming syncs and writes that fail
 }
 
@@ -41,6 +44,8 @@
 func (d *failingStorage) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 func (d *failingStorage) StoreLogs(logs []*raft.Log) error {
+	d.stall.Lock()
+	defer d.stall.Unlock()
 	return d.runWrite(func() error { return d.BoltStore.StoreLogs(logs) })
 }
 
@@ -65,12 +70,18 @@
 }
 
 func openSingleNode(t *testing.T, dir, addr string) *singleNodeCatalog {
+	t.Helper()
+	return openStalledNode(t, dir, addr, &sync.Mutex{})
+}
+
+// openStalledNode opens an instance whose storage has the given stall.
+func openStalledNode(t *testing.T, dir, addr string, stall *sync.Mutex) *singleNodeCatalog {
 	t.Helper()
 	c := &singleNodeCatalog{t: t}
 	node, err := Open(Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond, LogOutput: io.Discard,
 		openStorage: func(path string) (raftStorage, error) {
 			store, err := raftboltdb.New(raftboltdb.Options{Path: path})
-			c.storage = &failingStorage{BoltStore: store}
+			c.storage = &failingStorage{BoltStore: store, stall: stall}
 			return c.storage, err
 		}})
 	if err != nil {
@@ -88,8 +99,11 @@
 }
 
 // put registers a host and returns the HTTP status code.
-func (c *singleNodeCatalog) put(id string) int {
-	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(`{"addr":"127.0.0.1:80"}`))
+func (c *singleNodeCatalog) put(id string) int { return c.putBody(id, `{"addr":"127.0.0.1:80"}`) }
+
+// putBody writes an entry with a body in the form of Patch and returns the HTTP status code.
+func (c *singleNodeCatalog) putBody(id, body string) int {
+	r, err := http.NewRequest(http.MethodPut, c.http.URL+membersPath+"/"+id, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -114,6 +128,14 @@
 	}
 }
 
+// member returns the entry with the given id and whether it is in the list.
+func (s *Store) member(id string) (Member, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	m, ok := s.members[id]
+	return m, ok
+}
+
 // freeAddr returns a free loopback address.
 func freeAddr(t *testing.T) string {
 	t.Helper()
@@ -154,7 +176,7 @@
 	checkAcknowledgedAndTerms := func(when string) {
 		t.Helper()
 		for id := range acknowledged {
-			if _, found := c.node.store.Get(id); !found {
+			if _, found := c.node.store.member(id); !found {
 				t.Errorf("%s: acknowledged entry %s is missing", when, id)
 			}
 		}
