--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -85,7 +85,7 @@
 		c.syncLists()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.appliedReads = delayed
+		c.appliedReads = max(c.appliedReads, delayed) // a later call may have finished before this one
 	}()
 }
 
