--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -10,8 +10,8 @@
 )
 
 // watchConn is a connection to discovery that knows whether the lists that arrived on it have been
-// applied by the loop. Data is delayed if it was unread for stallThreshold or longer, so that the
-// process must have been stalled. The caller of Read must have passed all whole lists that it read to
+// applied by the loop. Data is delayed if it may have been unread for stallThreshold or longer, as
+// after a stall of the process. The caller of Read must have passed all whole lists that it read to
 // the loop before it calls Read again.
 type watchConn struct {
 	net.Conn
@@ -24,14 +24,15 @@
 	delayedReads  int       // reads of delayed data
 	appliedReads  int       // the loop has applied the whole lists of the first appliedReads delayed reads; a list that was still incomplete when the data ran out may not be applied yet
 	lastReadAt    time.Time // when data was last read
+	emptyAt       time.Time // last time at which no data was known to be unread
 	closed        bool
 	unreadDelayed bool // result of checkDelay
 }
 
 func newWatchConn(c net.Conn, syncLists func()) *watchConn {
-	w := &watchConn{Conn: c, raw: rawConn(c), syncLists: syncLists}
+	w := &watchConn{Conn: c, raw: rawConn(c), syncLists: syncLists, emptyAt: time.Now()}
 	w.reader.init(w.raw, w.readAvailable)
-	w.checkDelay = func(fd uintptr) { w.unreadDelayed = hasDelayedData(int(fd)) }
+	w.checkDelay = func(fd uintptr) { w.unreadDelayed = w.hasDelayedData(int(fd)) }
 	return w
 }
 
@@ -59,7 +60,7 @@
 func (c *watchConn) readAvailable(fd int, p []byte, _ *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delayed := hasDelayedData(fd)
+	delayed := c.hasDelayedData(fd)
 	n, err = retryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
 	if err == syscall.EAGAIN {
 		c.noteListsPassed()
@@ -131,12 +132,22 @@
 	return unread
 }
 
-// hasDelayedData returns whether unread data arrived so long ago that the process must have been
-// stalled.
-func hasDelayedData(fd int) bool {
-	if n, ok := unreadBytes(fd); !ok || n == 0 {
+// hasDelayedData returns whether there is unread data that may have arrived stallThreshold ago or
+// earlier, so that the process may have been stalled. The kernel reports the age of the newest data
+// only, and older data may be unread before it, so the age is counted from the last time at which
+// nothing was unread. The result may therefore be true for recent data if nobody looked for a while,
+// but not for long, as the reader is about to take that data. It is false on a system whose kernel
+// reports no ages. The caller holds c.mu.
+func (c *watchConn) hasDelayedData(fd int) bool {
+	now := time.Now()
+	unread, ok := unreadBytes(fd)
+	if !ok {
 		return false
 	}
-	age, ok := lastDataAge(fd)
-	return ok && age >= stallThreshold
+	if unread == 0 {
+		c.emptyAt = now
+		return false
+	}
+	_, supported := lastDataAge(fd)
+	return supported && now.Sub(c.emptyAt) >= stallThreshold
 }
--- a/internal/gateway/watchconn_test.go
+++ b/internal/gateway/watchconn_test.go
@@ -1,10 +1,42 @@
 package gateway
 
 import (
+	"io"
+	"net"
 	"testing"
 	"testing/synctest"
 )
 
+// Data that has waited unread for long counts as delayed even if more arrives behind it.
+func TestLaterDataDoesNotHideDelayedData(t *testing.T) {
+	ln := listen(t, "127.0.0.1:0", nil)
+	defer ln.Close()
+	ours, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ours.Close()
+	theirs, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer theirs.Close()
+	c := newWatchConn(ours, func() {})
+	io.WriteString(theirs, "old")
+	until(t, "the data is delayed", c.hasOverdueUpdate)
+	io.WriteString(theirs, "new")
+	until(t, "more has arrived", func() (arrived bool) {
+		c.raw.Control(func(fd uintptr) {
+			n, _ := unreadBytes(int(fd))
+			arrived = n == len("oldnew")
+		})
+		return arrived
+	})
+	if !c.hasOverdueUpdate() {
+		t.Error("the old data no longer counts as delayed")
+	}
+}
+
 // Two waits for the loop may finish in either order. The one that began first covers fewer reads and
 // must not undo what the other has recorded.
 func TestAppliedReadsNeverDecrease(t *testing.T) {
