--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -268,10 +268,16 @@
 // has arrived.
 func (c *framedConn) closeIfIdle() bool {
 	return c.closeIf(func() bool {
-		return len(c.pendingHeads) == 0 && c.state == parsingHead && !c.partialHead.hasRequestLine && len(c.line) == 0
+		return len(c.pendingHeads) == 0 && c.state == parsingHead && !c.hasPartialHead()
 	})
 }
 
+// hasPartialHead returns whether part of a head has been read, other than empty lines ahead of it.
+// The caller holds c.mu.
+func (c *framedConn) hasPartialHead() bool {
+	return c.state == parsingHead && (c.partialHead.hasRequestLine || len(c.line) > 0)
+}
+
 // closeIfNoHead closes a connection on which no request is being served if the head of the next one
 // has not arrived whole.
 func (c *framedConn) closeIfNoHead() bool {
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -32,26 +32,48 @@
 
 const (
 	notEvictable     evictionClass = iota // a request is being served, or has had less than minEvictionAge to arrive
-	evictIdle                             // the connection has had an answer and no whole head since, for any time
-	evictWithoutHead                      // new for minEvictionAge, and no whole head has arrived
+	evictIdle                             // the connection has had an answer and nothing of a request since, for any time
+	evictWithoutHead                      // new, or part of the next head has been read, for minEvictionAge, and no whole head has arrived
 	evictWithoutBody                      // its body has been read for minEvictionAge and has not arrived whole
 )
 
-// evictionClass returns the class of a connection by the state that net/http reports, which may be
-// behind what has been read: net/http reports a connection as new or idle until the head of its next
-// request is complete. So a connection that is kept alive has the class evictIdle even while part of
-// a head has arrived. closeIfIdle then does not close it, and only the deadline of that head ends it.
-func (cs connState) evictionClass() evictionClass {
-	young := time.Since(cs.since) < minEvictionAge
+// evictionClass returns the class of a connection by its state, and since when it has had it.
+// net/http reports a connection as idle until the head of its next request is complete, so an idle
+// connection is asked whether it has read part of one. That part is given as much time as the head of
+// a new connection.
+func (cs connState) evictionClass(c net.Conn) (evictionClass, time.Time) {
+	class, since := notEvictable, cs.since
 	switch {
 	case cs.state == http.StateIdle:
-		return evictIdle
-	case cs.state == http.StateNew && !young:
-		return evictWithoutHead
-	case cs.readingBody && !young:
-		return evictWithoutBody
+		headStart := partialHeadStart(c)
+		if headStart.IsZero() {
+			return evictIdle, since
+		}
+		class, since = evictWithoutHead, laterOf(since, headStart)
+	case cs.state == http.StateNew:
+		class = evictWithoutHead
+	case cs.readingBody:
+		class = evictWithoutBody
+	}
+	if time.Since(since) < minEvictionAge {
+		return notEvictable, since
+	}
+	return class, since
+}
+
+// partialHeadStart returns when the first byte of a head that is being received was read, or the zero
+// time if there is no such head.
+func partialHeadStart(c net.Conn) time.Time {
+	framed, ok := c.(*framedConn)
+	if !ok {
+		return time.Time{}
+	}
+	framed.mu.Lock()
+	defer framed.mu.Unlock()
+	if !framed.hasPartialHead() {
+		return time.Time{}
 	}
-	return notEvictable
+	return framed.partialHead.startedAt
 }
 
 // evictConn closes a connection, unless it is not evictable or more has arrived on it than its class
@@ -183,13 +205,12 @@
 // evictLocked closes the connection that has been idle for longest or, if no idle one can be closed,
 // one that has sent no whole request for minEvictionAge. The caller holds s.mu. The candidates are
 // sorted once and each is checked once, in place of a new search after each one that cannot be
-// closed: many may be idle by net/http's state with part of a request received, and none of those
-// can be closed.
+// closed: many may have received bytes that are not read yet, and none of those can be closed.
 func (s *Server) evictLocked() {
 	s.evictionCandidates = s.evictionCandidates[:0]
 	for c, cs := range s.conns {
-		if class := cs.evictionClass(); class != notEvictable {
-			s.evictionCandidates = append(s.evictionCandidates, evictionCandidate{c, class, cs.since})
+		if class, since := cs.evictionClass(c); class != notEvictable {
+			s.evictionCandidates = append(s.evictionCandidates, evictionCandidate{c, class, since})
 		}
 	}
 	defer clear(s.evictionCandidates) // drops the references to closed connections
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -80,8 +80,35 @@
 	}
 }
 
+// A peer that has had an answer and stops within the head of its next request is evicted after
+// minEvictionAge, as one that stops within its first head is. A head that was read while the request
+// before it was being served has its time from the end of that request on.
+func TestPeerThatStopsWithinNextHeadIsEvicted(t *testing.T) {
+	for name, served := range map[string]time.Duration{"after an answer": 0, "before an answer": time.Hour} {
+		t.Run(name, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				s := &Server{conns: map[net.Conn]connState{}, connBudget: 1}
+				ours, theirs := net.Pipe()
+				defer ours.Close()
+				c := newFramedConn(theirs)
+				c.parse([]byte("POST /api/1 HTTP/1.1\r\nHo"))
+				time.Sleep(served)
+				s.trackConn(c, http.StateIdle)
+				time.Sleep(minEvictionAge - time.Nanosecond)
+				if s.evictOne(); len(s.conns) == 0 {
+					t.Fatal("it is closed although the rest of the head may be on its way")
+				}
+				time.Sleep(time.Nanosecond)
+				if s.evictOne(); len(s.conns) > 0 {
+					t.Error("it stays open")
+				}
+			})
+		})
+	}
+}
+
 // Three hundred peers have stopped within their second request: net/http reports them idle, and none
-// may be closed to make room. An eviction that finds none to close must cost about one look at each
+// may be closed to make room yet. An eviction that finds none to close must cost about one look at each
 // connection. Once it cost that for each of these peers, 20 to 28 ms at 563 connections with the log
 // at debug, under the server's lock and for every connection accepted, so that a crowd waited in the
 // backlog for seconds (soak seeds 20, 39 and 41).
