--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -86,6 +86,16 @@
 	Known      MemberList
 	Membership Membership
 	Settings   json.RawMessage
+
+	overriddenBy map[string]string // variables that override keys of the file
+}
+
+// sourceOf returns where the value of a key comes from: the variable that overrides it, or the key.
+func (f *fileConfig) sourceOf(key string) string {
+	if variable, ok := f.overriddenBy[key]; ok {
+		return variable
+	}
+	return key
 }
 
 // Membership is the "membership" object of the configuration: the host:port of this gateway's
@@ -113,20 +123,22 @@
 
 // Load reads the configuration from the file that GW_CONFIG names. The other GW_ variables override
 // the file. An address to listen at is required even if GW_ACCEPT_FD is set. An error is one line that
-// names the invalid field.
+// names the invalid key or variable, its value and what is allowed.
 func Load(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
 	}
 	for _, v := range []struct {
-		name string
-		to   *string
+		name, key string
+		to        *string
 	}{
-		{"GW_NAME", &f.Name}, {"GW_LISTEN", &f.Listen}, {"GW_DISCOVERY", &f.Discovery}, {"GW_OPERATOR", &f.Operator},
+		{"GW_NAME", "name", &f.Name}, {"GW_LISTEN", "listen", &f.Listen},
+		{"GW_DISCOVERY", "discovery", &f.Discovery}, {"GW_OPERATOR", "operator", &f.Operator},
 	} {
 		if s := getenv(v.name); s != "" {
 			*v.to = s
+			f.overriddenBy[v.key] = v.name
 		}
 	}
 	c, err := f.config()
@@ -135,7 +147,7 @@
 	}
 	if fd := getenv("GW_ACCEPT_FD"); fd != "" {
 		if c.AcceptFD, err = strconv.Atoi(fd); err != nil || c.AcceptFD <= 2 {
-			return nil, fmt.Errorf("GW_ACCEPT_FD: %q is no descriptor of a socket", fd)
+			return nil, fmt.Errorf("GW_ACCEPT_FD: %q is no descriptor of a socket, which is above 2", fd)
 		}
 	}
 	return c, nil
@@ -157,7 +169,7 @@
 	}
 	c.AcceptFD = inForce.AcceptFD
 	if c.Settings.MaxAttempts <= 0 && inForce.Settings.MaxAttempts > 0 {
-		return nil, fmt.Errorf("settings: caps.max_attempts: %d is not above 0", c.Settings.MaxAttempts)
+		return nil, fmt.Errorf("settings.caps.max_attempts: %d is not above 0", c.Settings.MaxAttempts)
 	}
 	var before, after any
 	if err := errors.Join(json.Unmarshal(inForce.rawSettings, &before), json.Unmarshal(c.rawSettings, &after)); err != nil {
@@ -250,9 +262,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	f := new(fileConfig)
+	f := &fileConfig{overriddenBy: map[string]string{}}
 	if err := json.Unmarshal(text, f); err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
+		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, typeError("", text, err))
 	}
 	return f, nil
 }
@@ -286,7 +298,7 @@
 		if a.field == "operator" && a.addr == "" {
 			continue // it is optional
 		}
-		if err := checkAddr(a.field, a.addr); err != nil {
+		if err := checkAddr(f.sourceOf(a.field), a.addr); err != nil {
 			return nil, err
 		}
 	}
@@ -308,15 +320,15 @@
 		return nil, errors.New("settings: missing")
 	}
 	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
-		return nil, err
+		return nil, settingsError(f.Settings, err)
 	}
 	if _, err := bramblelock.New(c.Settings, c.Seed); err != nil { // called only to validate the settings
-		return nil, err // the error names the field
+		return nil, settingsError(f.Settings, err)
 	}
 	c.rawSettings = f.Settings
 	var n settingsNames
 	if err := json.Unmarshal(f.Settings, &n); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, settingsError(f.Settings, err)
 	}
 	for _, t := range []struct {
 		field string
@@ -349,10 +361,10 @@
 	m := make(map[string]int, len(list))
 	for i, name := range list {
 		if name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no name", field, i)
+			return nil, fmt.Errorf("settings.%s[%d]: has no name", field, i)
 		}
 		if _, twice := m[name]; twice {
-			return nil, fmt.Errorf("settings: %s: %q is there twice", field, name)
+			return nil, fmt.Errorf("settings.%s[%d]: %q is there twice", field, i, name)
 		}
 		m[name] = i
 	}
@@ -365,7 +377,7 @@
 		return def, nil
 	}
 	if !(us > 0 && us < float64(time.Hour/time.Microsecond)) {
-		return 0, fmt.Errorf("settings: %s: %v is not between 0 and an hour", field, us)
+		return 0, fmt.Errorf("settings.%s: %v is not between 0 and an hour of %d microseconds", field, us, time.Hour/time.Microsecond)
 	}
 	return time.Duration(us * float64(time.Microsecond)), nil
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -58,35 +58,55 @@
 	}
 }
 
-// An error must be one line that names the invalid field.
+// An error must be one line that names the invalid key, its value as it is written, and what is allowed.
 func TestLoadErrorNamesField(t *testing.T) {
+	obligation := func(text string) string { return `"rank":1,"obligations":{` + text + `}` }
+	const (
+		anyTime   = " is not between 0 and 3600000000000 microseconds"
+		anyNumber = " is not between 0 and 1000000000000"
+	)
 	for _, tt := range []struct{ from, to, want string }{
-		{`"listen":"127.0.0.1:9000"`, `"listen":"127.0.0.1"`, "listen"},
-		{`"discovery":"127.0.0.2:8500",`, ``, "discovery"},
-		{`"8c1f30d27a5be964"`, `"soon"`, "seed"},
-		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb"},
-		{`"memory_mb":192`, `"memory_mb":"much"`, "memory_mb"},
-		{`"cores":1.0`, `"cores":-1`, "limits.cores"},
-		{`"sockets":1024`, `"sockets":3`, "limits.sockets"},
-		{`"settings"`, `"set"`, "settings"},
-		{`"balancers":2`, `"balancers":0`, "instances"},
-		{`"rank":1`, `"rank":2`, "rank"},
-		{`"rank":1`, `"rank":1,"discovery":"subscrib"`, "discovery"},
-		{`"rank":1`, `"rank":1,"step":-1`, "step"},
-		{`"rank":1`, `"rank":1,"over_share_worth":-1`, "worth"},
-		{`"rank":1`, `"rank":1,"obligations":{"warm_after":-1}`, "warm after"},
-		{`"rank":1`, `"rank":1,"obligations":{"fall":1e300}`, "fall"},
-		{`"quota_per_s":10`, `"quota_per_s":-1`, "quota"},
-		{`"effect":"idempotent"`, `"effect":"deduplicated","window":-5`, "window"},
-		{`"effect":"idempotent"`, `"effect":"deduplicated","group":"rack"`, "group"},
-		{`"effect":"idempotent"`, `"effect":"harmless"`, "effect"},
-		{`"effect":"idempotent"`, `"effect":"idempotent","promise":-1`, "latency target"},
-		{`"hard_limit":1000000},`, `"hard_limit":0},`, "deadline"},
-		{`"version":41`, `"version":-41`, "Version"},
-		{`"started_ms":5`, `"started_ms":"noon"`, "started_ms"},
-		{`"name":"book"`, `"name":"look"`, "classes"},
-		{`"name":"acme"`, `"name":""`, "tenants"},
-		{`"dial_timeout":250000`, `"dial_timeout":-1`, "caps.dial_timeout"},
+		{`"listen":"127.0.0.1:9000"`, `"listen":"127.0.0.1"`, `listen: "127.0.0.1" is no host:port`},
+		{`"discovery":"127.0.0.2:8500",`, ``, `discovery: "" is no host:port`},
+		{`"8c1f30d27a5be964"`, `"soon"`, `seed: "soon" is no hexadecimal number of 64 bits`},
+		{`"8c1f30d27a5be964"`, `5`, "seed: 5 is not a string"},
+		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb: -1 is below 0"},
+		{`"memory_mb":192`, `"memory_mb":"much"`, `limits.memory_mb: "much" is not a whole number`},
+		{`"cores":1.0`, `"cores":-1`, "limits.cores: -1 is below 0"},
+		{`"sockets":1024`, `"sockets":3`, "limits.sockets: 3 is too few, 64 at least"},
+		{`"settings"`, `"set"`, "settings: missing"},
+		{`"balancers":2`, `"balancers":0`, "settings.balancers: 0 is not between 1 and 1048576"},
+		{`"balancers":2`, `"balancers":2.5`, "settings.balancers: 2.5 is not a whole number"},
+		{`"balancers":2`, `"Balancers":-2`, "settings.balancers: -2 is not between 1 and 1048576"},
+		{`"rank":1`, `"rank":2`, "settings.rank: 2 is not between 0 and 1"},
+		{`"rank":1`, `"rank":1,"discovery":"subscrib"`, `settings.discovery: "subscrib" is not one of "", "automatic", "subscribe"`},
+		{`"rank":1`, `"rank":1,"step":-1`, "settings.step: -1" + anyTime},
+		{`"rank":1`, `"rank":1,"over_share_worth":-1`, "settings.over_share_worth: -1" + anyNumber},
+		{`"rank":1`, obligation(`"ask_within":-1`), "settings.obligations.ask_within: -1" + anyTime},
+		{`"rank":1`, obligation(`"cold_from":-1`), "settings.obligations.cold_from: -1" + anyNumber},
+		{`"rank":1`, obligation(`"warm_after":-1`), "settings.obligations.warm_after: -1" + anyTime},
+		{`"rank":1`, obligation(`"overload_factor":2e12`), "settings.obligations.overload_factor: 2e12" + anyNumber},
+		{`"rank":1`, obligation(`"fall":1e300`), "settings.obligations.fall: 1e300" + anyTime},
+		{`"rank":1`, obligation(`"drain_grace":true`), "settings.obligations.drain_grace: true is not a number"},
+		{`"rank":1`, `"rank":1,"obligations":[2]`, "settings.obligations: a list is not an object"},
+		{`"conn_idle"`, `"max_attempts":-1,"conn_idle"`, "settings.caps.max_attempts: -1 is not between 0 and 1048576"},
+		{`"conn_idle"`, `"retry_after":true,"max_retry_after":-1,"conn_idle"`, "settings.caps.max_retry_after: -1" + anyTime},
+		{`"quota_per_s":10`, `"quota_per_s":-1`, "settings.tenants[0].quota_per_s: -1" + anyNumber},
+		{`"classes":[`, `"classes":[],"klasses":[`, "settings.classes: a list of 0 is not a list of one class or more"},
+		{`"classes":[`, `"klasses":[`, "settings.classes: missing, must be a list of one class or more"},
+		{`"effect":"idempotent"`, `"effect":"deduplicated","window":-5`, "settings.classes[0].window: -5" + anyTime},
+		{`"effect":"idempotent"`, `"effect":"deduplicated","group":"rack"`, `settings.classes[0].group: "rack" is not one of "", "all", "zone", "cell"`},
+		{`"effect":"idempotent"`, `"effect":"harmless"`, `settings.classes[0].effect: "harmless" is not one of "idempotent", "deduplicated", "at_most_once"`},
+		{`"effect":"at_most_once",`, ``, `settings.classes[1].effect: missing, must be one of "idempotent"`},
+		{`"effect":"idempotent"`, `"effect":"idempotent","promise":-1`, "settings.classes[0].promise: -1" + anyTime},
+		{`"effect":"idempotent"`, `"effect":"idempotent","importance":-1`, "settings.classes[0].importance: -1" + anyNumber},
+		{`"hard_limit":1000000},`, `"hard_limit":0},`, "settings.classes[0].hard_limit: 0 is not above 0 and up to 3600000000000 microseconds"},
+		{`"version":41`, `"version":-41`, "known.version: -41 is not a whole number"},
+		{`"started_ms":5`, `"started_ms":"noon"`, `known.servers.started_ms: "noon" is not a whole number`},
+		{`"name":"book"`, `"name":"look"`, `settings.classes[1]: "look" is there twice`},
+		{`"name":"acme"`, `"name":""`, "settings.tenants[0]: has no name"},
+		{`"azs":["a"]`, `"azs":1`, "settings.azs: 1 is not a list"},
+		{`"dial_timeout":250000`, `"dial_timeout":-1`, "settings.caps.dial_timeout: -1 is not between 0 and an hour of 3600000000 microseconds"},
 		{`{"name":"n3"`, `{"name":`, "GW_CONFIG"},
 	} {
 		text := strings.Replace(goodConfig, tt.from, tt.to, 1)
@@ -98,8 +118,10 @@
 			t.Errorf("%s: error %v, want one line with %q", tt.to, err, tt.want)
 		}
 	}
-	if _, err := load(t, goodConfig, "GW_CONFIG", ""); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
-		t.Errorf("no file: error %v", err)
+	for name, value := range map[string]string{"GW_CONFIG": "", "GW_LISTEN": "nowhere", "GW_DISCOVERY": "nowhere", "GW_OPERATOR": "nowhere", "GW_ACCEPT_FD": "2"} {
+		if _, err := load(t, goodConfig, name, value); err == nil || !strings.HasPrefix(err.Error(), name+": ") {
+			t.Errorf("%s=%s: error %v", name, value, err)
+		}
 	}
 }
 
@@ -132,11 +154,11 @@
 		{"no settings", replaced(`"settings":`, `"setting":`), "settings"},
 		{"no classes", replaced(`"classes":[`, `"klasses":[`), "classes"},
 		{"no name", replaced(`{"name":"look",`, `{`), "name"},
-		{"no deadline", replaced(`,"hard_limit":1000000}`, `}`), "deadline"},
-		{"deadline of 0", replaced(`"hard_limit":1000000}`, `"hard_limit":0}`), "deadline"},
-		{"deadline below 0", replaced(`"hard_limit":1000000}`, `"hard_limit":-1}`), "deadline"},
+		{"no deadline", replaced(`,"hard_limit":1000000}`, `}`), "classes[0].hard_limit"},
+		{"deadline of 0", replaced(`"hard_limit":1000000}`, `"hard_limit":0}`), "classes[0].hard_limit"},
+		{"deadline below 0", replaced(`"hard_limit":1000000}`, `"hard_limit":-1}`), "classes[0].hard_limit"},
 		{"attempts of 0", replaced(`"max_attempts":6`, `"max_attempts":0`), "max_attempts"},
-		{"attempts below 0", replaced(`"max_attempts":6`, `"max_attempts":-2`), "max attempts"},
+		{"attempts below 0", replaced(`"max_attempts":6`, `"max_attempts":-2`), "caps.max_attempts"},
 		{"no attempts", replaced(`,"max_attempts":6`, ``), "max_attempts"},
 		{"no caps", replaced(`"caps":`, `"cups":`), "caps"},
 		{"no effect", replaced(`"effect":"idempotent",`, ``), "effect"},
