--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -1,9 +1,14 @@
 package gateway
 
 import (
+	"bufio"
+	"errors"
+	"io"
 	"net"
 	"net/http"
+	"os"
 	"strconv"
+	"strings"
 	"testing"
 	"time"
 )
@@ -142,3 +147,50 @@
 		t.Errorf("with %d stopped peers an eviction takes %v, without them %v", all/2, many, none)
 	}
 }
+
+// Idle connections of clients are closed to make room for new ones with requests.
+func TestIdleClientsAreEvicted(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
+	cfg := testConfig(host)
+	cfg.Sockets = 64
+	g := startGateway(t, cfg)
+	budget := g.server.connBudget
+	var idle []net.Conn
+	for i := range budget + 8 {
+		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		idle = append(idle, c)
+		io.WriteString(c, "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: look\r\n\r\n")
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			t.Fatalf("connection %d: %v", i, err)
+		}
+		if text, err := io.ReadAll(resp.Body); string(text) != "good" {
+			t.Fatalf("connection %d: %q, %v", i, text, err)
+		}
+		// The answer may arrive before the server has recorded that the connection is idle.
+		until(t, "the connection is idle", func() bool {
+			g.server.mu.Lock()
+			defer g.server.mu.Unlock()
+			n := 0
+			for _, c := range g.server.conns {
+				if c.state == http.StateIdle {
+					n++
+				}
+			}
+			return n >= min(i+1, budget)
+		})
+	}
+	until(t, "the connections are within the budget", func() bool {
+		g.server.mu.Lock()
+		defer g.server.mu.Unlock()
+		return len(g.server.conns) <= budget
+	})
+	idle[0].SetReadDeadline(time.Now().Add(waitTimeout))
+	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the connection that was idle for longest: %v, want it closed", err)
+	}
+}
--- /dev/null
+++ b/internal/gateway/hostlist_test.go
@@ -0,0 +1,91 @@
+package gateway
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"bramblelock"
+)
+
+// No new request is sent to a host that is draining or gone, or to the old address of one that has
+// moved.
+func TestListChangesAreApplied(t *testing.T) {
+	first, second := newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))
+	g := startGateway(t, testConfig(first, second))
+	member := func(id string, h *testHost, state string) Member {
+		return Member{ID: id, Addr: h.addr(), State: state}
+	}
+	applyList := func(what string, kind bramblelock.ListKind, want *testHost, list ...Member) {
+		g.loop.HandleList(kind, MemberList{Servers: list})
+		a, _, _ := first.counts()
+		b, _, _ := second.counts()
+		for range 8 {
+			if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
+				t.Errorf("%s: status %d", what, resp.StatusCode)
+			}
+		}
+		x, _, _ := first.counts()
+		y, _, _ := second.counts()
+		if x-a > 0 && want != first || y-b > 0 && want != second {
+			t.Errorf("%s: %d and %d requests", what, x-a, y-b)
+		}
+	}
+	applyList("draining", bramblelock.ListChanges, second, member("s-0", first, "draining"))
+	applyList("an unknown state", bramblelock.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
+	applyList("gone", bramblelock.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
+	applyList("absent from a full list", bramblelock.ListFull, first, member("s-0", first, "ready"))
+	applyList("moved", bramblelock.ListChanges, second, member("s-0", second, "ready"))
+}
+
+// An id must have the same number at every gateway and after a restart, and different ids different
+// numbers.
+func TestHostIDs(t *testing.T) {
+	seen := map[bramblelock.HostID]string{}
+	for i := range 1000 {
+		id := fmt.Sprintf("s-%08x", i)
+		if hostID(id) != hostID(strings.Clone(id)) || seen[hostID(id)] != "" {
+			t.Fatalf("%s maps to %x, as does %q", id, hostID(id), seen[hostID(id)])
+		}
+		seen[hostID(id)] = id
+	}
+	// The published FNV-1a hash of "a": another build must agree.
+	if got := hostID("a"); got != 0xaf63dc4c8601ec8c {
+		t.Errorf("%x is not the published hash", got)
+	}
+}
+
+func TestMemberStates(t *testing.T) {
+	var list MemberList
+	err := json.Unmarshal([]byte(`{"version":41,"full":true,"servers":[{"id":"s-5be2a07c","addr":"10.1.0.18:9000",
+		"zone":"a","kind":"m2","cell":3,"state":"ready","weight":1.0,"started_ms":7}]}`), &list)
+	want := Member{ID: "s-5be2a07c", Addr: "10.1.0.18:9000", Zone: "a", Kind: "m2", Cell: 3, State: "ready", StartedMS: 7}
+	if err != nil || list.Version != 41 || !list.Full || len(list.Servers) != 1 || list.Servers[0] != want {
+		t.Errorf("%+v, %v", list, err)
+	}
+}
+
+// A process that shares its listener accepts connections once discovery has sent a list: what it
+// knew before may be old.
+func TestListedAfterListFromDiscovery(t *testing.T) {
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
+	listed := func() bool {
+		g.loop.Sync()
+		select {
+		case <-g.loop.Listed():
+			return true
+		default:
+			return false
+		}
+	}
+	g.loop.HandleList(bramblelock.ListFailed, MemberList{})
+	if listed() {
+		t.Error("a saved list, or a failed call, counts as a list from discovery")
+	}
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{})
+	g.loop.HandleList(bramblelock.ListChanges, MemberList{})
+	if !listed() {
+		t.Error("a list from discovery does not count")
+	}
+}
