--- a/internal/gateway/notified_test.go
+++ b/internal/gateway/notified_test.go
@@ -85,13 +85,6 @@
 	}
 }
 
-// callCount returns how many calls have been made.
-func (d *bubbleDiscovery) callCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.calls)
-}
-
 // A call that is given up keeps its place at a discovery that serves calls one after the other.
 // Repeating it while it waits costs work for nothing, and delays all calls behind it.
 func TestQueuedCallIsNotRepeated(t *testing.T) {
