--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -10,6 +10,8 @@
 	"strconv"
 	"testing"
 	"time"
+
+	"bramblelock/internal/gateway/framing"
 )
 
 // Limits of the checks: the timeout stated to a host may exceed what its client still waits by
@@ -275,7 +277,7 @@
 func TestAuditCountsTimeFromLastByte(t *testing.T) {
 	const waited, left = time.Second, 2 * time.Second
 	now := time.Now()
-	completeHead := &requestHead{completeAt: now.Add(-waited)}
+	completeHead := &framing.Head{CompleteAt: now.Add(-waited)}
 	for stated, violations := range map[time.Duration]int64{left: 1, left - waited: 0, left - waited + statedTimeoutSlack/2: 0} {
 		var audit Audit
 		x := newExchange("")
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -13,10 +13,12 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"bramblelock/internal/gateway/framing"
 )
 
 // This file implements the connection of a client: reading, read deadlines, and closing it without
-// losing a request. framing.go parses the bytes that are read, and arrival.go bounds the time at
+// losing a request. Package framing parses the bytes that are read, and arrival.go bounds the time at
 // which they arrived.
 
 // framedListener accepts connections as framedConns.
@@ -33,7 +35,7 @@
 // newFramedConn returns a framedConn over c. A queuedConn passes on its bounds on the arrival of data.
 func newFramedConn(c net.Conn) *framedConn {
 	now := time.Now()
-	framed := &framedConn{Conn: c, partialHead: requestHead{startedAt: now}}
+	framed := &framedConn{Conn: c, parser: framing.NewParser(now)}
 	framed.arrivals.noteEmpty(now)
 	if queued, ok := c.(queuedConn); ok {
 		c, framed.Conn, framed.arrivals = queued.Conn, queued.Conn, queued.arrivals
@@ -50,20 +52,14 @@
 	closed      atomic.Bool     // Close was called, even if a request was read before
 	releaseSlot func()          // called by each Close; the first call frees the connection's slot; may be nil
 
-	mu            sync.Mutex     // guards the fields below but reader; net/http reads ahead while the handler runs
-	closing       bool           // the connection is about to be closed, and nothing more is read
-	pendingHeads  []*requestHead // heads of requests that no handler has taken yet, oldest first
-	idle          bool           // no request is being served, so the next bytes belong to a new one
-	headDeadline  time.Time      // deadline of a head that has begun to arrive after an earlier request, applied while idle; zero if there is none
-	arrivals      arrivalTracker // bounds the arrival time of the bytes that are read next
-	readDeadline  time.Time      // current deadline of reads
-	reader        connReader     // used by Read alone, without mu
-	state         parseState
-	remaining     int64        // bytes of the body or chunk that are still to come
-	line          []byte       // start of the line that is being received, up to maxLineBytes
-	lineTruncated bool         // the line is longer than maxLineBytes
-	partialHead   requestHead  // head that is being received
-	lastHead      *requestHead // head that was received last; its body may still be arriving
+	mu           sync.Mutex     // guards the fields below but reader; net/http reads ahead while the handler runs
+	closing      bool           // the connection is about to be closed, and nothing more is read
+	idle         bool           // no request is being served, so the next bytes belong to a new one
+	idleSince    time.Time      // when idle became true last
+	arrivals     arrivalTracker // bounds the arrival time of the bytes that are read next
+	readDeadline time.Time      // current deadline of reads
+	reader       connReader     // used by Read alone, without mu
+	parser       framing.Parser
 }
 
 // Read reads what has arrived and parses it in one step under c.mu, so that closeIf knows of all
@@ -139,27 +135,33 @@
 }
 
 // idleHeadDeadline returns the deadline of a head that has begun to arrive on an idle connection,
-// or the zero time if there is none.
+// or the zero time if there is none. A head that has begun to arrive during a request gets its time
+// from the end of that request on.
 func (c *framedConn) idleHeadDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idle {
+	headStart := c.parser.HeadStartedAt()
+	if !c.idle || headStart.IsZero() {
 		return time.Time{}
 	}
-	return c.headDeadline
+	return laterOf(headStart, c.idleSince).Add(headerTimeout)
 }
 
-// setIdle records whether the connection is without a request that is being served. A head that
-// has begun to arrive during a request gets its time from the end of that request on.
+// setIdle records whether the connection is without a request that is being served.
 func (c *framedConn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = idle
-	if idle && !c.headDeadline.IsZero() {
-		c.headDeadline = time.Now().Add(headerTimeout)
+	if idle {
+		c.idleSince = time.Now()
 	}
 }
 
+// parse parses bytes that have been read. The caller holds c.mu.
+func (c *framedConn) parse(in []byte) {
+	c.parser.Parse(in, time.Now(), c.arrivals.arrivedAfter(c.arrivals.totalRead))
+}
+
 // readAvailable reads the bytes that have arrived. If there are none it returns false for done and
 // stores in waitingSince when its caller began to wait. If waitingSince is not zero when it is called,
 // its caller has been woken up. It returns net.ErrClosed if the connection is about to be closed.
@@ -187,7 +189,7 @@
 	if n < len(p) { // nothing is left unread
 		c.boundCompletionTime(now, fd)
 		c.noteNothingUnread(now)
-	} else if c.state != parsingHead {
+	} else if !c.parser.InHead() {
 		c.noteUnreadBody(now, fd)
 	}
 	return n, true, nil
@@ -196,16 +198,18 @@
 // noteNothingUnread records that no bytes were left to read, unless the client's socket may still
 // hold some back. After a whole request it holds none, as the client waits for its answer.
 func (c *framedConn) noteNothingUnread(now time.Time) {
-	if c.state == parsingHead || !c.arrivals.senderMayBeBlocked() {
+	if c.parser.InHead() || !c.arrivals.senderMayBeBlocked() {
 		c.arrivals.noteEmpty(now)
 	}
 }
 
 // boundCompletionTime bounds the arrival time of a request that ends with the byte that was read last.
 func (c *framedConn) boundCompletionTime(now time.Time, fd int) {
-	if c.lastHead != nil && !c.lastHead.completeAt.IsZero() && c.state == parsingHead && c.partialHead.startedAt.IsZero() {
-		c.lastHead.completeAt = c.arrivals.lastByteArrivedAfter(now, fd)
+	last := c.parser.LastHead()
+	if last == nil || last.CompleteAt.IsZero() || !c.parser.InHead() || !c.parser.HeadStartedAt().IsZero() {
+		return
 	}
+	last.CompleteAt = c.arrivals.lastByteArrivedAfter(now, fd)
 }
 
 // noteUnreadBody records how many bytes of a body wait to be read.
@@ -218,14 +222,14 @@
 // receivedAt returns the earliest time at which the last byte of the request with head h can have
 // arrived. If the request is still arriving, that is the last time at which it is known to have been
 // incomplete.
-func (c *framedConn) receivedAt(h *requestHead) time.Time {
+func (c *framedConn) receivedAt(h *framing.Head) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !h.completeAt.IsZero() {
-		return h.completeAt
+	if !h.CompleteAt.IsZero() {
+		return h.CompleteAt
 	}
 	now := time.Now()
-	if c.raw == nil || h != c.lastHead {
+	if c.raw == nil || h != c.parser.LastHead() {
 		return now
 	}
 	at := now // a closed connection receives nothing more
@@ -243,16 +247,17 @@
 	if unread == 0 {
 		c.noteNothingUnread(now)
 	}
-	if c.state != parsingBody { // how much is missing of a chunked body is unknown
+	remaining, ok := c.parser.RemainingBody()
+	if !ok { // how much is missing of a chunked body is unknown
 		return c.arrivals.arrivedAfter(c.arrivals.totalRead + int64(unread))
 	}
 	// The body is incomplete if more is missing than the client's socket can hold, or if bytes are
 	// missing although no full receive window keeps them back.
-	unsent := c.remaining - int64(unread)
+	unsent := remaining - int64(unread)
 	if unsent > maxClientSendBuffer || unsent > 0 && unread < minReceiveWindow && !c.arrivals.senderMayBeBlocked() {
 		return now
 	}
-	return c.arrivals.arrivedAfter(c.arrivals.totalRead + c.remaining)
+	return c.arrivals.arrivedAfter(c.arrivals.totalRead + remaining)
 }
 
 // retryInterrupted repeats a system call while it fails with EINTR.
@@ -268,26 +273,20 @@
 // has arrived.
 func (c *framedConn) closeIfIdle() bool {
 	return c.closeIf(func() bool {
-		return len(c.pendingHeads) == 0 && c.state == parsingHead && !c.hasPartialHead()
+		return !c.parser.HasPendingHead() && c.parser.InHead() && !c.parser.HasPartialHead()
 	})
 }
 
-// hasPartialHead returns whether part of a head has been read, other than empty lines ahead of it.
-// The caller holds c.mu.
-func (c *framedConn) hasPartialHead() bool {
-	return c.state == parsingHead && (c.partialHead.hasRequestLine || len(c.line) > 0)
-}
-
 // closeIfNoHead closes a connection on which no request is being served if the head of the next one
 // has not arrived whole.
 func (c *framedConn) closeIfNoHead() bool {
-	return c.closeIf(func() bool { return len(c.pendingHeads) == 0 && c.state == parsingHead })
+	return c.closeIf(func() bool { return !c.parser.HasPendingHead() && c.parser.InHead() })
 }
 
 // closeIfBodyIncomplete closes a connection whose request is being read if the request has not
 // arrived whole.
 func (c *framedConn) closeIfBodyIncomplete() bool {
-	return c.closeIf(func() bool { return c.state != parsingHead })
+	return c.closeIf(func() bool { return !c.parser.InHead() })
 }
 
 // closeIf closes the connection if allowed returns true and no bytes wait to be read, and returns
@@ -377,3 +376,20 @@
 	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
 	return ok && c.closed.Load()
 }
+
+// takeRequestHead removes the oldest pending head from the connection of r, which is the head of r,
+// and returns it and whether sender and gateway agree on where the request ends. It is called once
+// for each request, in their order.
+func takeRequestHead(r *http.Request) (h *framing.Head, unambiguous bool) {
+	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
+	if !ok {
+		return nil, false
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h = c.parser.TakeHead()
+	if h == nil {
+		return nil, false // net/http has found a head where the parser has found none
+	}
+	return h, h.Unambiguous(r)
+}
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -70,10 +70,10 @@
 	}
 	framed.mu.Lock()
 	defer framed.mu.Unlock()
-	if !framed.hasPartialHead() {
+	if !framed.parser.HasPartialHead() {
 		return time.Time{}
 	}
-	return framed.partialHead.startedAt
+	return framed.parser.HeadStartedAt()
 }
 
 // evictConn closes a connection, unless it is not evictable or more has arrived on it than its class
@@ -110,7 +110,7 @@
 	}
 	framed.mu.Lock()
 	defer framed.mu.Unlock()
-	return framed.state == parsingHead && time.Since(framed.partialHead.startedAt) < maxAge
+	return time.Since(framed.parser.HeadStartedAt()) < maxAge
 }
 
 // clientListener accepts no more connections than the clients' share of the descriptors. Further
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/framing"
 )
 
 // exchange is one request of a client and its one final answer. The handler creates it; the loop
@@ -24,7 +25,7 @@
 	clientRetry   bool                      // the client marked the request as a retry
 	capDeadline   func(time.Time) time.Time // returns the earlier of a deadline and the time by which all answers are due at shutdown
 	clientConn    *framedConn               // connection of the client; nil in tests without one
-	head          *requestHead              // framing of the request on clientConn
+	head          *framing.Head             // framing of the request on clientConn
 	timeout       time.Duration             // how long the client waits from the last byte of its request on, less answerMargin
 	deadline      time.Time                 // when the answer is due; for an upload it is set again once the body is complete
 
--- a/internal/gateway/resting_test.go
+++ b/internal/gateway/resting_test.go
@@ -80,7 +80,7 @@
 				conn := g.framedConns()[0]
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
-				return conn.partialHead.hasRequestLine || len(conn.pendingHeads) > 0 || len(conn.line) > 0
+				return conn.parser.HasPartialHead() || conn.parser.HasPendingHead()
 			})
 			g.server.evictLocked()
 			g.server.mu.Unlock()
@@ -134,7 +134,7 @@
 		conn := g.framedConns()[0]
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.state == parsingHead
+		return conn.parser.InHead()
 	})
 	g.server.evictLocked()
 	g.server.mu.Unlock()
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/framing"
 	"bramblelock/internal/listener"
 )
 
@@ -305,7 +306,7 @@
 
 // readRequest validates a request, looks up its class and tenant, and reads a body that is short
 // enough to be buffered. An error comes with the HTTP status of the answer.
-func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *requestHead) (*exchange, int, error) {
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *framing.Head) (*exchange, int, error) {
 	x := &exchange{
 		method: r.Method, uri: r.RequestURI, host: r.Host, url: r.URL, header: r.Header,
 		clientRetry: r.Header.Get("X-Retried") == "1", answer: make(chan answer, 1),
@@ -336,7 +337,7 @@
 	}
 	x.timeout = max(0, timeout-answerMargin)
 	if r.ContentLength != 0 {
-		if status, err := s.readBody(w, r, x, head.startedAt); err != nil {
+		if status, err := s.readBody(w, r, x, head.StartedAt); err != nil {
 			return nil, status, err
 		}
 	}
