--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -1,16 +1,10 @@
 package gateway
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
-	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -139,11 +133,19 @@
 // NewDiscovery returns a Discovery that starts from the known list.
 func NewDiscovery(cfg *Config) *Discovery {
 	d := &Discovery{
-		addrs: splitAddrs(cfg.Discovery), addrsChanged: make(chan struct{}, 1), lastHeardAt: time.Now(),
-		onDemand: cfg.Settings.WatchHosts, watchRequested: make(chan struct{}, 1), version: cfg.Known.Version,
-		silenceTimeout: bramblelock.SilentAfter, timeoutFactor: usualTimeoutFactor, answerTimeout: callTimeout, haveList: len(cfg.Known.Servers) > 0, maxRetryDelay: cfg.Settings.MaxWatchGap,
+		addrs:          splitAddrs(cfg.Discovery),
+		addrsChanged:   make(chan struct{}, 1),
+		onDemand:       cfg.Settings.WatchHosts,
+		watchRequested: make(chan struct{}, 1),
+		version:        cfg.Known.Version,
+		haveList:       len(cfg.Known.Servers) > 0,
+		lastHeardAt:    time.Now(),
+		silenceTimeout: bramblelock.SilentAfter,
+		timeoutFactor:  usualTimeoutFactor,
+		answerTimeout:  callTimeout,
+		maxRetryDelay:  cfg.Settings.MaxWatchGap,
+		syncLists:      func() {},
 	}
-	d.syncLists = func() {}
 	d.client = http.Client{Transport: &http.Transport{DialContext: d.dial, DisableKeepAlives: true}}
 	return d
 }
@@ -205,237 +207,3 @@
 		d.cancelWatch(errAddrsChanged)
 	}
 }
-
-// Run watches the list until ctx ends. After a watch was lost, Run begins a new one at the next
-// address, after a capped exponential backoff with jitter. If watches begin on demand, Run reports
-// the loss instead, and the Balancer decides when to watch again. After a change of addresses a watch
-// begins at once, as the request for the watch before still holds. While no address answers, the last
-// list stays in use, and its age is logged every listAgeLogInterval.
-//
-// On demand, a call begins without a request in four cases: after a change of addresses, after a watch
-// that fell silent, once after a call without an answer, and after a failed call while there are
-// addresses that were not called in this round.
-func (d *Discovery) Run(ctx context.Context, handler ListHandler) {
-	backoff, watchLost := minWatchBackoff, false
-	var lostSince, loggedAt time.Time  // time of the loss, and of the last log line about it
-	callAgain, failedAddrs := false, 0 // whether the next watch begins without a request for it; calls that failed in this round through the addresses
-	retriedUnanswered := false         // an unanswered call has already been repeated at once
-	for ctx.Err() == nil {
-		if d.onDemand && !callAgain {
-			select {
-			case <-ctx.Done():
-				return
-			case <-d.watchRequested:
-				select { // discovery may have asked to be called later
-				case <-ctx.Done():
-					return
-				case <-time.After(time.Until(d.retryAt)):
-				case <-d.addrsChanged:
-				}
-			case <-d.addrsChanged:
-			}
-		}
-		received, err := d.watch(ctx, handler)
-		if ctx.Err() != nil {
-			return
-		}
-		if received {
-			if watchLost && time.Since(lostSince) > listAgeLogInterval {
-				slog.Info("discovery back", "after_s", time.Since(lostSince).Round(time.Millisecond).Seconds())
-			}
-			backoff, watchLost = minWatchBackoff, false
-		}
-		if errors.Is(err, errAddrsChanged) {
-			continue
-		}
-		// A watch that fell silent has missed changes that count as notified by now. It is reopened
-		// at once, and a failure is reported to the Balancer only if the new call fails, as the
-		// Balancer waits before the next call. A call without an answer is also repeated at once, but
-		// only once: if no call is answered, the Balancer spaces the calls of the fleet.
-		callAgain = errors.Is(err, errSilent) && (received || !retriedUnanswered)
-		switch {
-		case callAgain && received:
-			d.timeoutFactor = urgentTimeoutFactor
-			handler.HandleList(bramblelock.ListSilent, MemberList{})
-		case errors.Is(err, errEnded):
-			d.timeoutFactor = endedTimeoutFactor
-		default:
-			d.timeoutFactor = usualTimeoutFactor
-		}
-		retriedUnanswered = callAgain && !received
-		d.mu.Lock()
-		d.addrIndex = (d.addrIndex + 1) % len(d.addrs)
-		addrCount := len(d.addrs)
-		d.mu.Unlock()
-		// Another address may be available: each one is called once before a loss is reported, unless
-		// discovery has asked not to be called yet.
-		if failedAddrs++; !received && failedAddrs < addrCount && time.Now().After(d.retryAt) {
-			callAgain = true
-		} else {
-			failedAddrs = 0
-		}
-		switch now := time.Now(); {
-		case !watchLost:
-			slog.Warn("watch of the host list lost, watching anew", "err", err)
-			watchLost, lostSince, loggedAt = true, now, now
-		case now.Sub(loggedAt) >= listAgeLogInterval:
-			slog.Warn("discovery unreachable, serving on the last list", "age_s",
-				now.Sub(d.lastHeardAt).Round(time.Second).Seconds(), "err", err)
-			loggedAt = now
-		}
-		if d.onDemand && callAgain {
-			continue
-		}
-		if d.onDemand {
-			handler.HandleList(lossKind(err), MemberList{})
-			continue
-		}
-		select {
-		case <-ctx.Done():
-		case <-d.addrsChanged:
-		case <-time.After(jitter(backoff)):
-		}
-		backoff = min(2*backoff, maxWatchBackoff)
-	}
-}
-
-// watch makes one call and handles the lists of its answer until the watch ends. It returns the reason
-// for the end and whether data was received, which is false if a malformed or older list ended the
-// watch. If silence or a change of addresses ended it, received is true once the call was answered.
-func (d *Discovery) watch(ctx context.Context, handler ListHandler) (received bool, err error) {
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	d.mu.Lock()
-	addrsChanged := d.addrsUnused
-	d.mu.Unlock()
-	if addrsChanged {
-		d.timeoutFactor = urgentTimeoutFactor
-		handler.HandleList(bramblelock.ListMoved, MemberList{})
-	}
-	silenceTimer := d.startSilenceTimer(d.nextCallTimeout(), func() { cancel(errSilent) })
-	defer silenceTimer.Stop()
-	answered := false
-	defer func() {
-		if cause := context.Cause(ctx); cause == errSilent || cause == errAddrsChanged {
-			err, received = cause, received || answered
-		} else if answered && errors.Is(err, io.ErrUnexpectedEOF) {
-			err = fmt.Errorf("%w: %w", errEnded, err)
-		}
-	}()
-	d.mu.Lock()
-	addr := d.addrs[d.addrIndex]
-	d.cancelWatch = cancel
-	if d.addrsUnused {
-		// Another discovery service numbers its versions by itself, and a Retry-After of the old
-		// one does not apply to it.
-		d.addrsUnused, d.version, d.olderListSince, d.retryAt, d.unansweredCalls = false, 0, time.Time{}, time.Time{}, 0
-	}
-	d.mu.Unlock()
-	index := d.version
-	if d.needFullList {
-		index = 0
-	}
-	url := "http://" + addr + pathMembers + "?stream=1&index=" + strconv.FormatUint(index, 10)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return false, err
-	}
-	if d.haveList {
-		req.Header.Set("X-Catalog-Have", strconv.FormatUint(d.version, 10))
-	}
-	began := time.Now()
-	resp, err := d.client.Do(req)
-	logCall(ctx, index, time.Since(began), resp, err)
-	if context.Cause(ctx) == errSilent {
-		d.unansweredCalls++
-	} else {
-		d.unansweredCalls = 0
-	}
-	if err != nil {
-		return false, err
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		d.applyRetryAfter(resp.Header.Get("Retry-After"))
-		return false, fmt.Errorf("discovery answers %s", resp.Status)
-	}
-	answered = true
-	silenceTimer.Reset(d.silenceTimeout)
-	upToDate := d.haveList && index == d.version && index > 0 // else a list is still to come
-	reader := &listReader{body: resp.Body, onData: func(blank bool) {
-		silenceTimer.Reset(d.silenceTimeout)
-		received, d.lastHeardAt = true, time.Now()
-		if blank && upToDate { // the first data is white space: the list has not changed since d.version
-			handler.HandleList(bramblelock.ListChanges, MemberList{Version: index})
-		}
-		upToDate = false
-	}}
-	lists := json.NewDecoder(reader) // does not split at line ends, as a list may be indented
-	for {
-		var list MemberList
-		err := lists.Decode(&list)
-		reader.bytesSinceList = 0
-		switch {
-		case errors.Is(err, errListTooLong):
-			return received, fmt.Errorf("discovery's list is longer than %d MB, ours is kept", maxListBytes>>20)
-		case reader.readErr != nil:
-			return received, reader.readErr
-		case err == io.EOF:
-			return received, io.ErrUnexpectedEOF // a watch is not meant to end; the deferred function wraps it in errEnded
-		case isMalformedList(err):
-			d.needFullList = true // the changes in it are lost
-			return false, fmt.Errorf("discovery's list: %w", err)
-		case err != nil:
-			return received, err
-		}
-		if list.Version < d.version {
-			if d.olderListSince.IsZero() {
-				d.olderListSince = time.Now()
-			}
-			if time.Since(d.olderListSince) < versionResetAfter || !list.Full {
-				d.needFullList = true // discovery may have started its versions anew, and then has no changes since d.version
-				return false, fmt.Errorf("%w: %d, ours %d", errOlderList, list.Version, d.version)
-			}
-			slog.Error("discovery counts anew: its whole list is taken", "version", list.Version, "ours", d.version)
-		}
-		d.olderListSince, d.needFullList = time.Time{}, false
-		kind := bramblelock.ListChanges
-		if list.Full {
-			kind = bramblelock.ListFull
-		}
-		d.version, d.haveList = list.Version, true
-		handler.HandleList(kind, list)
-	}
-}
-
-// listReader reads from body, calls onData for every read that returns data, and fails with
-// errListTooLong if a list is longer than maxListBytes.
-type listReader struct {
-	body           io.Reader
-	onData         func(blank bool) // blank means that the data is only white space
-	bytesSinceList int              // bytes read since the last whole list was decoded
-	readErr        error            // error other than io.EOF that ended the connection
-}
-
-var errListTooLong = errors.New("too much")
-
-func (r *listReader) Read(p []byte) (int, error) {
-	n, err := r.body.Read(p)
-	if n > 0 {
-		r.onData(len(bytes.TrimSpace(p[:n])) == 0)
-	}
-	if err != io.EOF {
-		r.readErr = err
-	}
-	if r.bytesSinceList += n; r.bytesSinceList > maxListBytes {
-		return 0, errListTooLong
-	}
-	return n, err
-}
-
-// isMalformedList returns whether the data cannot be parsed as a list, or ended within one.
-func isMalformedList(err error) bool {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	return errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, io.ErrUnexpectedEOF)
-}
