--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -419,7 +419,7 @@
 
 func (d *fakeDiscovery) addr() string { return strings.TrimPrefix(d.URL, "http://") }
 
-// The program must reject a bad configuration with a single line that names the field and exit with
+// The program must reject a bad configuration with a single line that names the key and exit with
 // code 1.
 func TestBadConfiguration(t *testing.T) {
 	p := startGateway(t, strings.Replace(configJSON(), `"hard_limit":2000000`, `"hard_limit":0`, 1), "127.0.0.1:0")
@@ -431,8 +431,8 @@
 	if code := p.ProcessState.ExitCode(); code != 1 {
 		t.Errorf("exit code %d", code)
 	}
-	if out := p.output.String(); !strings.Contains(out, "deadline") || strings.Count(out, "\n") != 1 {
-		t.Errorf("output is %q, want one line that names the field", out)
+	if out := p.output.String(); !strings.Contains(out, "settings.classes[0].hard_limit: 0") || strings.Count(out, "\n") != 1 {
+		t.Errorf("output is %q, want one line that names the key", out)
 	}
 }
 
