--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -11,6 +11,8 @@
 	"bramblelock/internal/catalogfleet"
 	"bramblelock/internal/faultnet"
 	"bramblelock/internal/gateway"
+	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // versionRecorder receives the lists of a gateway's discovery client in place of a gateway.Loop and
@@ -20,7 +22,7 @@
 	version uint64
 }
 
-func (s *versionRecorder) HandleList(kind bramblelock.ListKind, l gateway.MemberList) {
+func (s *versionRecorder) HandleList(kind bramblelock.ListKind, l hostlist.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !kind.IsLoss() {
@@ -57,7 +59,7 @@
 	recorders := make([]*versionRecorder, watchers)
 	for i := range recorders {
 		recorders[i] = &versionRecorder{}
-		d := gateway.NewDiscovery(&gateway.Config{Discovery: link.Addr})
+		d := gateway.NewDiscovery(&config.Config{Discovery: link.Addr})
 		go d.Run(ctx, recorders[i])
 	}
 	allHaveVersion := func(v uint64) bool {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -17,6 +17,7 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway"
+	"bramblelock/internal/gateway/config"
 	"bramblelock/internal/logwriter"
 	"bramblelock/internal/membership"
 )
@@ -39,7 +40,7 @@
 
 func main() {
 	log := logwriter.Install(logLevel(os.Getenv("GW_LOG")))
-	cfg, err := gateway.Load(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err == nil {
 		err = run(cfg)
 	}
@@ -63,7 +64,7 @@
 
 // run serves until SIGTERM or SIGINT and then shuts down gracefully. On SIGHUP it reloads the
 // configuration file.
-func run(cfg *gateway.Config) error {
+func run(cfg *config.Config) error {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	}
@@ -188,7 +189,7 @@
 
 // listen returns the listener for clients: the one inherited from the platform if GW_ACCEPT_FD is set,
 // otherwise a new one.
-func listen(cfg *gateway.Config) (net.Listener, error) {
+func listen(cfg *config.Config) (net.Listener, error) {
 	if cfg.AcceptFD == 0 {
 		return net.Listen("tcp", cfg.Listen)
 	}
@@ -200,8 +201,8 @@
 // reload applies the configuration file and switches to the discovery address that it gives. A file
 // with any error changes nothing, so that settings are never applied in part. reload returns the
 // configuration that is now in force.
-func reload(current *gateway.Config, loop *gateway.Loop, discovery *gateway.Discovery) *gateway.Config {
-	cfg, err := gateway.Reload(os.Getenv, current)
+func reload(current *config.Config, loop *gateway.Loop, discovery *gateway.Discovery) *config.Config {
+	cfg, err := config.Reload(os.Getenv, current)
 	if err != nil {
 		slog.Error("configuration not read anew, the old one stands", "err", err)
 		return current
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // BenchmarkRequestRoundTrip measures one request from a client through the gateway to a host and
@@ -16,7 +17,7 @@
 func BenchmarkRequestRoundTrip(b *testing.B) {
 	host := benchHost(b)
 	cfg := testConfig()
-	cfg.Known.Servers = []Member{{ID: "s-0", Addr: host, State: "ready"}}
+	cfg.Known.Servers = []hostlist.Member{{ID: "s-0", Addr: host, State: "ready"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	pool := NewPool(cfg)
--- a/internal/gateway/bubble_gateway_test.go
+++ b/internal/gateway/bubble_gateway_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // drainGrace is how long after a change counts as notified a request may still be sent.
@@ -16,13 +18,13 @@
 
 // bubbleGateway is a gateway in the bubble without a server for clients.
 type bubbleGateway struct {
-	cfg  *Config
+	cfg  *config.Config
 	loop *Loop
 	d    *Discovery
 }
 
 // startBubble starts a gateway of a fleet.
-func startBubble(t *testing.T, ctx context.Context, n *bubbleNet, cfg *Config) *bubbleGateway {
+func startBubble(t *testing.T, ctx context.Context, n *bubbleNet, cfg *config.Config) *bubbleGateway {
 	pool := NewPool(cfg)
 	pool.dial = n.dial
 	d := NewDiscovery(cfg)
@@ -42,7 +44,7 @@
 	return &bubbleGateway{cfg, loop, d}
 }
 
-func bubbleConfig(onDemand bool, instances, rank int, discovery string, hosts []*bubbleHost) *Config {
+func bubbleConfig(onDemand bool, instances, rank int, discovery string, hosts []*bubbleHost) *config.Config {
 	cfg := testConfig()
 	cfg.Seed, cfg.Discovery = uint64(rank), discovery
 	cfg.DialTimeout = 2 * time.Second
@@ -50,7 +52,7 @@
 	cfg.Settings.Classes = []bramblelock.Class{{LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second}}
 	cfg.Classes = map[string]int{"look": 0}
 	for _, h := range hosts {
-		cfg.Known.Servers = append(cfg.Known.Servers, Member{ID: h.id, Addr: h.addr, State: "ready"})
+		cfg.Known.Servers = append(cfg.Known.Servers, hostlist.Member{ID: h.id, Addr: h.addr, State: "ready"})
 	}
 	return cfg
 }
--- a/internal/gateway/bulk.go
+++ b/internal/gateway/bulk.go
@@ -8,6 +8,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"bramblelock/internal/gateway/config"
 )
 
 const (
@@ -47,7 +49,7 @@
 // memoryBudget limits how many bytes all requests together may buffer.
 type memoryBudget struct{ remaining atomic.Int64 }
 
-func newMemoryBudget(cfg *Config) *memoryBudget {
+func newMemoryBudget(cfg *config.Config) *memoryBudget {
 	b := new(memoryBudget)
 	n := int64(bufferMemoryShare * float64(cfg.MemoryMB) * (1 << 20))
 	if cfg.MemoryMB == 0 {
--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -1,6 +1,6 @@
-// Package gateway is the gateway process around the decision module, package bramblelock. It speaks
-// HTTP with clients, hosts and discovery, and leaves every decision to the Balancer.
-package gateway
+// Package config reads the configuration of a gateway from its file and from environment variables, and
+// checks it.
+package config
 
 import (
 	"encoding/json"
@@ -15,6 +15,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 	"bramblelock/internal/wire"
 )
 
@@ -31,7 +32,7 @@
 	MemoryMB int     // limit on memory in MiB; 0 if there is none
 	Sockets  int     // limit on the file descriptors of the process, not of sockets alone
 
-	Known MemberList // list of hosts that this gateway had last, as the file states it; used from the start until another list replaces it
+	Known hostlist.List // list of hosts that this gateway had last, as the file states it; used from the start until another list replaces it
 
 	// Membership among gateways is off while Bind is empty.
 	Membership Membership
@@ -56,8 +57,8 @@
 	Tenants  map[string]int
 }
 
-// longestDeadline returns the longest deadline of any class.
-func (r *Rules) longestDeadline() (d time.Duration) {
+// LongestDeadline returns the longest deadline of any class.
+func (r *Rules) LongestDeadline() (d time.Duration) {
 	for _, c := range r.Settings.Classes {
 		d = max(d, c.Deadline)
 	}
@@ -83,7 +84,7 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int
 	}
-	Known      MemberList
+	Known      hostlist.List
 	Membership Membership
 	Settings   json.RawMessage
 
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -1,4 +1,4 @@
-package gateway
+package config
 
 import (
 	"os"
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 const (
@@ -46,35 +48,6 @@
 	listAgeLogInterval = 10 * time.Second
 )
 
-// MemberList is the list of hosts, or changes of it, in the format of discovery.
-type MemberList struct {
-	Version uint64
-	Full    bool
-	Servers []Member
-}
-
-// Member is one host of the list.
-type Member struct {
-	ID        string
-	Addr      string
-	Zone      string
-	Kind      string
-	Cell      int
-	State     string
-	StartedMS int64 `json:"started_ms"`
-}
-
-// hostState parses the state of a host. A host in an unknown state counts as draining.
-func (m *Member) hostState() bramblelock.HostState {
-	switch m.State {
-	case "ready":
-		return bramblelock.Ready
-	case "gone":
-		return bramblelock.Removed
-	}
-	return bramblelock.Draining
-}
-
 // Discovery watches the list of hosts by calls to the discovery service, and passes the list and its
 // changes on to a ListHandler. A watch is a call whose answer stays open and streams lists.
 type Discovery struct {
@@ -106,7 +79,7 @@
 // ListHandler receives lists of hosts, changes of them and reports of a loss of discovery. Loop and
 // Roster implement it.
 type ListHandler interface {
-	HandleList(kind bramblelock.ListKind, list MemberList)
+	HandleList(kind bramblelock.ListKind, list hostlist.List)
 }
 
 // splitAddrs parses the value of GW_DISCOVERY: one address, or several addresses of one service that
@@ -131,7 +104,7 @@
 )
 
 // NewDiscovery returns a Discovery that starts from the known list.
-func NewDiscovery(cfg *Config) *Discovery {
+func NewDiscovery(cfg *config.Config) *Discovery {
 	d := &Discovery{
 		addrs:          splitAddrs(cfg.Discovery),
 		addrsChanged:   make(chan struct{}, 1),
--- a/internal/gateway/discovery_run.go
+++ b/internal/gateway/discovery_run.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // This file implements the loop of watches: when the next one begins, and at which address.
@@ -50,7 +51,7 @@
 		fellSilent := callAgain && received
 		d.timeoutFactor = timeoutFactorAfter(err, fellSilent)
 		if fellSilent {
-			handler.HandleList(bramblelock.ListSilent, MemberList{})
+			handler.HandleList(bramblelock.ListSilent, hostlist.List{})
 		}
 		addrCount := d.nextAddr()
 		// Another address may be available: each one is called once before a loss is reported, unless
@@ -65,7 +66,7 @@
 		switch {
 		case d.onDemand && callAgain:
 		case d.onDemand:
-			handler.HandleList(lossKind(err), MemberList{})
+			handler.HandleList(lossKind(err), hostlist.List{})
 		default:
 			d.waitToWatch(ctx, jitter(backoff))
 			backoff = min(2*backoff, maxWatchBackoff)
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -14,12 +14,14 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // listRecorder is a ListHandler that passes on the kinds of what it receives.
 type listRecorder chan bramblelock.ListKind
 
-func (l listRecorder) HandleList(kind bramblelock.ListKind, _ MemberList) { l <- kind }
+func (l listRecorder) HandleList(kind bramblelock.ListKind, _ hostlist.List) { l <- kind }
 
 // A Retry-After is applied with a small random addition, but never beyond the time that a list may
 // go without a call, nor, with a list, beyond half of the deadline for notifications. A value that
@@ -73,7 +75,7 @@
 		}
 	}))
 	defer srv.Close()
-	cfg := &Config{Discovery: strings.TrimPrefix(srv.URL, "http://"), Known: MemberList{Version: 5, Servers: []Member{{ID: "s-1"}}}}
+	cfg := &config.Config{Discovery: strings.TrimPrefix(srv.URL, "http://"), Known: hostlist.List{Version: 5, Servers: []hostlist.Member{{ID: "s-1"}}}}
 	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = true, time.Second
 	d := NewDiscovery(cfg)
 	received := make(listRecorder, 8)
@@ -109,7 +111,7 @@
 		want  bramblelock.ListKind
 	}{{addr(available.Server), bramblelock.ListFull}, {addr(busy), bramblelock.ListFailed}} {
 		calls.Store(0)
-		cfg := &Config{Discovery: addr(down) + "," + addr(busy) + "," + c.third}
+		cfg := &config.Config{Discovery: addr(down) + "," + addr(busy) + "," + c.third}
 		cfg.Settings.WatchHosts = true
 		d := NewDiscovery(cfg)
 		received := make(listRecorder, 8)
@@ -138,7 +140,7 @@
 	}
 	defer ln.Close() // never accepts: the call waits in the backlog
 	available := newWatchServer(t)
-	cfg := &Config{Discovery: ln.Addr().String() + "," + strings.TrimPrefix(available.URL, "http://")}
+	cfg := &config.Config{Discovery: ln.Addr().String() + "," + strings.TrimPrefix(available.URL, "http://")}
 	cfg.Settings.WatchHosts = true
 	d := NewDiscovery(cfg)
 	d.answerTimeout, d.silenceTimeout = 50*time.Millisecond, time.Hour
@@ -187,9 +189,9 @@
 
 // A list may be indented and so span several lines, also between lists that are not.
 func TestIndentedListIsRead(t *testing.T) {
-	var list MemberList
+	var list hostlist.List
 	for i := range 3 {
-		list.Servers = append(list.Servers, Member{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:9", State: "ready"})
+		list.Servers = append(list.Servers, hostlist.Member{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:9", State: "ready"})
 	}
 	var served []byte
 	for version, indent := range []string{"", "  ", "\t", "", "    "} {
@@ -214,7 +216,7 @@
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go NewDiscovery(&Config{Discovery: strings.TrimPrefix(srv.URL, "http://")}).Run(ctx, received)
+	go NewDiscovery(&config.Config{Discovery: strings.TrimPrefix(srv.URL, "http://")}).Run(ctx, received)
 	for n := range 5 {
 		want := bramblelock.ListChanges
 		if n == 0 {
@@ -244,7 +246,7 @@
 	}))
 	cfg := testConfig()
 	cfg.Discovery, cfg.Settings.WatchHosts = strings.TrimPrefix(server.URL, "http://"), true
-	cfg.Known = MemberList{Version: 41, Full: true, Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}}
+	cfg.Known = hostlist.List{Version: 41, Full: true, Servers: []hostlist.Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}}
 	d := NewDiscovery(cfg)
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/discovery_watch.go
+++ b/internal/gateway/discovery_watch.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // This file implements one call for the list, and the watch that its answer begins.
@@ -36,7 +37,7 @@
 	defer cancel(nil)
 	if d.hasMoved() {
 		d.timeoutFactor = urgentTimeoutFactor
-		handler.HandleList(bramblelock.ListMoved, MemberList{})
+		handler.HandleList(bramblelock.ListMoved, hostlist.List{})
 	}
 	call := &watchCall{d: d, handler: handler}
 	call.silenceTimer = d.startSilenceTimer(d.nextCallTimeout(), func() { cancel(errSilent) })
@@ -127,7 +128,7 @@
 	w.received = true
 	w.d.lastHeardAt = time.Now()
 	if blank && w.upToDate {
-		w.handler.HandleList(bramblelock.ListChanges, MemberList{Version: w.index})
+		w.handler.HandleList(bramblelock.ListChanges, hostlist.List{Version: w.index})
 	}
 	w.upToDate = false
 }
@@ -138,7 +139,7 @@
 	reader := &listReader{body: body, onData: w.noteData}
 	lists := json.NewDecoder(reader) // does not split at line ends, as a list may be indented
 	for {
-		var list MemberList
+		var list hostlist.List
 		err := lists.Decode(&list)
 		reader.bytesSinceList = 0
 		switch {
@@ -171,7 +172,7 @@
 
 // checkVersion returns an error if list is older than the one in use, unless discovery has started its
 // versions anew.
-func (d *Discovery) checkVersion(list *MemberList) error {
+func (d *Discovery) checkVersion(list *hostlist.List) error {
 	if list.Version >= d.version {
 		return nil
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
 	"bramblelock/internal/gateway/framing"
 )
 
@@ -20,7 +21,7 @@
 	upload            *upload // the rest of the body, streamed to a host; nil if there is none
 	releaseBody       func()  // returns the memory of the body, buffered or read ahead, to the budget
 
-	rules         *Rules // rules under which class and tenant were looked up
+	rules         *config.Rules // rules under which class and tenant were looked up
 	class, tenant int
 	clientRetry   bool                      // the client marked the request as a retry
 	capDeadline   func(time.Time) time.Time // returns the earlier of a deadline and the time by which all answers are due at shutdown
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // A host must receive a request as the client sent it.
@@ -182,12 +183,12 @@
 	if status := get(); status != 503 {
 		t.Errorf("with no hosts: status %d", status)
 	}
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Servers: []hostlist.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	until(t, "health is good with a host", func() bool { return get() == 200 })
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Servers: []hostlist.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}})
 	until(t, "health is bad with the last host draining", func() bool { return get() == 503 })
 	g.server.stopping.Store(true)
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Servers: []hostlist.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: "ready"}}})
 	if status := get(); status != 503 {
 		t.Errorf("while stopping: status %d", status)
 	}
--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
 )
 
 const (
@@ -141,7 +142,7 @@
 }
 
 func newTestPool() *Pool {
-	return NewPool(&Config{ConnIdle: time.Minute, DialTimeout: waitTimeout, Sockets: 1024})
+	return NewPool(&config.Config{ConnIdle: time.Minute, DialTimeout: waitTimeout, Sockets: 1024})
 }
 
 // newPoolHost returns a host as the loop would create it.
--- a/internal/gateway/hostlist_test.go
+++ b/internal/gateway/hostlist_test.go
@@ -1,12 +1,12 @@
 package gateway
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // No new request is sent to a host that is draining or gone, or to the old address of one that has
@@ -14,11 +14,11 @@
 func TestListChangesAreApplied(t *testing.T) {
 	first, second := newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))
 	g := startGateway(t, testConfig(first, second))
-	member := func(id string, h *testHost, state string) Member {
-		return Member{ID: id, Addr: h.addr(), State: state}
+	member := func(id string, h *testHost, state string) hostlist.Member {
+		return hostlist.Member{ID: id, Addr: h.addr(), State: state}
 	}
-	applyList := func(what string, kind bramblelock.ListKind, want *testHost, list ...Member) {
-		g.loop.HandleList(kind, MemberList{Servers: list})
+	applyList := func(what string, kind bramblelock.ListKind, want *testHost, list ...hostlist.Member) {
+		g.loop.HandleList(kind, hostlist.List{Servers: list})
 		a, _, _ := first.counts()
 		b, _, _ := second.counts()
 		for range 8 {
@@ -56,16 +56,6 @@
 	}
 }
 
-func TestMemberStates(t *testing.T) {
-	var list MemberList
-	err := json.Unmarshal([]byte(`{"version":41,"full":true,"servers":[{"id":"s-5be2a07c","addr":"10.1.0.18:9000",
-		"zone":"a","kind":"m2","cell":3,"state":"ready","weight":1.0,"started_ms":7}]}`), &list)
-	want := Member{ID: "s-5be2a07c", Addr: "10.1.0.18:9000", Zone: "a", Kind: "m2", Cell: 3, State: "ready", StartedMS: 7}
-	if err != nil || list.Version != 41 || !list.Full || len(list.Servers) != 1 || list.Servers[0] != want {
-		t.Errorf("%+v, %v", list, err)
-	}
-}
-
 // A process that shares its listener accepts connections once discovery has sent a list: what it
 // knew before may be old.
 func TestListedAfterListFromDiscovery(t *testing.T) {
@@ -79,12 +69,12 @@
 			return false
 		}
 	}
-	g.loop.HandleList(bramblelock.ListFailed, MemberList{})
+	g.loop.HandleList(bramblelock.ListFailed, hostlist.List{})
 	if listed() {
 		t.Error("a saved list, or a failed call, counts as a list from discovery")
 	}
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{})
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{})
 	if !listed() {
 		t.Error("a list from discovery does not count")
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // Loop owns the Balancer, which is the decision module (package bramblelock). Other goroutines post
@@ -22,7 +24,7 @@
 	events chan func(now bramblelock.Time)
 	done   chan struct{} // closed when Run returns
 	ready  atomic.Bool   // a host that takes new requests is known
-	rules  atomic.Pointer[Rules]
+	rules  atomic.Pointer[config.Rules]
 	Audit  Audit
 
 	// The fields below are owned by the goroutine of Run.
@@ -87,7 +89,7 @@
 
 // NewLoop returns a Loop that sends attempts through pool. It calls requestWatch when the Balancer
 // asks for changes of the list; requestWatch must not block.
-func NewLoop(cfg *Config, pool *Pool, requestWatch func()) (*Loop, error) {
+func NewLoop(cfg *config.Config, pool *Pool, requestWatch func()) (*Loop, error) {
 	balancer, err := bramblelock.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -167,7 +169,7 @@
 }
 
 // UpdateRules replaces the rules in force. The new rules must have been validated.
-func (l *Loop) UpdateRules(rules *Rules) {
+func (l *Loop) UpdateRules(rules *config.Rules) {
 	l.post(func(now bramblelock.Time) {
 		if err := l.balancer.UpdateSettings(now, rules.Settings); err != nil {
 			slog.Error("failed to change the settings", "err", err)
@@ -188,7 +190,7 @@
 
 // HandleList applies a list of hosts, changes of the list, or a loss of discovery, and passes it to
 // the Balancer.
-func (l *Loop) HandleList(kind bramblelock.ListKind, list MemberList) {
+func (l *Loop) HandleList(kind bramblelock.ListKind, list hostlist.List) {
 	l.post(func(now bramblelock.Time) { l.applyList(now, kind, list) })
 }
 
@@ -277,7 +279,7 @@
 
 // applyList updates the hosts from a list, or from changes of it, and passes them to the Balancer. For
 // a loss of discovery there are no entries, and only the kind is passed.
-func (l *Loop) applyList(now bramblelock.Time, kind bramblelock.ListKind, list MemberList) {
+func (l *Loop) applyList(now bramblelock.Time, kind bramblelock.ListKind, list hostlist.List) {
 	if !kind.IsLoss() {
 		listed := map[bramblelock.HostID]bool{}
 		entries := make([]bramblelock.Host, 0, len(list.Servers))
@@ -286,7 +288,7 @@
 			m := &list.Servers[i]
 			e := bramblelock.Host{
 				ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
-				State: m.hostState(),
+				State: m.HostState(),
 			}
 			h := l.hosts[e.ID]
 			if h == nil && e.State == bramblelock.Removed {
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // startOperator serves an operators' address beside a gateway and returns the address.
@@ -143,7 +144,7 @@
 	if result, _ := attemptOnce(t, g.loop.pool, h, newExchange("b")); result != bramblelock.NotSent {
 		t.Errorf("an attempt ends with %v, want it not sent", result)
 	}
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{Servers: []Member{{ID: "s-0", State: "gone"}}})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Servers: []hostlist.Member{{ID: "s-0", State: "gone"}}})
 	g.loop.HandleList(bramblelock.ListFull, cfg.Known)
 	for range 20 {
 		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
@@ -170,7 +171,7 @@
 	unusualID := "../s/0%"
 	start := func() (*testGateway, string) {
 		cfg := testConfig()
-		cfg.Known.Servers = []Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
+		cfg.Known.Servers = []hostlist.Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
 		bans, err := NewMaintenanceStore(dir)
 		if err != nil {
@@ -220,7 +221,7 @@
 		}
 	}
 	want(503, "no host is known")
-	g.loop.HandleList(bramblelock.ListFull, MemberList{Servers: []Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
+	g.loop.HandleList(bramblelock.ListFull, hostlist.List{Servers: []hostlist.Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
 	g.loop.Sync()
 	want(200, "a host is known")
 	g.loop.setMaintenance("s-0", true)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
 )
 
 const (
@@ -71,7 +72,7 @@
 }
 
 // NewPool returns a Pool with the limits of cfg. Without a drain grace in cfg, it is 1 s.
-func NewPool(cfg *Config) *Pool {
+func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
 		dialer:      net.Dialer{Timeout: cfg.DialTimeout},
 		maxIdleTime: time.Duration(idleLimitShare * float64(cfg.ConnIdle)),
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -9,6 +9,7 @@
 	"sync"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 const (
@@ -25,14 +26,14 @@
 
 	mu            sync.Mutex
 	version       uint64
-	hosts         map[string]Member
+	hosts         map[string]hostlist.Member
 	authoritative bool   // the list is from discovery or was known at the start, not from a peer
 	encoded       []byte // the list in JSON; nil if not encoded yet
 }
 
 // NewRoster returns a Roster that starts from the known list and passes changes to loop.
-func NewRoster(known MemberList, loop ListHandler) *Roster {
-	r := &Roster{loop: loop, hosts: map[string]Member{}}
+func NewRoster(known hostlist.List, loop ListHandler) *Roster {
+	r := &Roster{loop: loop, hosts: map[string]hostlist.Member{}}
 	if len(known.Servers) > 0 {
 		r.authoritative = true
 		r.merge(bramblelock.ListFull, known)
@@ -42,11 +43,11 @@
 
 // HandleList applies a list from discovery or changes of it, and passes them on to the loop. A loss of
 // discovery is only passed on.
-func (r *Roster) HandleList(kind bramblelock.ListKind, list MemberList) {
+func (r *Roster) HandleList(kind bramblelock.ListKind, list hostlist.List) {
 	if !kind.IsLoss() {
 		r.mu.Lock()
 		if !r.authoritative {
-			r.hosts = map[string]Member{} // discovery replaces a list from a peer
+			r.hosts = map[string]hostlist.Member{} // discovery replaces a list from a peer
 		}
 		r.authoritative = true
 		r.merge(kind, list)
@@ -57,12 +58,12 @@
 
 // merge replaces the hosts by a full list, or applies changes to them. The caller holds r.mu, or r is
 // not shared yet.
-func (r *Roster) merge(kind bramblelock.ListKind, list MemberList) {
+func (r *Roster) merge(kind bramblelock.ListKind, list hostlist.List) {
 	if kind == bramblelock.ListFull {
-		r.hosts = make(map[string]Member, len(list.Servers))
+		r.hosts = make(map[string]hostlist.Member, len(list.Servers))
 	}
 	for _, m := range list.Servers {
-		if m.hostState() == bramblelock.Removed {
+		if m.HostState() == bramblelock.Removed {
 			delete(r.hosts, m.ID)
 		} else {
 			r.hosts[m.ID] = m
@@ -83,7 +84,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.encoded == nil && len(r.hosts) > 0 {
-		list := MemberList{Version: r.version, Full: true}
+		list := hostlist.List{Version: r.version, Full: true}
 		for _, m := range r.hosts {
 			list.Servers = append(list.Servers, m)
 		}
@@ -98,7 +99,7 @@
 // the start and is not as new as the peer's, the peer's list replaces it and is passed on to the loop
 // as a saved list, which does not count as a notification. An error says why an invalid list is refused.
 func (r *Roster) Take(encoded []byte) error {
-	var list MemberList
+	var list hostlist.List
 	if err := json.Unmarshal(encoded, &list); err != nil {
 		return err
 	}
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -7,23 +7,24 @@
 	"testing"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 type receivedList struct {
 	kind bramblelock.ListKind
-	list MemberList
+	list hostlist.List
 }
 
 type receivedLists []receivedList
 
-func (t *receivedLists) HandleList(kind bramblelock.ListKind, list MemberList) {
+func (t *receivedLists) HandleList(kind bramblelock.ListKind, list hostlist.List) {
 	*t = append(*t, receivedList{kind, list})
 }
 
 func listOf(version uint64, ids ...string) []byte {
-	l := MemberList{Version: version, Full: true}
+	l := hostlist.List{Version: version, Full: true}
 	for _, id := range ids {
-		l.Servers = append(l.Servers, Member{ID: id, Addr: "127.0.0.1:9000", State: "ready"})
+		l.Servers = append(l.Servers, hostlist.Member{ID: id, Addr: "127.0.0.1:9000", State: "ready"})
 	}
 	text, _ := json.Marshal(l)
 	return text
@@ -34,7 +35,7 @@
 // invalid list is refused with the reason.
 func TestPeerListIsUsedUntilDiscoveryAnswers(t *testing.T) {
 	var loop receivedLists
-	r := NewRoster(MemberList{}, &loop)
+	r := NewRoster(hostlist.List{}, &loop)
 	for _, bad := range []struct {
 		text []byte
 		want string
@@ -58,8 +59,8 @@
 	if r.Take(listOf(8+maxVersionLead+1, "x")) != errVersionTooHigh {
 		t.Error("a version far ahead of the peer's list is accepted")
 	}
-	r.HandleList(bramblelock.ListFull, MemberList{Version: 5, Servers: []Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
-	r.HandleList(bramblelock.ListChanges, MemberList{Version: 6, Servers: []Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
+	r.HandleList(bramblelock.ListFull, hostlist.List{Version: 5, Servers: []hostlist.Member{{ID: "d", Addr: "127.0.0.1:1", State: "ready"}}})
+	r.HandleList(bramblelock.ListChanges, hostlist.List{Version: 6, Servers: []hostlist.Member{{ID: "e", Addr: "127.0.0.1:2", State: "ready"}, {ID: "d", State: "gone"}}})
 	if err := r.Take(listOf(9, "a")); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +75,7 @@
 	if fmt.Sprint(kinds) != want {
 		t.Errorf("the loop received %v, want %v", kinds, want)
 	}
-	var offered MemberList
+	var offered hostlist.List
 	if err := json.Unmarshal(r.Offer(), &offered); err != nil || len(offered.Servers) != 1 || offered.Servers[0].ID != "e" || offered.Version != 6 {
 		t.Errorf("offers %+v, %v", offered, err)
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -1,3 +1,5 @@
+// Package gateway is the gateway process around the decision module, package bramblelock. It speaks
+// HTTP with clients, hosts and discovery, and leaves every decision to the Balancer.
 package gateway
 
 import (
@@ -12,6 +14,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
 	"bramblelock/internal/gateway/framing"
 	"bramblelock/internal/listener"
 )
@@ -48,7 +51,7 @@
 
 // Server accepts the connections of clients and answers their requests.
 type Server struct {
-	cfg        *Config
+	cfg        *config.Config
 	loop       *Loop
 	http       http.Server
 	connBudget int // number of client connections above which some are evicted; see clientConnBudgetPercent
@@ -70,7 +73,7 @@
 }
 
 // NewServer returns a Server that submits its requests to loop.
-func NewServer(cfg *Config, loop *Loop) *Server {
+func NewServer(cfg *config.Config, loop *Loop) *Server {
 	s := &Server{
 		cfg: cfg, loop: loop, connBudget: cfg.Sockets * clientConnBudgetPercent / 100,
 		conns: map[net.Conn]connState{}, shutdownStarted: make(chan struct{}),
@@ -384,7 +387,7 @@
 
 // resolve looks up the class and the tenant of the request in rules and stores both and the
 // rules in x. An error means that the request is invalid under these rules.
-func (x *exchange) resolve(rules *Rules) error {
+func (x *exchange) resolve(rules *config.Rules) error {
 	var ok bool
 	if x.class, ok = rules.Classes[x.header.Get("X-Priority-Class")]; !ok {
 		return fmt.Errorf("X-Priority-Class: unknown class %q", x.header.Get("X-Priority-Class"))
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -28,7 +28,7 @@
 // it has accepted, until finalWriteTime after the last answers are due at most.
 func (s *Server) Shutdown() {
 	now := time.Now()
-	maxDeadline := min(s.loop.rules.Load().longestDeadline(), maxShutdownDeadline)
+	maxDeadline := min(s.loop.rules.Load().LongestDeadline(), maxShutdownDeadline)
 	s.finalAnswerAt = now.Add(killDelay + maxDeadline - finalAnswerMargin)
 	s.stopping.Store(true)
 	close(s.shutdownStarted)
--- a/internal/gateway/step_test.go
+++ b/internal/gateway/step_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // The wall clock of all machines, or only of the gateway's, is stepped while the gateway runs, and
@@ -47,7 +48,7 @@
 	if all {
 		started = began.Add(step)
 	}
-	g.loop.HandleList(bramblelock.ListChanges, MemberList{Version: 60, Servers: []Member{
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Version: 60, Servers: []hostlist.Member{
 		{ID: hosts[0].id, Addr: hosts[0].addr, State: "ready", StartedMS: started.UnixMilli()}}})
 	time.Sleep(warmAfter + 10*time.Second)
 	// At 40 requests a second a warm host gets half of them.
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -10,12 +10,14 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // testGateway is a gateway in this process that listens on a loopback address.
 type testGateway struct {
 	*testing.T
-	cfg    *Config
+	cfg    *config.Config
 	loop   *Loop
 	server *Server
 	url    string
@@ -23,12 +25,12 @@
 }
 
 // testConfig returns a configuration with the given hosts and one class of each effect.
-func testConfig(hosts ...*testHost) *Config {
+func testConfig(hosts ...*testHost) *config.Config {
 	second := time.Second
-	cfg := &Config{
+	cfg := &config.Config{
 		Sockets: 1024, ConnIdle: time.Minute, DialTimeout: waitTimeout, Seed: 7,
 		Zones: map[string]int{}, Kinds: map[string]int{},
-		Rules: Rules{
+		Rules: config.Rules{
 			Classes: map[string]int{"look": 0, "book": 1, "report": 2},
 			Settings: bramblelock.Settings{
 				Instances: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: second, EventInterval: 5 * time.Millisecond,
@@ -41,19 +43,19 @@
 		},
 	}
 	for i, h := range hosts {
-		cfg.Known.Servers = append(cfg.Known.Servers, Member{ID: fmt.Sprint("s-", i), Addr: h.addr(), State: "ready"})
+		cfg.Known.Servers = append(cfg.Known.Servers, hostlist.Member{ID: fmt.Sprint("s-", i), Addr: h.addr(), State: "ready"})
 	}
 	return cfg
 }
 
-func startGateway(t *testing.T, cfg *Config) *testGateway {
+func startGateway(t *testing.T, cfg *config.Config) *testGateway {
 	t.Helper()
 	return startGatewayWithWatch(t, cfg, func() {})
 }
 
 // startGatewayWithWatch starts a gateway that calls requestWatch when the module asks for a watch
 // of the list.
-func startGatewayWithWatch(t *testing.T, cfg *Config, requestWatch func()) *testGateway {
+func startGatewayWithWatch(t *testing.T, cfg *config.Config, requestWatch func()) *testGateway {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := NewPool(cfg)
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 )
 
 // malformedLine is a line that cannot be parsed.
@@ -68,7 +69,7 @@
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	sendList := func(version int, full bool, m ...Member) {
+	sendList := func(version int, full bool, m ...hostlist.Member) {
 		var list []string
 		for _, m := range m {
 			list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m2","cell":3,"state":%q,"weight":1.0,"started_ms":0}`,
@@ -84,13 +85,13 @@
 			return n > before
 		})
 	}
-	sendList(42, false, Member{ID: "s-1", Addr: second.addr(), State: "ready"})
+	sendList(42, false, hostlist.Member{ID: "s-1", Addr: second.addr(), State: "ready"})
 	untilUsed("a host among the changes is used", second)
 	disco.lines <- ""
-	sendList(43, false, Member{ID: "s-1", Addr: second.addr(), State: "gone"})
+	sendList(43, false, hostlist.Member{ID: "s-1", Addr: second.addr(), State: "gone"})
 	untilUsed("the host that stays is used", first)
 	disco.lines <- malformedLine
-	sendList(44, true, Member{ID: "s-1", Addr: second.addr(), State: "ready"})
+	sendList(44, true, hostlist.Member{ID: "s-1", Addr: second.addr(), State: "ready"})
 	untilUsed("the host of the whole list is used", second)
 	disco.mu.Lock()
 	defer disco.mu.Unlock()
@@ -198,7 +199,7 @@
 	received []uint64
 }
 
-func (v *versionRecorder) HandleList(kind bramblelock.ListKind, l MemberList) {
+func (v *versionRecorder) HandleList(kind bramblelock.ListKind, l hostlist.List) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.received = append(v.received, l.Version)
