--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -72,6 +72,9 @@
 	defaultSockets     = 1024
 )
 
+// minSockets is the lowest limit on the file descriptors of the process with which it can serve.
+const minSockets = 64
+
 // fileConfig is the format of the file that GW_CONFIG names.
 type fileConfig struct {
 	Name      string
@@ -285,36 +288,17 @@
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Membership: f.Membership,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known,
 	}
-	addrs := []struct{ field, addr string }{{"listen", f.Listen}, {"operator", f.Operator}}
-	if f.Membership.Bind != "" {
-		addrs = append(addrs, struct{ field, addr string }{"membership.bind", f.Membership.Bind})
-		for _, p := range f.Membership.Peers {
-			addrs = append(addrs, struct{ field, addr string }{"membership.peers", p})
-		}
-	}
-	for _, d := range strings.Split(f.Discovery, ",") { // one address, or several of one service
-		addrs = append(addrs, struct{ field, addr string }{"discovery", strings.TrimSpace(d)})
-	}
-	for _, a := range addrs {
-		if a.field == "operator" && a.addr == "" {
-			continue // it is optional
-		}
-		if err := checkAddr(f.sourceOf(a.field), a.addr); err != nil {
-			return nil, err
-		}
+	if err := f.checkAddrs(); err != nil {
+		return nil, err
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
 	}
-	switch {
-	case c.Cores < 0:
-		return nil, fmt.Errorf("limits.cores: %v is below 0", c.Cores)
-	case c.MemoryMB < 0:
-		return nil, fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
-	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 64:
-		return nil, fmt.Errorf("limits.sockets: %d is too few, 64 at least", c.Sockets)
-	case c.Sockets == 0:
+	if err := c.checkLimits(); err != nil {
+		return nil, err
+	}
+	if c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
 	if len(f.Settings) == 0 {
@@ -327,34 +311,85 @@
 		return nil, settingsError(f.Settings, err)
 	}
 	c.rawSettings = f.Settings
-	var n settingsNames
-	if err := json.Unmarshal(f.Settings, &n); err != nil {
+	var names settingsNames
+	if err := json.Unmarshal(f.Settings, &names); err != nil {
 		return nil, settingsError(f.Settings, err)
 	}
-	for _, t := range []struct {
-		field string
-		list  []namedEntry
-		to    *map[string]int
-	}{{"classes", n.Classes, &c.Classes}, {"tenants", n.Tenants, &c.Tenants}} {
-		list := make([]string, len(t.list))
-		for i, e := range t.list {
-			list[i] = e.Name
+	if err := c.applyNames(&names); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// checkAddrs validates the addresses.
+func (f *fileConfig) checkAddrs() error {
+	if err := checkAddr(f.sourceOf("listen"), f.Listen); err != nil {
+		return err
+	}
+	if f.Operator != "" {
+		if err := checkAddr(f.sourceOf("operator"), f.Operator); err != nil {
+			return err
+		}
+	}
+	if f.Membership.Bind != "" {
+		if err := checkAddr("membership.bind", f.Membership.Bind); err != nil {
+			return err
 		}
-		if *t.to, err = indexNames(t.field, list); err != nil {
-			return nil, err
+		for _, peer := range f.Membership.Peers {
+			if err := checkAddr("membership.peers", peer); err != nil {
+				return err
+			}
 		}
 	}
-	if c.Zones, err = indexNames("azs", n.Zones); err != nil {
-		return nil, err
+	for _, addr := range strings.Split(f.Discovery, ",") { // one address, or several of one service
+		if err := checkAddr(f.sourceOf("discovery"), strings.TrimSpace(addr)); err != nil {
+			return err
+		}
 	}
-	if c.Kinds, err = indexNames("kinds", n.Kinds); err != nil {
-		return nil, err
+	return nil
+}
+
+// checkLimits validates the limits of the process.
+func (c *Config) checkLimits() error {
+	switch {
+	case c.Cores < 0:
+		return fmt.Errorf("limits.cores: %v is below 0", c.Cores)
+	case c.MemoryMB < 0:
+		return fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
+	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is too few, %d at least", c.Sockets, minSockets)
 	}
-	if c.ConnIdle, err = microseconds("caps.conn_idle", n.Caps.ConnIdle, defaultConnIdle); err != nil {
-		return nil, err
+	return nil
+}
+
+// applyNames validates the names and the limits of connections in the settings and stores them.
+func (c *Config) applyNames(names *settingsNames) (err error) {
+	if c.Classes, err = indexNames("classes", entryNames(names.Classes)); err != nil {
+		return err
+	}
+	if c.Tenants, err = indexNames("tenants", entryNames(names.Tenants)); err != nil {
+		return err
+	}
+	if c.Zones, err = indexNames("azs", names.Zones); err != nil {
+		return err
+	}
+	if c.Kinds, err = indexNames("kinds", names.Kinds); err != nil {
+		return err
+	}
+	if c.ConnIdle, err = microseconds("caps.conn_idle", names.Caps.ConnIdle, defaultConnIdle); err != nil {
+		return err
+	}
+	c.DialTimeout, err = microseconds("caps.dial_timeout", names.Caps.DialTimeout, defaultDialTimeout)
+	return err
+}
+
+// entryNames returns the names of entries.
+func entryNames(entries []namedEntry) []string {
+	names := make([]string, len(entries))
+	for i, entry := range entries {
+		names[i] = entry.Name
 	}
-	c.DialTimeout, err = microseconds("caps.dial_timeout", n.Caps.DialTimeout, defaultDialTimeout)
-	return c, err
+	return names
 }
 
 // indexNames numbers names in the order of the settings, as the decision module does.
