--- /dev/null
+++ b/internal/gateway/client_answer.go
@@ -0,0 +1,120 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// writeAnswer sends a client the final answer to its request.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, x *exchange, a answer) {
+	if a.release != nil {
+		defer a.release()
+	}
+	rc := http.NewResponseController(w)
+	rc.SetWriteDeadline(time.Now().Add(clientStallTimeout))
+	bodyUnread := x.upload != nil && !x.upload.stop()
+	if bodyUnread {
+		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
+	}
+	if a.stream != nil {
+		setHeaders(w, a.header, a.stream.length)
+		err := a.stream.copyTo(w, r)
+		a.stream.done <- err
+		if err != nil {
+			abort(r, a.stream.length)
+		}
+		return
+	}
+	writeBuffered(w, a)
+	if bodyUnread {
+		discardBody(w, r)
+	}
+}
+
+// abort closes a connection in the middle of an answer, so that the client can tell that the
+// answer is incomplete. If the end of the connection would mark the end of the answer, the
+// connection is reset instead.
+func abort(r *http.Request, length int64) {
+	if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && length < 0 && !r.ProtoAtLeast(1, 1) {
+		if tcp, ok := c.Conn.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
+		}
+	}
+	panic(http.ErrAbortHandler)
+}
+
+// discardBody reads for a while what the client still sends of a body whose request has been
+// answered: closing the connection at once would reset it and could destroy the answer.
+func discardBody(w http.ResponseWriter, r *http.Request) {
+	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
+	rc := http.NewResponseController(w)
+	if !ok || r.Header.Get("Expect") != "" || rc.Flush() != nil {
+		return
+	}
+	rc.SetReadDeadline(time.Now().Add(bodyDrainTime))
+	if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		io.Copy(io.Discard, c.Conn) // the framing of the body is broken, or reading it was stopped
+	}
+}
+
+// reject answers an invalid request with an error and logs it at a limited rate, so that
+// operators can identify a client that misbehaves.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, err error) {
+	if r.ContentLength != 0 {
+		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
+	}
+	s.rejectLog.warn("request rejected", "id", r.Header.Get(requestIDHeader), "peer", r.RemoteAddr,
+		"status", status, "err", err)
+	writeText(w, status, err.Error())
+	if r.ContentLength != 0 {
+		discardBody(w, r)
+	}
+}
+
+// setHeaders copies the end-to-end headers of a host's answer to the answer for the client. length
+// is that of the body in bytes, or -1 if it is unknown.
+func setHeaders(w http.ResponseWriter, hostHeader http.Header, length int64) {
+	out := w.Header()
+	for name, values := range endToEndHeaders(hostHeader) {
+		out[name] = values
+	}
+	if length >= 0 {
+		out.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+}
+
+// writeBuffered sends a client an answer whose body is in memory. It always sets Content-Length,
+// so that the client can tell that the answer is complete even if the connection ends after it. A
+// failed write is ignored, as it means that the client has left.
+func writeBuffered(w http.ResponseWriter, a answer) {
+	status, text := http.StatusBadGateway, "failed, it may have been done"
+	switch a.kind {
+	case answerServed:
+		setHeaders(w, a.header, int64(len(a.body)))
+		w.Write(a.body)
+		return
+	case answerRefused:
+		if a.retryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
+		}
+		status, text = http.StatusServiceUnavailable, "turned away, trying again is harmless"
+	case answerRejected:
+		status, text = http.StatusBadRequest, a.err.Error()
+		if errors.Is(a.err, errBodyTooLong) {
+			status = http.StatusRequestEntityTooLarge
+		}
+	}
+	writeText(w, status, text)
+}
+
+// writeText sends a line of text that the gateway itself has produced.
+func writeText(w http.ResponseWriter, status int, text string) {
+	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
+	w.WriteHeader(status)
+	io.WriteString(w, text+"\n")
+}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -4,18 +4,14 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"bramblelock"
 	"bramblelock/internal/gateway/config"
-	"bramblelock/internal/gateway/framing"
 	"bramblelock/internal/listener"
 )
 
@@ -230,74 +226,8 @@
 	}
 }
 
-// writeAnswer sends a client the final answer to its request.
-func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, x *exchange, a answer) {
-	if a.release != nil {
-		defer a.release()
-	}
-	rc := http.NewResponseController(w)
-	rc.SetWriteDeadline(time.Now().Add(clientStallTimeout))
-	bodyUnread := x.upload != nil && !x.upload.stop()
-	if bodyUnread {
-		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
-	}
-	if a.stream != nil {
-		setHeaders(w, a.header, a.stream.length)
-		err := a.stream.copyTo(w, r)
-		a.stream.done <- err
-		if err != nil {
-			abort(r, a.stream.length)
-		}
-		return
-	}
-	writeBuffered(w, a)
-	if bodyUnread {
-		discardBody(w, r)
-	}
-}
-
-// abort closes a connection in the middle of an answer, so that the client can tell that the
-// answer is incomplete. If the end of the connection would mark the end of the answer, the
-// connection is reset instead.
-func abort(r *http.Request, length int64) {
-	if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && length < 0 && !r.ProtoAtLeast(1, 1) {
-		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-		}
-	}
-	panic(http.ErrAbortHandler)
-}
-
-// discardBody reads for a while what the client still sends of a body whose request has been
-// answered: closing the connection at once would reset it and could destroy the answer.
-func discardBody(w http.ResponseWriter, r *http.Request) {
-	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
-	rc := http.NewResponseController(w)
-	if !ok || r.Header.Get("Expect") != "" || rc.Flush() != nil {
-		return
-	}
-	rc.SetReadDeadline(time.Now().Add(bodyDrainTime))
-	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		io.Copy(io.Discard, c.Conn) // the framing of the body is broken, or reading it was stopped
-	}
-}
-
 var errAmbiguous = errors.New("it is not clear where the request ends")
 
-// reject answers an invalid request with an error and logs it at a limited rate, so that
-// operators can identify a client that misbehaves.
-func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, err error) {
-	if r.ContentLength != 0 {
-		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
-	}
-	s.rejectLog.warn("request rejected", "id", r.Header.Get(requestIDHeader), "peer", r.RemoteAddr,
-		"status", status, "err", err)
-	writeText(w, status, err.Error())
-	if r.ContentLength != 0 {
-		discardBody(w, r)
-	}
-}
-
 // serveHealth answers a health check with whether requests can be served.
 func (s *Server) serveHealth(w http.ResponseWriter) {
 	if err := s.Healthy(); err != nil {
@@ -306,145 +236,3 @@
 	}
 	io.WriteString(w, "ok\n")
 }
-
-// readRequest validates a request, looks up its class and tenant, and reads a body that is short
-// enough to be buffered. An error comes with the HTTP status of the answer.
-func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *framing.Head) (*exchange, int, error) {
-	x := &exchange{
-		method: r.Method, uri: r.RequestURI, host: r.Host, url: r.URL, header: r.Header,
-		clientRetry: r.Header.Get("X-Retried") == "1", answer: make(chan answer, 1),
-		releaseBody: func() {}, capDeadline: s.capDeadline,
-	}
-	if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok {
-		x.clientGone = c.clientGone
-		x.clientConn, x.head = c, head
-	}
-	badRequest := func(format string, args ...any) (*exchange, int, error) {
-		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
-	}
-	if r.Header.Get(requestIDHeader) == "" {
-		return badRequest("%s: missing", requestIDHeader)
-	}
-	if err := x.resolve(s.loop.rules.Load()); err != nil {
-		return nil, http.StatusBadRequest, err
-	}
-	class := &x.rules.Settings.Classes[x.class]
-	timeout := class.Deadline
-	if v := r.Header.Get(timeoutHeader); v != "" {
-		seconds, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(seconds >= 0) {
-			return badRequest("%s: %q is no number of seconds", timeoutHeader, v)
-		}
-		// A client cannot extend the deadline of its class.
-		timeout = time.Duration(min(seconds, timeout.Seconds()) * float64(time.Second))
-	}
-	x.timeout = max(0, timeout-answerMargin)
-	if r.ContentLength != 0 {
-		if status, err := s.readBody(w, r, x, head.StartedAt); err != nil {
-			return nil, status, err
-		}
-	}
-	x.deadline = s.capDeadline(x.clientDeadline())
-	return x, 0, nil
-}
-
-// readBody buffers a body of up to maxBufferedBytes if the memory budget allows it, and prepares any
-// other one to be streamed to a host. If a body of unknown length turns out to be longer, the part
-// that has been read stays buffered and the rest is streamed. An error comes with the HTTP status of
-// the answer.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) (int, error) {
-	if r.ContentLength > maxBodyBytes {
-		return http.StatusRequestEntityTooLarge, errBodyTooLong
-	}
-	rc := http.NewResponseController(w)
-	rc.EnableFullDuplex() // otherwise an early answer would wait for the body
-	body := &clientBody{body: r.Body, rc: rc, startedAt: startedAt}
-	size := maxBufferedBytes
-	if r.ContentLength > 0 {
-		size = int(min(r.ContentLength, maxBufferedBytes))
-	}
-	if r.ContentLength > maxBufferedBytes || !s.loop.pool.memory.acquire(size) {
-		x.upload = &upload{clientBody: body, length: r.ContentLength, sent: make(chan struct{})}
-		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.memory.acquire(readAheadBytes) {
-			c.setReadBuffer(readAheadBytes)
-			x.releaseBody = func() { s.loop.pool.memory.release(readAheadBytes) }
-		}
-		return 0, nil
-	}
-	x.releaseBody = func() { s.loop.pool.memory.release(size) }
-	s.setReadingBody(r, true)
-	text, err := io.ReadAll(io.LimitReader(body, maxBufferedBytes+1))
-	if stillOpen := s.setReadingBody(r, false); err != nil || !stillOpen {
-		x.releaseBody()
-		return http.StatusBadRequest, errors.New("the body did not arrive")
-	}
-	x.body = text
-	if len(text) > maxBufferedBytes {
-		x.upload = &upload{clientBody: body, length: -1, sent: make(chan struct{})}
-	}
-	return 0, nil
-}
-
-// resolve looks up the class and the tenant of the request in rules and stores both and the
-// rules in x. An error means that the request is invalid under these rules.
-func (x *exchange) resolve(rules *config.Rules) error {
-	var ok bool
-	if x.class, ok = rules.Classes[x.header.Get("X-Priority-Class")]; !ok {
-		return fmt.Errorf("X-Priority-Class: unknown class %q", x.header.Get("X-Priority-Class"))
-	}
-	if len(rules.Tenants) > 0 {
-		if x.tenant, ok = rules.Tenants[x.header.Get("X-Tenant-Id")]; !ok {
-			return fmt.Errorf("X-Tenant-Id: unknown tenant %q", x.header.Get("X-Tenant-Id"))
-		}
-	}
-	if rules.Settings.Classes[x.class].Effect == bramblelock.Deduplicated && x.header.Get("Idempotency-Key") == "" {
-		// A retry by the module may be a duplicate, which a host can recognize by this key only.
-		return errors.New("Idempotency-Key: missing, the class needs one")
-	}
-	x.rules = rules
-	return nil
-}
-
-// setHeaders copies the end-to-end headers of a host's answer to the answer for the client. length
-// is that of the body in bytes, or -1 if it is unknown.
-func setHeaders(w http.ResponseWriter, hostHeader http.Header, length int64) {
-	out := w.Header()
-	for name, values := range endToEndHeaders(hostHeader) {
-		out[name] = values
-	}
-	if length >= 0 {
-		out.Set("Content-Length", strconv.FormatInt(length, 10))
-	}
-}
-
-// writeBuffered sends a client an answer whose body is in memory. It always sets Content-Length,
-// so that the client can tell that the answer is complete even if the connection ends after it. A
-// failed write is ignored, as it means that the client has left.
-func writeBuffered(w http.ResponseWriter, a answer) {
-	status, text := http.StatusBadGateway, "failed, it may have been done"
-	switch a.kind {
-	case answerServed:
-		setHeaders(w, a.header, int64(len(a.body)))
-		w.Write(a.body)
-		return
-	case answerRefused:
-		if a.retryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
-		}
-		status, text = http.StatusServiceUnavailable, "turned away, trying again is harmless"
-	case answerRejected:
-		status, text = http.StatusBadRequest, a.err.Error()
-		if errors.Is(a.err, errBodyTooLong) {
-			status = http.StatusRequestEntityTooLarge
-		}
-	}
-	writeText(w, status, text)
-}
-
-// writeText sends a line of text that the gateway itself has produced.
-func writeText(w http.ResponseWriter, status int, text string) {
-	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
-	w.WriteHeader(status)
-	io.WriteString(w, text+"\n")
-}
