--- a/internal/gateway/bubble_discovery_test.go
+++ b/internal/gateway/bubble_discovery_test.go
@@ -64,26 +64,35 @@
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
-	d.mu.Lock()
-	d.calls = append(d.calls, time.Now())
-	do := callServed
-	if len(d.nextCalls) > 0 {
-		do, d.nextCalls = d.nextCalls[0], d.nextCalls[1:]
-	}
-	switch do {
-	case callBusy, callRetryAfter:
-		d.mu.Unlock()
-		retryAfter := ""
-		if do == callRetryAfter {
-			retryAfter = "Retry-After: 30\r\n"
-		}
-		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\n"+retryAfter+"Content-Length: 0\r\n\r\n")
-		return
+	switch do := d.nextCall(); do {
+	case callBusy:
+		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	case callRetryAfter:
+		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n")
 	case callUnanswered:
-		d.mu.Unlock()
 		io.Copy(io.Discard, c) // until the gateway gives up
-		return
+	default:
+		d.awaitTurn()
+		d.serveWatch(c, d.openWatch(c, do == callServed))
 	}
+}
+
+// nextCall records a call and returns how it is handled.
+func (d *bubbleDiscovery) nextCall() bubbleCall {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.calls = append(d.calls, time.Now())
+	if len(d.nextCalls) == 0 {
+		return callServed
+	}
+	do := d.nextCalls[0]
+	d.nextCalls = d.nextCalls[1:]
+	return do
+}
+
+// awaitTurn waits until the calls before this one and this one have been served.
+func (d *bubbleDiscovery) awaitTurn() {
+	d.mu.Lock()
 	if now := time.Now(); d.freeAt.Before(now) {
 		d.freeAt = now
 	}
@@ -91,14 +100,31 @@
 	wait := time.Until(d.freeAt)
 	d.mu.Unlock()
 	time.Sleep(wait)
+}
+
+// openWatch opens a watch, which receives the full list and changes unless it is silent from the
+// beginning.
+func (d *bubbleDiscovery) openWatch(c net.Conn, receives bool) (lines chan string) {
 	d.mu.Lock()
-	lines := make(chan string, 100)
+	defer d.mu.Unlock()
+	lines = make(chan string, 100)
 	d.openConns[c] = true
-	if do == callServed {
+	if receives {
 		d.watches[c] = lines
 		lines <- d.list(true)
 	}
-	d.mu.Unlock()
+	return lines
+}
+
+// isSilent returns whether nothing is sent on a watch any more.
+func (d *bubbleDiscovery) isSilent(c net.Conn) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.watches[c] == nil
+}
+
+// serveWatch sends lines, and blank ones while it is not silent, until lines or the connection is closed.
+func (d *bubbleDiscovery) serveWatch(c net.Conn, lines chan string) {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	gone := make(chan struct{})
 	go func() {
@@ -119,10 +145,7 @@
 			}
 			line = l
 		case <-tick.C:
-			d.mu.Lock()
-			silent := d.watches[c] == nil
-			d.mu.Unlock()
-			if silent {
+			if d.isSilent(c) {
 				continue
 			}
 		}
