--- a/internal/gateway/client_answer.go
+++ b/internal/gateway/client_answer.go
@@ -63,7 +63,8 @@
 
 // reject answers an invalid request with an error and logs it at a limited rate, so that
 // operators can identify a client that misbehaves.
-func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, err error) {
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, err error) {
+	status := rejectionStatus(err)
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close") // the rest of the body would follow on the connection
 	}
@@ -103,14 +104,19 @@
 		}
 		status, text = http.StatusServiceUnavailable, "turned away, trying again is harmless"
 	case answerRejected:
-		status, text = http.StatusBadRequest, a.err.Error()
-		if errors.Is(a.err, errBodyTooLong) {
-			status = http.StatusRequestEntityTooLarge
-		}
+		status, text = rejectionStatus(a.err), a.err.Error()
 	}
 	writeText(w, status, text)
 }
 
+// rejectionStatus returns the HTTP status of the answer to a request that is rejected for err.
+func rejectionStatus(err error) int {
+	if errors.Is(err, errBodyTooLong) {
+		return http.StatusRequestEntityTooLarge
+	}
+	return http.StatusBadRequest
+}
+
 // writeText sends a line of text that the gateway itself has produced.
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -14,8 +14,8 @@
 )
 
 // readRequest validates a request, looks up its class and tenant, and reads a body that is short
-// enough to be buffered. An error comes with the HTTP status of the answer.
-func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *framing.Head) (*exchange, int, error) {
+// enough to be buffered. An error means that the request is rejected.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, head *framing.Head) (*exchange, error) {
 	x := &exchange{
 		method: r.Method, uri: r.RequestURI, host: r.Host, url: r.URL, header: r.Header,
 		clientRetry: r.Header.Get("X-Retried") == "1", answer: make(chan answer, 1),
@@ -23,44 +23,50 @@
 	}
 	if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok {
 		x.clientGone = c.clientGone
-		x.clientConn, x.head = c, head
-	}
-	badRequest := func(format string, args ...any) (*exchange, int, error) {
-		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
+		x.clientConn = c
+		x.head = head
 	}
 	if r.Header.Get(requestIDHeader) == "" {
-		return badRequest("%s: missing", requestIDHeader)
+		return nil, fmt.Errorf("%s: missing", requestIDHeader)
 	}
 	if err := x.resolve(s.loop.rules.Load()); err != nil {
-		return nil, http.StatusBadRequest, err
-	}
-	class := &x.rules.Settings.Classes[x.class]
-	timeout := class.Deadline
-	if v := r.Header.Get(timeoutHeader); v != "" {
-		seconds, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(seconds >= 0) {
-			return badRequest("%s: %q is no number of seconds", timeoutHeader, v)
-		}
-		// A client cannot extend the deadline of its class.
-		timeout = time.Duration(min(seconds, timeout.Seconds()) * float64(time.Second))
+		return nil, err
+	}
+	timeout, err := clientTimeout(r, x.rules.Settings.Classes[x.class].Deadline)
+	if err != nil {
+		return nil, err
 	}
 	x.timeout = max(0, timeout-answerMargin)
 	if r.ContentLength != 0 {
-		if status, err := s.readBody(w, r, x, head.StartedAt); err != nil {
-			return nil, status, err
+		if err := s.readBody(w, r, x, head.StartedAt); err != nil {
+			return nil, err
 		}
 	}
 	x.deadline = s.capDeadline(x.clientDeadline())
-	return x, 0, nil
+	return x, nil
+}
+
+// clientTimeout returns how long the client of a request waits. A client cannot extend the deadline of its
+// class.
+func clientTimeout(r *http.Request, classDeadline time.Duration) (time.Duration, error) {
+	stated := r.Header.Get(timeoutHeader)
+	if stated == "" {
+		return classDeadline, nil
+	}
+	seconds, err := strconv.ParseFloat(stated, 64)
+	if err != nil || !(seconds >= 0) {
+		return 0, fmt.Errorf("%s: %q is no number of seconds", timeoutHeader, stated)
+	}
+	return time.Duration(min(seconds, classDeadline.Seconds()) * float64(time.Second)), nil
 }
 
 // readBody buffers a body of up to maxBufferedBytes if the memory budget allows it, and prepares any
 // other one to be streamed to a host. If a body of unknown length turns out to be longer, the part
-// that has been read stays buffered and the rest is streamed. An error comes with the HTTP status of
-// the answer.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) (int, error) {
+// that has been read stays buffered and the rest is streamed. An error means that the request is
+// rejected.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, x *exchange, startedAt time.Time) error {
 	if r.ContentLength > maxBodyBytes {
-		return http.StatusRequestEntityTooLarge, errBodyTooLong
+		return errBodyTooLong
 	}
 	rc := http.NewResponseController(w)
 	rc.EnableFullDuplex() // otherwise an early answer would wait for the body
@@ -75,20 +81,20 @@
 			c.setReadBuffer(readAheadBytes)
 			x.releaseBody = func() { s.loop.pool.memory.release(readAheadBytes) }
 		}
-		return 0, nil
+		return nil
 	}
 	x.releaseBody = func() { s.loop.pool.memory.release(size) }
 	s.setReadingBody(r, true)
 	text, err := io.ReadAll(io.LimitReader(body, maxBufferedBytes+1))
 	if stillOpen := s.setReadingBody(r, false); err != nil || !stillOpen {
 		x.releaseBody()
-		return http.StatusBadRequest, errors.New("the body did not arrive")
+		return errors.New("the body did not arrive")
 	}
 	x.body = text
 	if len(text) > maxBufferedBytes {
 		x.upload = &upload{clientBody: body, length: -1, sent: make(chan struct{})}
 	}
-	return 0, nil
+	return nil
 }
 
 // resolve looks up the class and the tenant of the request in rules and stores both and the
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -142,16 +142,16 @@
 	if !unambiguous {
 		// The bytes that follow on the connection may belong to the body of this request.
 		w.Header().Set("Connection", "close")
-		s.reject(w, r, http.StatusBadRequest, errAmbiguous)
+		s.reject(w, r, errAmbiguous)
 		return
 	}
 	if r.Method == http.MethodGet && r.URL.Path == pathHealth {
 		s.serveHealth(w)
 		return
 	}
-	x, status, err := s.readRequest(w, r, head)
+	x, err := s.readRequest(w, r, head)
 	if err != nil {
-		s.reject(w, r, status, err)
+		s.reject(w, r, err)
 		return
 	}
 	defer x.releaseBody()
