--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -66,8 +66,11 @@
 
 // noteEmpty records that nothing was waiting to be read and that the sender was not blocked.
 func (a *arrivalTracker) noteEmpty(now time.Time) {
-	a.emptyAt, a.notBefore, a.readSinceEmpty = now, now, 0
-	a.lastBoundOffset, a.sendBounds = a.totalRead, a.sendBounds[:0]
+	a.emptyAt = now
+	a.notBefore = now
+	a.readSinceEmpty = 0
+	a.lastBoundOffset = a.totalRead
+	a.sendBounds = a.sendBounds[:0]
 }
 
 // noteWakeup records that a reader which had waited since waitingSince has been woken up. While the
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -38,9 +38,10 @@
 	framed := &framedConn{Conn: c, parser: framing.NewParser(now)}
 	framed.arrivals.noteEmpty(now)
 	if queued, ok := c.(queuedConn); ok {
-		c, framed.Conn, framed.arrivals = queued.Conn, queued.Conn, queued.arrivals
+		framed.Conn = queued.Conn
+		framed.arrivals = queued.arrivals
 	}
-	framed.raw = rawConn(c)
+	framed.raw = rawConn(framed.Conn)
 	framed.reader.init(framed.raw, framed.readAvailable)
 	return framed
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -171,7 +171,9 @@
 	if strings.Join(addrs, ",") == strings.Join(d.addrs, ",") {
 		return
 	}
-	d.addrs, d.addrIndex, d.addrsUnused = addrs, 0, true
+	d.addrs = addrs
+	d.addrIndex = 0
+	d.addrsUnused = true
 	select {
 	case d.addrsChanged <- struct{}{}:
 	default: // Run has not handled the last change yet
--- a/internal/gateway/discovery_run.go
+++ b/internal/gateway/discovery_run.go
@@ -140,7 +140,9 @@
 	switch {
 	case !l.lost:
 		slog.Warn("watch of the host list lost, watching anew", "err", err)
-		l.lost, l.since, l.loggedAt = true, now, now
+		l.lost = true
+		l.since = now
+		l.loggedAt = now
 	case now.Sub(l.loggedAt) >= listAgeLogInterval:
 		slog.Warn("discovery unreachable, serving on the last list", "age_s",
 			now.Sub(lastHeardAt).Round(time.Second).Seconds(), "err", err)
--- a/internal/gateway/unread.go
+++ b/internal/gateway/unread.go
@@ -76,7 +76,10 @@
 
 // read reads into p. It returns 0 and no error at the end of the stream.
 func (r *connReader) read(p []byte) (int, error) {
-	r.buf, r.waitingSince, r.n, r.err = p, time.Time{}, 0, nil
+	r.buf = p
+	r.waitingSince = time.Time{}
+	r.n = 0
+	r.err = nil
 	err := r.raw.Read(r.onReadable)
 	r.buf = nil
 	if err != nil {
