--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -261,15 +261,6 @@
 	return c.arrivals.arrivedAfter(c.arrivals.totalRead + remaining)
 }
 
-// retryInterrupted repeats a system call while it fails with EINTR.
-func retryInterrupted[T any](call func() (T, error)) (result T, err error) {
-	for {
-		if result, err = call(); err != syscall.EINTR {
-			return result, err
-		}
-	}
-}
-
 // closeIfIdle closes a connection on which no request is being served if no byte of the next request
 // has arrived.
 func (c *framedConn) closeIfIdle() bool {
@@ -315,16 +306,6 @@
 	return unread > 0
 }
 
-// peek looks for an unread byte without waiting. It returns 1 if there is one, 0 if the peer has
-// closed its sending side, and an error otherwise: EAGAIN if the connection is open.
-func peek(fd int) (int, error) {
-	return retryInterrupted(func() (int, error) {
-		var b [1]byte
-		n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		return n, err
-	})
-}
-
 // Close marks the connection as closed. A request may arrive on an idle connection just as it is
 // closed; the mark lets the handler drop that request, so that it is not executed in addition to
 // the copy that the client then sends on another connection.
--- a/internal/gateway/conns.go
+++ b/internal/gateway/eviction.go
@@ -5,7 +5,6 @@
 	"net"
 	"net/http"
 	"slices"
-	"sync"
 	"time"
 )
 
@@ -113,58 +112,6 @@
 	return time.Since(framed.parser.HeadStartedAt()) < maxAge
 }
 
-// clientListener accepts no more connections than the clients' share of the descriptors. Further
-// ones wait in the backlog of the listener.
-type clientListener struct {
-	framedListener
-	backlog   *backlog
-	server    *Server
-	closeOnce sync.Once
-	done      chan struct{} // closed with the listener
-}
-
-func (l *clientListener) Accept() (net.Conn, error) {
-	if err := l.acquireSlot(); err != nil {
-		return nil, err
-	}
-	release := sync.OnceFunc(func() { <-l.server.connSlots })
-	c, err := l.framedListener.Accept()
-	if err != nil {
-		release()
-		return nil, err
-	}
-	c.(*framedConn).releaseSlot = release
-	return c, nil
-}
-
-// acquireSlot takes a slot for the next connection. While all slots are taken it evicts a connection,
-// if it can, every evictionInterval. It fails only if the listener is closed.
-func (l *clientListener) acquireSlot() error {
-	select {
-	case l.server.connSlots <- struct{}{}:
-		return nil
-	default:
-	}
-	tick := time.NewTicker(evictionInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case l.server.connSlots <- struct{}{}:
-			return nil
-		case <-l.done:
-			return net.ErrClosed
-		case <-tick.C:
-			l.backlog.checkEmpty() // keeps the bound on the arrival of the next connection recent
-			l.server.evictOne()
-		}
-	}
-}
-
-func (l *clientListener) Close() error {
-	l.closeOnce.Do(func() { close(l.done) })
-	return l.framedListener.Close()
-}
-
 // overBudget returns whether there are more connections than the budget, as when too few can be
 // evicted. Connections are then closed after their next answer.
 func (s *Server) overBudget() bool {
