--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -203,29 +203,39 @@
 			shutdown = nil
 			timer.Reset(time.Until(deadline()))
 		case <-clientGone:
-			x.markClientGone()
-			if x.claimAnswer() {
-				s.loop.Abandon(x)
-			} else {
-				a := <-x.answer
-				a.discard()
-			}
+			s.dropForClientGone(x)
 			return answer{}, false
 		case <-timer.C:
 			if remaining := time.Until(deadline()); remaining > 0 {
 				timer.Reset(remaining)
 				continue
 			}
-			// The module should have answered by now. The client does not wait for it any longer.
-			if x.claimAnswer() {
-				s.loop.Abandon(x)
-				return answer{kind: answerFailed}, true
-			}
-			return <-x.answer, true
+			return s.answerAtDeadline(x), true
 		}
 	}
 }
 
+// dropForClientGone ends x, whose client has left, without an answer.
+func (s *Server) dropForClientGone(x *exchange) {
+	x.markClientGone()
+	if x.claimAnswer() {
+		s.loop.Abandon(x)
+		return
+	}
+	a := <-x.answer
+	a.discard()
+}
+
+// answerAtDeadline returns the answer to x when it is due. The module should have answered by then, and
+// the client does not wait for it any longer.
+func (s *Server) answerAtDeadline(x *exchange) answer {
+	if x.claimAnswer() {
+		s.loop.Abandon(x)
+		return answer{kind: answerFailed}
+	}
+	return <-x.answer
+}
+
 var errAmbiguous = errors.New("it is not clear where the request ends")
 
 // serveHealth answers a health check with whether requests can be served.
