--- a/internal/gateway/config.go
+++ b/internal/gateway/config/config.go
@@ -1,6 +1,6 @@
-// Package gateway is the gateway process around the decision module, package bramblelock. It speaks
-// HTTP with clients, hosts and discovery, and leaves every decision to the Balancer.
-package gateway
+// Package config reads the configuration of a gateway from its file and from environment variables, and
+// checks it.
+package config
 
 import (
 	"encoding/json"
@@ -15,6 +15,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
 	"bramblelock/internal/wire"
 )
 
@@ -31,7 +32,7 @@
 	MemoryMB int     // limit on memory in MiB; 0 if there is none
 	Sockets  int     // limit on the file descriptors of the process, not of sockets alone
 
-	Known MemberList // list of hosts that this gateway had last, as the file states it; used from the start until another list replaces it
+	Known hostlist.List // list of hosts that this gateway had last, as the file states it; used from the start until another list replaces it
 
 	// Membership among gateways is off while Bind is empty.
 	Membership Membership
@@ -56,8 +57,8 @@
 	Tenants  map[string]int
 }
 
-// longestDeadline returns the longest deadline of any class.
-func (r *Rules) longestDeadline() (d time.Duration) {
+// LongestDeadline returns the longest deadline of any class.
+func (r *Rules) LongestDeadline() (d time.Duration) {
 	for _, c := range r.Settings.Classes {
 		d = max(d, c.Deadline)
 	}
@@ -71,6 +72,9 @@
 	defaultSockets     = 1024
 )
 
+// minSockets is the lowest limit on the file descriptors of the process with which it can serve.
+const minSockets = 64
+
 // fileConfig is the format of the file that GW_CONFIG names.
 type fileConfig struct {
 	Name      string
@@ -83,9 +87,19 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int
 	}
-	Known      MemberList
+	Known      hostlist.List
 	Membership Membership
 	Settings   json.RawMessage
+
+	overriddenBy map[string]string // variables that override keys of the file
+}
+
+// sourceOf returns where the value of a key comes from: the variable that overrides it, or the key.
+func (f *fileConfig) sourceOf(key string) string {
+	if variable, ok := f.overriddenBy[key]; ok {
+		return variable
+	}
+	return key
 }
 
 // Membership is the "membership" object of the configuration: the host:port of this gateway's
@@ -113,20 +127,22 @@
 
 // Load reads the configuration from the file that GW_CONFIG names. The other GW_ variables override
 // the file. An address to listen at is required even if GW_ACCEPT_FD is set. An error is one line that
-// names the invalid field.
+// names the invalid key or variable, its value and what is allowed.
 func Load(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
 	}
 	for _, v := range []struct {
-		name string
-		to   *string
+		name, key string
+		to        *string
 	}{
-		{"GW_NAME", &f.Name}, {"GW_LISTEN", &f.Listen}, {"GW_DISCOVERY", &f.Discovery}, {"GW_OPERATOR", &f.Operator},
+		{"GW_NAME", "name", &f.Name}, {"GW_LISTEN", "listen", &f.Listen},
+		{"GW_DISCOVERY", "discovery", &f.Discovery}, {"GW_OPERATOR", "operator", &f.Operator},
 	} {
 		if s := getenv(v.name); s != "" {
 			*v.to = s
+			f.overriddenBy[v.key] = v.name
 		}
 	}
 	c, err := f.config()
@@ -135,7 +151,7 @@
 	}
 	if fd := getenv("GW_ACCEPT_FD"); fd != "" {
 		if c.AcceptFD, err = strconv.Atoi(fd); err != nil || c.AcceptFD <= 2 {
-			return nil, fmt.Errorf("GW_ACCEPT_FD: %q is no descriptor of a socket", fd)
+			return nil, fmt.Errorf("GW_ACCEPT_FD: %q is no descriptor of a socket, which is above 2", fd)
 		}
 	}
 	return c, nil
@@ -157,7 +173,7 @@
 	}
 	c.AcceptFD = inForce.AcceptFD
 	if c.Settings.MaxAttempts <= 0 && inForce.Settings.MaxAttempts > 0 {
-		return nil, fmt.Errorf("settings: caps.max_attempts: %d is not above 0", c.Settings.MaxAttempts)
+		return nil, fmt.Errorf("settings.caps.max_attempts: %d is not above 0", c.Settings.MaxAttempts)
 	}
 	var before, after any
 	if err := errors.Join(json.Unmarshal(inForce.rawSettings, &before), json.Unmarshal(c.rawSettings, &after)); err != nil {
@@ -250,9 +266,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	f := new(fileConfig)
+	f := &fileConfig{overriddenBy: map[string]string{}}
 	if err := json.Unmarshal(text, f); err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
+		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, typeError("", text, err))
 	}
 	return f, nil
 }
@@ -272,76 +288,108 @@
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Membership: f.Membership,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known,
 	}
-	addrs := []struct{ field, addr string }{{"listen", f.Listen}, {"operator", f.Operator}}
-	if f.Membership.Bind != "" {
-		addrs = append(addrs, struct{ field, addr string }{"membership.bind", f.Membership.Bind})
-		for _, p := range f.Membership.Peers {
-			addrs = append(addrs, struct{ field, addr string }{"membership.peers", p})
-		}
-	}
-	for _, d := range strings.Split(f.Discovery, ",") { // one address, or several of one service
-		addrs = append(addrs, struct{ field, addr string }{"discovery", strings.TrimSpace(d)})
-	}
-	for _, a := range addrs {
-		if a.field == "operator" && a.addr == "" {
-			continue // it is optional
-		}
-		if err := checkAddr(a.field, a.addr); err != nil {
-			return nil, err
-		}
+	if err := f.checkAddrs(); err != nil {
+		return nil, err
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", f.Seed)
 	}
-	switch {
-	case c.Cores < 0:
-		return nil, fmt.Errorf("limits.cores: %v is below 0", c.Cores)
-	case c.MemoryMB < 0:
-		return nil, fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
-	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 64:
-		return nil, fmt.Errorf("limits.sockets: %d is too few, 64 at least", c.Sockets)
-	case c.Sockets == 0:
+	if err := c.checkLimits(); err != nil {
+		return nil, err
+	}
+	if c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
 	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
-		return nil, err
+		return nil, settingsError(f.Settings, err)
 	}
 	if _, err := bramblelock.New(c.Settings, c.Seed); err != nil { // called only to validate the settings
-		return nil, err // the error names the field
+		return nil, settingsError(f.Settings, err)
 	}
 	c.rawSettings = f.Settings
-	var n settingsNames
-	if err := json.Unmarshal(f.Settings, &n); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	var names settingsNames
+	if err := json.Unmarshal(f.Settings, &names); err != nil {
+		return nil, settingsError(f.Settings, err)
+	}
+	if err := c.applyNames(&names); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// checkAddrs validates the addresses.
+func (f *fileConfig) checkAddrs() error {
+	if err := checkAddr(f.sourceOf("listen"), f.Listen); err != nil {
+		return err
+	}
+	if f.Operator != "" {
+		if err := checkAddr(f.sourceOf("operator"), f.Operator); err != nil {
+			return err
+		}
 	}
-	for _, t := range []struct {
-		field string
-		list  []namedEntry
-		to    *map[string]int
-	}{{"classes", n.Classes, &c.Classes}, {"tenants", n.Tenants, &c.Tenants}} {
-		list := make([]string, len(t.list))
-		for i, e := range t.list {
-			list[i] = e.Name
+	if f.Membership.Bind != "" {
+		if err := checkAddr("membership.bind", f.Membership.Bind); err != nil {
+			return err
 		}
-		if *t.to, err = indexNames(t.field, list); err != nil {
-			return nil, err
+		for _, peer := range f.Membership.Peers {
+			if err := checkAddr("membership.peers", peer); err != nil {
+				return err
+			}
 		}
 	}
-	if c.Zones, err = indexNames("azs", n.Zones); err != nil {
-		return nil, err
+	for _, addr := range strings.Split(f.Discovery, ",") { // one address, or several of one service
+		if err := checkAddr(f.sourceOf("discovery"), strings.TrimSpace(addr)); err != nil {
+			return err
+		}
 	}
-	if c.Kinds, err = indexNames("kinds", n.Kinds); err != nil {
-		return nil, err
+	return nil
+}
+
+// checkLimits validates the limits of the process.
+func (c *Config) checkLimits() error {
+	switch {
+	case c.Cores < 0:
+		return fmt.Errorf("limits.cores: %v is below 0", c.Cores)
+	case c.MemoryMB < 0:
+		return fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
+	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is too few, %d at least", c.Sockets, minSockets)
 	}
-	if c.ConnIdle, err = microseconds("caps.conn_idle", n.Caps.ConnIdle, defaultConnIdle); err != nil {
-		return nil, err
+	return nil
+}
+
+// applyNames validates the names and the limits of connections in the settings and stores them.
+func (c *Config) applyNames(names *settingsNames) (err error) {
+	if c.Classes, err = indexNames("classes", entryNames(names.Classes)); err != nil {
+		return err
+	}
+	if c.Tenants, err = indexNames("tenants", entryNames(names.Tenants)); err != nil {
+		return err
+	}
+	if c.Zones, err = indexNames("azs", names.Zones); err != nil {
+		return err
+	}
+	if c.Kinds, err = indexNames("kinds", names.Kinds); err != nil {
+		return err
+	}
+	if c.ConnIdle, err = microseconds("caps.conn_idle", names.Caps.ConnIdle, defaultConnIdle); err != nil {
+		return err
+	}
+	c.DialTimeout, err = microseconds("caps.dial_timeout", names.Caps.DialTimeout, defaultDialTimeout)
+	return err
+}
+
+// entryNames returns the names of entries.
+func entryNames(entries []namedEntry) []string {
+	names := make([]string, len(entries))
+	for i, entry := range entries {
+		names[i] = entry.Name
 	}
-	c.DialTimeout, err = microseconds("caps.dial_timeout", n.Caps.DialTimeout, defaultDialTimeout)
-	return c, err
+	return names
 }
 
 // indexNames numbers names in the order of the settings, as the decision module does.
@@ -349,10 +397,10 @@
 	m := make(map[string]int, len(list))
 	for i, name := range list {
 		if name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no name", field, i)
+			return nil, fmt.Errorf("settings.%s[%d]: has no name", field, i)
 		}
 		if _, twice := m[name]; twice {
-			return nil, fmt.Errorf("settings: %s: %q is there twice", field, name)
+			return nil, fmt.Errorf("settings.%s[%d]: %q is there twice", field, i, name)
 		}
 		m[name] = i
 	}
@@ -365,7 +413,7 @@
 		return def, nil
 	}
 	if !(us > 0 && us < float64(time.Hour/time.Microsecond)) {
-		return 0, fmt.Errorf("settings: %s: %v is not between 0 and an hour", field, us)
+		return 0, fmt.Errorf("settings.%s: %v is not between 0 and an hour of %d microseconds", field, us, time.Hour/time.Microsecond)
 	}
 	return time.Duration(us * float64(time.Microsecond)), nil
 }
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -1,9 +1,14 @@
 package gateway
 
 import (
+	"bufio"
+	"errors"
+	"io"
 	"net"
 	"net/http"
+	"os"
 	"strconv"
+	"strings"
 	"testing"
 	"time"
 )
@@ -80,8 +85,35 @@
 	}
 }
 
+// A peer that has had an answer and stops within the head of its next request is evicted after
+// minEvictionAge, as one that stops within its first head is. A head that was read while the request
+// before it was being served has its time from the end of that request on.
+func TestPeerThatStopsWithinNextHeadIsEvicted(t *testing.T) {
+	for name, served := range map[string]time.Duration{"after an answer": 0, "before an answer": time.Hour} {
+		t.Run(name, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				s := &Server{conns: map[net.Conn]connState{}, connBudget: 1}
+				ours, theirs := net.Pipe()
+				defer ours.Close()
+				c := newFramedConn(theirs)
+				c.parse([]byte("POST /api/1 HTTP/1.1\r\nHo"))
+				time.Sleep(served)
+				s.trackConn(c, http.StateIdle)
+				time.Sleep(minEvictionAge - time.Nanosecond)
+				if s.evictOne(); len(s.conns) == 0 {
+					t.Fatal("it is closed although the rest of the head may be on its way")
+				}
+				time.Sleep(time.Nanosecond)
+				if s.evictOne(); len(s.conns) > 0 {
+					t.Error("it stays open")
+				}
+			})
+		})
+	}
+}
+
 // Three hundred peers have stopped within their second request: net/http reports them idle, and none
-// may be closed to make room. An eviction that finds none to close must cost about one look at each
+// may be closed to make room yet. An eviction that finds none to close must cost about one look at each
 // connection. Once it cost that for each of these peers, 20 to 28 ms at 563 connections with the log
 // at debug, under the server's lock and for every connection accepted, so that a crowd waited in the
 // backlog for seconds (soak seeds 20, 39 and 41).
@@ -115,3 +147,50 @@
 		t.Errorf("with %d stopped peers an eviction takes %v, without them %v", all/2, many, none)
 	}
 }
+
+// Idle connections of clients are closed to make room for new ones with requests.
+func TestIdleClientsAreEvicted(t *testing.T) {
+	host := newHost(t, answerWith(okAnswer))
+	cfg := testConfig(host)
+	cfg.Sockets = 64
+	g := startGateway(t, cfg)
+	budget := g.server.connBudget
+	var idle []net.Conn
+	for i := range budget + 8 {
+		c, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		idle = append(idle, c)
+		io.WriteString(c, "GET /api/1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: id-1\r\nX-Priority-Class: look\r\n\r\n")
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			t.Fatalf("connection %d: %v", i, err)
+		}
+		if text, err := io.ReadAll(resp.Body); string(text) != "good" {
+			t.Fatalf("connection %d: %q, %v", i, text, err)
+		}
+		// The answer may arrive before the server has recorded that the connection is idle.
+		until(t, "the connection is idle", func() bool {
+			g.server.mu.Lock()
+			defer g.server.mu.Unlock()
+			n := 0
+			for _, c := range g.server.conns {
+				if c.state == http.StateIdle {
+					n++
+				}
+			}
+			return n >= min(i+1, budget)
+		})
+	}
+	until(t, "the connections are within the budget", func() bool {
+		g.server.mu.Lock()
+		defer g.server.mu.Unlock()
+		return len(g.server.conns) <= budget
+	})
+	idle[0].SetReadDeadline(time.Now().Add(waitTimeout))
+	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the connection that was idle for longest: %v, want it closed", err)
+	}
+}
--- /dev/null
+++ b/internal/gateway/hostlist_test.go
@@ -0,0 +1,81 @@
+package gateway
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
+)
+
+// No new request is sent to a host that is draining or gone, or to the old address of one that has
+// moved.
+func TestListChangesAreApplied(t *testing.T) {
+	first, second := newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))
+	g := startGateway(t, testConfig(first, second))
+	member := func(id string, h *testHost, state string) hostlist.Member {
+		return hostlist.Member{ID: id, Addr: h.addr(), State: state}
+	}
+	applyList := func(what string, kind bramblelock.ListKind, want *testHost, list ...hostlist.Member) {
+		g.loop.HandleList(kind, hostlist.List{Servers: list})
+		a, _, _ := first.counts()
+		b, _, _ := second.counts()
+		for range 8 {
+			if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
+				t.Errorf("%s: status %d", what, resp.StatusCode)
+			}
+		}
+		x, _, _ := first.counts()
+		y, _, _ := second.counts()
+		if x-a > 0 && want != first || y-b > 0 && want != second {
+			t.Errorf("%s: %d and %d requests", what, x-a, y-b)
+		}
+	}
+	applyList("draining", bramblelock.ListChanges, second, member("s-0", first, "draining"))
+	applyList("an unknown state", bramblelock.ListChanges, first, member("s-1", second, "asleep"), member("s-0", first, "ready"))
+	applyList("gone", bramblelock.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
+	applyList("absent from a full list", bramblelock.ListFull, first, member("s-0", first, "ready"))
+	applyList("moved", bramblelock.ListChanges, second, member("s-0", second, "ready"))
+}
+
+// An id must have the same number at every gateway and after a restart, and different ids different
+// numbers.
+func TestHostIDs(t *testing.T) {
+	seen := map[bramblelock.HostID]string{}
+	for i := range 1000 {
+		id := fmt.Sprintf("s-%08x", i)
+		if hostID(id) != hostID(strings.Clone(id)) || seen[hostID(id)] != "" {
+			t.Fatalf("%s maps to %x, as does %q", id, hostID(id), seen[hostID(id)])
+		}
+		seen[hostID(id)] = id
+	}
+	// The published FNV-1a hash of "a": another build must agree.
+	if got := hostID("a"); got != 0xaf63dc4c8601ec8c {
+		t.Errorf("%x is not the published hash", got)
+	}
+}
+
+// A process that shares its listener accepts connections once discovery has sent a list: what it
+// knew before may be old.
+func TestListedAfterListFromDiscovery(t *testing.T) {
+	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
+	listed := func() bool {
+		g.loop.Sync()
+		select {
+		case <-g.loop.Listed():
+			return true
+		default:
+			return false
+		}
+	}
+	g.loop.HandleList(bramblelock.ListFailed, hostlist.List{})
+	if listed() {
+		t.Error("a saved list, or a failed call, counts as a list from discovery")
+	}
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{})
+	g.loop.HandleList(bramblelock.ListChanges, hostlist.List{})
+	if !listed() {
+		t.Error("a list from discovery does not count")
+	}
+}
