--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1818,7 +1818,7 @@
 	}
 	g := startGateway(t, set, testHosts(1)...)
 	g.serve(50, 2, func(HostID) time.Duration { return 10 * ms })
-	rtt := g.b.classes[2].rtt
+	rtt, aloneRTT := g.b.classes[2].rtt, g.b.classes[2].aloneRTT
 	g.b.SetMaintenance(g.now, 1, true)
 	dropped, kept := g.request(0, time.Second), g.request(2, time.Second)
 	newSettings := set
@@ -1826,8 +1826,8 @@
 	if err := g.b.UpdateSettings(g.now, newSettings); err != nil {
 		t.Fatal(err)
 	}
-	if g.b.classes[0].rtt != rtt {
-		t.Errorf("RTT statistics %+v, want %+v", g.b.classes[0].rtt, rtt)
+	if g.b.classes[0].rtt != rtt || g.b.classes[0].aloneRTT != aloneRTT {
+		t.Errorf("RTT statistics %+v and %+v, want %+v and %+v", g.b.classes[0].rtt, g.b.classes[0].aloneRTT, rtt, aloneRTT)
 	}
 	g.collectActions()
 	if len(g.actions) != 0 || g.b.queued != 2 {
--- a/settings.go
+++ b/settings.go
@@ -132,7 +132,7 @@
 		k := &class{Class: c}
 		for _, o := range old {
 			if o.Name == c.Name && c.Name != "" {
-				k.rtt = o.rtt
+				k.rtt, k.aloneRTT = o.rtt, o.aloneRTT
 			}
 		}
 		b.classes = append(b.classes, k)
