--- a/balancer.go
+++ b/balancer.go
@@ -183,7 +183,7 @@
 		return
 	}
 	if !on {
-		b.returnedAt[id] = now // the host may be listed again later
+		b.recordReturn(id, now)
 	}
 	if h == nil {
 		return
@@ -202,7 +202,7 @@
 // listed or not yet, is cold as of that time.
 func (b *Balancer) MaintenanceEnded(now Time, id HostID, since Time) {
 	b.now = now
-	b.returnedAt[id] = since
+	b.recordReturn(id, since)
 	if h := b.byID[id]; h != nil {
 		b.markCold(h, since)
 	}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1849,6 +1849,27 @@
 	}
 }
 
+// The end of a maintenance is kept only while it can make a host cold: hosts come and go for as long
+// as the process runs. A host that is listed within that time is cold.
+func TestEndsOfMaintenanceAreForgotten(t *testing.T) {
+	set := basicSettings()
+	g := startGateway(t, set, testHosts(1)...)
+	const last = HostID(1000)
+	for id := HostID(2); id <= last; id++ {
+		g.b.SetMaintenance(g.now, id, true)
+		g.b.SetMaintenance(g.now, id, false)
+		g.b.MaintenanceEnded(g.now, id+last, g.now)
+		g.advance(set.WarmAfter / 5)
+	}
+	if n := len(g.b.returnedAt); n > 10 {
+		t.Errorf("%d ends of maintenance kept, want at most 2 for each of the last 5 hosts", n)
+	}
+	g.updateHosts(ListChanges, Host{ID: last})
+	if !g.b.byID[last].cold {
+		t.Error("a host listed soon after the end of its maintenance is not cold")
+	}
+}
+
 // The deadline of a request that is forwarded while it arrives, and the measured time of its
 // attempt, start at its last byte. Before that only the client is slow.
 func TestUploadTimeStartsAtLastByte(t *testing.T) {
--- a/state.go
+++ b/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
 	"time"
 )
@@ -32,7 +33,7 @@
 	byID          map[HostID]*host
 	requests      map[RequestID]*request
 	inMaintenance map[HostID]bool // hosts in maintenance, listed or not
-	returnedAt    map[HostID]Time // when the maintenance of a host last ended
+	returnedAt    map[HostID]Time // when the maintenance of a host last ended, for hosts that may still be cold
 	classes       []*class
 	queues        []list[request] // queued requests, by falling priority
 	priorities    []float64       // priorities of the queues
@@ -364,6 +365,15 @@
 	h.limit = initialFleetLimit / b.sharers()
 }
 
+// recordReturn records when the maintenance of a host ended, as the host may be listed again later. It
+// drops the hosts that would no longer be cold, so that the record does not grow without bound.
+func (b *Balancer) recordReturn(id HostID, since Time) {
+	maps.DeleteFunc(b.returnedAt, func(_ HostID, ended Time) bool {
+		return b.now-ended >= b.settings.WarmAfter
+	})
+	b.returnedAt[id] = since
+}
+
 // scheduleSweep schedules the next check of queued requests and pending attempts, if there are any.
 func (b *Balancer) scheduleSweep() {
 	if b.sweepAt == 0 && (b.queued > 0 || b.inFlight > 0) {
