--- a/balancer.go
+++ b/balancer.go
@@ -34,24 +34,7 @@
 	backoffDoublings  = 5         // most doublings of the duration of an ejection
 	silenceDeviations = 4         // deviations above the mean RTT from which a host is silent
 	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
-	rateSpanWindows   = 4         // time constant of the event rates, in OverloadWindows
-	initialFleetLimit = 4         // in-flight attempts that the whole fleet may have at a new host
-	limitTargets      = 0.375     // RTT goal of a host's in-flight limit, in class targets
-	limitFactor       = 2         // RTT goal of the limit in mean RTTs of the class, if below limitTargets
-	aloneFactor       = 1.25      // RTT goal of the limit in RTTs of lone attempts, if above limitTargets
-	maxLimitTargets   = 0.5       // highest RTT goal of the limit, in class targets
-	recentTargets     = 0.5       // time constant of a host's mean RTT: a collapse of a host takes longer
 	maxRecentWeight   = 0.5       // highest weight of a sample in addTimed: it may be an outlier
-	minFleetLimit     = 2         // least in-flight limit of the fleet at a host: one runs, the next arrives
-	fleetLimitGrowth  = 0.3       // growth of the fleet's limit while requests wait, in attempts a round
-	overdueTargets    = 0.5       // age of an attempt, in class targets, that blocks its host
-	rateTargets       = 0.45      // RTT goal of the send rate, in class targets: the rest is for variation
-	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, if below rateTargets
-	maxRateRatio      = 3         // highest ratio of an answer to its RTT goal: it may be an outlier
-	rateRatioWeight   = 1.0 / 8   // weight of an answer in the mean RTT ratio, which has few samples
-	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has under one attempt
-	rateGrowthDecays  = 2         // time in which the rate limit grows by a factor of e, in decay times
-	rateBurst         = 4         // sends that may be saved up under the rate limit
 	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
 	retryFactor       = 0.5       // priority factor of a client's retry: it may be answered too late
 	queueShare        = 0.2       // longest wait in a queue, in class targets
@@ -544,26 +527,6 @@
 	}
 }
 
-// atLimit reports whether a host is at its in-flight limit, idles or has an overdue attempt. A limit below
-// one, at a host whose mean RTT is above the goal, means that it is used for that share of the time.
-func (b *Balancer) atLimit(h *host) bool {
-	oldest, n := h.notOvertaken()
-	if h.ejections > 0 && !b.ejected(h) {
-		// Its pending attempts caused the ejection; a trial shows whether only those are lost.
-		oldest, n = nil, 0
-	}
-	return n > 0 && float64(n+1) > h.limit || b.now < h.idleUntil || b.overdue(oldest)
-}
-
-// overdue reports whether an attempt, which may be nil, has taken longer than overdueTargets.
-func (b *Balancer) overdue(a *attempt) bool {
-	return a != nil &&
-		float64(b.now-a.sent) > overdueTargets*float64(a.request.class.LatencyTarget)
-}
-
-// rateSpan is the time constant of the event rates in seconds.
-func (b *Balancer) rateSpan() float64 { return rateSpanWindows * b.settings.OverloadWindow.Seconds() }
-
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
 	a := b.newAttempt()
@@ -670,70 +633,6 @@
 	}
 }
 
-// adjustLimit adjusts a host's in-flight limit to keep the mean of its RTT ratios (see observe) at the goal,
-// limitTargets. It guards against congestion, which wastes work on requests that are answered too late and
-// can drive a host into a state in which it is slow. It cuts the limit when the mean exceeds the goal, and
-// then once a round (one RTT): only an attempt sent after the last cut can show whether that was enough.
-// With a limit below one, it also makes the host idle for a time. While the mean does not exceed the goal
-// and requests are queued, it raises the limit of a host that is at its limit.
-func (b *Balancer) adjustLimit(h *host, rttRatio float64, latencyTarget, sent Time) {
-	h.rttRatio.addTimed(rttRatio, b.now, recentTargets*b.shortestTarget.Seconds())
-	sharers := b.sharers()
-	if h.rttRatio.mean > limitTargets {
-		if sent >= h.limitCutAt {
-			h.limit = max(minFleetLimit/sharers, h.limit*limitTargets/h.rttRatio.mean)
-			h.limitCutAt = b.now
-		}
-		if h.limit < 1 {
-			// The host is busy for about one mean RTT; with this idle time, busy/(busy+idle) is h.limit.
-			h.idleUntil = b.now + Time(float64(latencyTarget)*h.rttRatio.mean*(1/h.limit-1))
-		}
-	} else if h.pending+1 >= int(h.limit) && b.queued > 0 { // +1: this attempt is not pending now
-		h.limit += fleetLimitGrowth / (sharers * h.limit)
-	}
-}
-
-// adjustRate adjusts the limit on this instance's send rate to keep the RTT of its last answers at a goal,
-// which follows from the mean RTT and the latency target of their class. It guards the fleet against
-// overload, once a round, where rateMinSharers instances or more share a host and have less than one attempt
-// each there. A cold host is guarded by its pacing; its answers only let the limit grow.
-func (b *Balancer) adjustRate(a *attempt, rtt float64) {
-	rttGoal := rateTargets * a.request.class.LatencyTarget.Seconds()
-	if l := &a.request.class.rtt; l.seen {
-		rttGoal = min(rttGoal, rateFactor*l.mean)
-	}
-	if !a.host.cold {
-		b.rateRatio.blend(min(rtt/rttGoal, maxRateRatio), rateRatioWeight)
-	}
-	switch {
-	case b.sharers() < rateMinSharers:
-		b.rateLimit = 0 // without effect here: cuts must not accumulate
-	case b.rateRatio.mean > 1 && a.sent >= b.rateCutAt && !a.host.cold:
-		if sends := b.sends.value(b.now, b.rateSpan()); b.rateLimit == 0 || sends < b.rateLimit {
-			b.rateLimit = sends
-		}
-		b.rateLimit = max(b.rateLimit/b.rateRatio.mean, 1/b.rateSpan())
-		b.rateRatio.mean, b.rateCutAt, b.rateGrownAt = 1, b.now, b.now
-	case b.rateLimit > 0 && b.rateRatio.mean <= 1:
-		b.rateLimit *= math.Exp((b.now - b.rateGrownAt).Seconds() / (rateGrowthDecays * b.decay))
-		b.rateGrownAt = b.now
-		if b.rateLimit > 2*b.arrivals.value(b.now, b.rateSpan()) {
-			b.rateLimit = 0
-		}
-	}
-}
-
-// admit reports whether the rate limit lets a request be sent now. Requests of low priority leave
-// tokens in the bucket for those of higher priority, so that the lowest are shed first.
-func (b *Balancer) admit(r *request) bool {
-	if b.rateLimit == 0 || b.sharers() < rateMinSharers {
-		return true
-	}
-	b.rateTokens = min(b.rateTokens+b.rateLimit*(b.now-b.rateFilledAt).Seconds(), rateBurst)
-	b.rateFilledAt = b.now
-	return b.rateTokens >= 1+(rateBurst-1)*float64(r.queueIndex)/float64(len(b.queues))
-}
-
 // readmit ends the ejection of a host that has answered.
 func (b *Balancer) readmit(h *host) {
 	h.answeredAt = b.now
--- /dev/null
+++ b/limit.go
@@ -0,0 +1,57 @@
+package bramblelock
+
+// The in-flight limit of a host: how many attempts the host may have from this instance at a time.
+// A round is one RTT, in which a host answers the attempts in flight; a growth a round is spread over
+// these answers. The units of the constants are explained in balancer.go.
+
+const (
+	initialFleetLimit = 4     // in-flight attempts that the whole fleet may have at a new host
+	limitTargets      = 0.375 // RTT goal of a host's in-flight limit, in class targets
+	limitFactor       = 2     // RTT goal of the limit in mean RTTs of the class, if below limitTargets
+	aloneFactor       = 1.25  // RTT goal of the limit in RTTs of lone attempts, if above limitTargets
+	maxLimitTargets   = 0.5   // highest RTT goal of the limit, in class targets
+	recentTargets     = 0.5   // time constant of a host's mean RTT: a collapse of a host takes longer
+	minFleetLimit     = 2     // least in-flight limit of the fleet at a host: one runs, the next arrives
+	fleetLimitGrowth  = 0.3   // growth of the fleet's limit while requests wait, in attempts a round
+	overdueTargets    = 0.5   // age of an attempt, in class targets, that blocks its host
+)
+
+// atLimit reports whether a host is at its in-flight limit, idles or has an overdue attempt. A limit below
+// one, at a host whose mean RTT is above the goal, means that it is used for that share of the time.
+func (b *Balancer) atLimit(h *host) bool {
+	oldest, n := h.notOvertaken()
+	if h.ejections > 0 && !b.ejected(h) {
+		// Its pending attempts caused the ejection; a trial shows whether only those are lost.
+		oldest, n = nil, 0
+	}
+	return n > 0 && float64(n+1) > h.limit || b.now < h.idleUntil || b.overdue(oldest)
+}
+
+// overdue reports whether an attempt, which may be nil, has taken longer than overdueTargets.
+func (b *Balancer) overdue(a *attempt) bool {
+	return a != nil &&
+		float64(b.now-a.sent) > overdueTargets*float64(a.request.class.LatencyTarget)
+}
+
+// adjustLimit adjusts a host's in-flight limit to keep the mean of its RTT ratios (see observe) at the goal,
+// limitTargets. It guards against congestion, which wastes work on requests that are answered too late and
+// can drive a host into a state in which it is slow. It cuts the limit when the mean exceeds the goal, and
+// then once a round (one RTT): only an attempt sent after the last cut can show whether that was enough.
+// With a limit below one, it also makes the host idle for a time. While the mean does not exceed the goal
+// and requests are queued, it raises the limit of a host that is at its limit.
+func (b *Balancer) adjustLimit(h *host, rttRatio float64, latencyTarget, sent Time) {
+	h.rttRatio.addTimed(rttRatio, b.now, recentTargets*b.shortestTarget.Seconds())
+	sharers := b.sharers()
+	if h.rttRatio.mean > limitTargets {
+		if sent >= h.limitCutAt {
+			h.limit = max(minFleetLimit/sharers, h.limit*limitTargets/h.rttRatio.mean)
+			h.limitCutAt = b.now
+		}
+		if h.limit < 1 {
+			// The host is busy for about one mean RTT; with this idle time, busy/(busy+idle) is h.limit.
+			h.idleUntil = b.now + Time(float64(latencyTarget)*h.rttRatio.mean*(1/h.limit-1))
+		}
+	} else if h.pending+1 >= int(h.limit) && b.queued > 0 { // +1: this attempt is not pending now
+		h.limit += fleetLimitGrowth / (sharers * h.limit)
+	}
+}
