--- a/balancer.go
+++ b/balancer.go
@@ -556,18 +556,8 @@
 	if a.sent < h.resetAt {
 		return // it ran on a former process of that host
 	}
-	// The ratio of the RTT to the class target is scaled so that the RTT goal of the limit is limitTargets:
-	// limitFactor mean RTTs of the class are the goal where they are lower, which gives a higher ratio.
-	rttRatio := rtt / a.request.class.LatencyTarget.Seconds()
-	if l := &a.request.class.rtt; l.seen {
-		rttRatio = max(rttRatio, limitTargets/limitFactor*rtt/l.mean)
-	}
-	// Where fewer than rateMinSharers instances share a host, a lone attempt seldom meets congestion, so the
-	// usual RTT of lone attempts raises the goal. With more sharers, lone attempts meet those of others.
-	if l := &a.request.class.aloneRTT; l.seen && b.sharers() < rateMinSharers {
-		rttRatio /= min(max(1, aloneFactor*l.mean/(limitTargets*a.request.class.LatencyTarget.Seconds())),
-			maxLimitTargets/limitTargets)
-	}
+	unit := b.ratioUnit(a.request.class)
+	rttRatio, ratioUnit := rtt/unit, Time(1e9*unit)
 	if a.trial {
 		h.trialInFlight = false
 	}
@@ -583,7 +573,7 @@
 			h.warmRTT.addTimed(max(normalized, 1e-6)*b.coldShare(h), b.now,
 				b.settings.OverloadWindow.Seconds())
 		}
-		b.adjustLimit(h, rttRatio, a.request.class.LatencyTarget, a.sent)
+		b.adjustLimit(h, rttRatio, ratioUnit, a.sent)
 		b.adjustRate(a, rtt)
 		if !h.cold && b.activeHosts > 0 {
 			b.served.add(b.now, b.rateSpan())
@@ -620,7 +610,7 @@
 		if a.sent < h.servedSentAt {
 			return // the host lost this one but answers others: it is not congested
 		}
-		b.adjustLimit(h, rttRatio, a.request.class.LatencyTarget, a.sent)
+		b.adjustLimit(h, rttRatio, ratioUnit, a.sent)
 		b.adjustRate(a, rtt)
 	case ConnectFailed, Reset:
 		b.addSample(h, rtt)
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1170,6 +1170,26 @@
 	g.onlyAction(Send)
 }
 
+// With a limit below one, a host is used for that share of the time: after an answer, it idles for
+// 1/limit - 1 times its mean RTT, whether the latency target or the usual RTT of the class sets the goal.
+func TestIdleTimeFollowsRTT(t *testing.T) {
+	for _, target := range []time.Duration{400 * ms, 5 * time.Second} {
+		set := basicSettings()
+		set.Instances = 16
+		set.Classes[0] = Class{LatencyTarget: target, Deadline: 20 * time.Second}
+		g := startGateway(t, set, testHosts(1)...)
+		h := g.b.hosts[0]
+		g.serve(100, 0, func(HostID) time.Duration { return 40 * ms })
+		h.rttRatio, h.limit = movingAverage{}, 0.8
+		const rtt = 300 * ms
+		g.serve(1, 0, func(HostID) time.Duration { return rtt }) // beyond the goal in both cases
+		idle := h.idleUntil - g.now
+		if want := Time(float64(rtt) * (1/h.limit - 1)); h.limit >= 0.8 || idle < want*95/100 || idle > want*105/100 {
+			t.Errorf("latency target %v, limit %.3f: idle for %v after an RTT of %v, want %v", target, h.limit, idle, rtt, want)
+		}
+	}
+}
+
 func TestOverQuotaRequestIsSentLast(t *testing.T) {
 	set := basicSettings()
 	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
--- a/limit.go
+++ b/limit.go
@@ -33,13 +33,32 @@
 		float64(b.now-a.sent) > overdueTargets*float64(a.request.class.LatencyTarget)
 }
 
-// adjustLimit adjusts a host's in-flight limit to keep the mean of its RTT ratios (see observe) at the goal,
-// limitTargets. It guards against congestion, which wastes work on requests that are answered too late and
-// can drive a host into a state in which it is slow. It cuts the limit when the mean exceeds the goal, and
-// then once a round (one RTT): only an attempt sent after the last cut can show whether that was enough.
-// With a limit below one, it also makes the host idle for a time. While the mean does not exceed the goal
-// and requests are queued, it raises the limit of a host that is at its limit.
-func (b *Balancer) adjustLimit(h *host, rttRatio float64, latencyTarget, sent Time) {
+// ratioUnit is the RTT in seconds that has an RTT ratio of one: the latency target of the class, scaled so
+// that the RTT goal of the limit is limitTargets.
+func (b *Balancer) ratioUnit(c *class) float64 {
+	target := c.LatencyTarget.Seconds()
+	unit := target
+	// limitFactor mean RTTs of the class are the goal where they are lower.
+	if c.rtt.seen {
+		unit = min(unit, limitFactor/limitTargets*c.rtt.mean)
+	}
+	// Where fewer than rateMinSharers instances share a host, a lone attempt seldom meets congestion, so the
+	// usual RTT of lone attempts raises the goal. With more sharers, lone attempts meet those of others.
+	if c.aloneRTT.seen && b.sharers() < rateMinSharers {
+		unit *= min(max(1, aloneFactor*c.aloneRTT.mean/(limitTargets*target)), maxLimitTargets/limitTargets)
+	}
+	return unit
+}
+
+// adjustLimit adjusts a host's in-flight limit to keep the mean of its RTT ratios, in units of ratioUnit,
+// at the goal, limitTargets. It guards against congestion, which wastes work on requests that are answered
+// too late and can drive a host into a state in which it is slow. It cuts the limit when the mean exceeds
+// the goal, and then once a round (one RTT): only an attempt sent after the last cut can show whether that
+// was enough. With a limit below one, it also makes the host idle for a time. While the mean does not
+// exceed the goal and requests are queued, it raises the limit of a host that is at its limit.
+//
+// ratioUnit is the RTT that a ratio of one stands for.
+func (b *Balancer) adjustLimit(h *host, rttRatio float64, ratioUnit, sent Time) {
 	h.rttRatio.addTimed(rttRatio, b.now, recentTargets*b.shortestTarget.Seconds())
 	sharers := b.sharers()
 	if h.rttRatio.mean > limitTargets {
@@ -49,7 +68,7 @@
 		}
 		if h.limit < 1 {
 			// The host is busy for about one mean RTT; with this idle time, busy/(busy+idle) is h.limit.
-			h.idleUntil = b.now + Time(float64(latencyTarget)*h.rttRatio.mean*(1/h.limit-1))
+			h.idleUntil = b.now + Time(float64(ratioUnit)*h.rttRatio.mean*(1/h.limit-1))
 		}
 	} else if h.pending+1 >= int(h.limit) && b.queued > 0 { // +1: this attempt is not pending now
 		h.limit += fleetLimitGrowth / (sharers * h.limit)
--- a/state.go
+++ b/state.go
@@ -92,7 +92,7 @@
 	resetAt       Time          // time of the last end of maintenance; attempts sent before it do not enter the statistics
 	servedSentAt  Time          // send time of the latest attempt that the host has served
 	limit         float64       // in-flight attempts that the host may have from this instance, its portion of the fleet's limit there; 0: not set yet
-	// rttRatio is the mean of the RTT ratios of observe: RTTs in latency targets of the class, scaled so
+	// rttRatio is the mean of the RTT ratios (see ratioUnit): RTTs in latency targets of the class, scaled so
 	// that the goal is limitTargets. A sample gets more weight the longer ago the last one is (addTimed);
 	// the mean does not decay between samples.
 	rttRatio   movingAverage
