--- a/balancer.go
+++ b/balancer.go
@@ -30,9 +30,6 @@
 	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
 	meanWeight        = 0.1       // weight of a sample in a mean of about the last ten
 	longTermWeight    = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
-	backoffTargets    = 2         // duration of a first ejection
-	backoffDoublings  = 5         // most doublings of the duration of an ejection
-	silenceDeviations = 4         // deviations above the mean RTT from which a host is silent
 	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
 	maxRecentWeight   = 0.5       // highest weight of a sample in addTimed: it may be an outlier
 	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
@@ -509,24 +506,6 @@
 	return c.Effect == Deduplicated && b.now <= b.repeatDeadline(c, first)
 }
 
-// ejected reports whether a host is excluded: until its backoff ends, then for all but one trial at a time.
-func (b *Balancer) ejected(h *host) bool {
-	return h.ejections > 0 && (b.now < h.ejectUntil || h.trialInFlight)
-}
-
-// eject excludes a host, for longer with each ejection in a row.
-func (b *Balancer) eject(h *host, reason string) {
-	if h.ejections > 0 && b.now < h.ejectUntil {
-		return
-	}
-	d := float64(backoffTargets*b.shortestTarget) * float64(int(1)<<min(h.ejections, backoffDoublings))
-	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.randFloat()))
-	h.ejections++
-	if h.ejections == 1 {
-		b.log(logHostEjected, "host %x ejected: %s", h.ID, reason)
-	}
-}
-
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
 	a := b.newAttempt()
@@ -623,16 +602,6 @@
 	}
 }
 
-// readmit ends the ejection of a host that has answered.
-func (b *Balancer) readmit(h *host) {
-	h.answeredAt = b.now
-	if h.ejections == 0 {
-		return
-	}
-	h.ejections = 0
-	b.log(logHostBack, "host %x is back", h.ID)
-}
-
 // afterAttempt decides what follows the end of an attempt: nothing if the request has its answer,
 // another attempt if class and time allow it, and else the final answer.
 func (b *Balancer) afterAttempt(r *request, a *attempt, answered bool) {
@@ -715,54 +684,3 @@
 	}
 	return false
 }
-
-// silenceTimeout is how long an attempt may take before checkSilence takes its host to be silent.
-func (b *Balancer) silenceTimeout(r *request) Time {
-	if l := &r.class.rtt; l.seen {
-		return Time(1e9 * (l.mean + silenceDeviations*l.dev))
-	}
-	return r.class.LatencyTarget / 2
-}
-
-// checkSilence ejects silent hosts: those that have answered nothing since their oldest pending
-// attempt was sent, for longer than such a request should take. The ejection ends with an answer. It
-// guards against hosts that accept requests and answer none; a host that is only slow, or has one
-// costly request, answers others meanwhile. Attempts there are not canceled: most are still answered,
-// and sending them again costs more than it saves.
-func (b *Balancer) checkSilence() {
-	b.inFlight = 0
-	for _, h := range b.hosts {
-		b.inFlight += h.pending
-		b.cancelLost(h)
-		a := h.oldestSentSince(h.answeredAt)
-		if a == nil || b.now-a.sent < b.silenceTimeout(a.request) {
-			continue
-		}
-		if h.ejections == 0 {
-			// The RTT is at least this long: overload shows before the answers arrive.
-			b.adjustRate(a, (b.now - a.sent).Seconds())
-		}
-		b.eject(h, "silent")
-	}
-}
-
-// cancelLost cancels attempts that a host has lost: later ones were answered, and they are older than
-// the latency target, after which an answer has no value. Each occupies one of the few connections that
-// the host accepts. An idempotent request goes elsewhere while there is time, as soon as its attempt
-// is overdue and should have been answered; only once, as a request that is slow on any host gains
-// nothing from a restart.
-func (b *Balancer) cancelLost(h *host) {
-	for n := h.pendingList.head; n != nil && n.item.sent < h.servedSentAt; {
-		a, r := n.item, n.item.request
-		n = n.next
-		switch age := b.now - a.sent; {
-		case r.done || r.streaming || !b.settings.CancelAllowed:
-		case age >= r.class.LatencyTarget:
-			b.answerUnserved(r)
-		case r.class.Effect == Idempotent && !r.attemptLost && b.overdue(a) &&
-			age >= b.silenceTimeout(r) && b.mayRetry(r):
-			r.attemptLost = true
-			b.cancelAttempts(r, -1)
-		}
-	}
-}
