--- a/balancer.go
+++ b/balancer.go
@@ -13,30 +13,24 @@
 // the lower estimate x (own pending + 1) is used. Departures from this path decide which hosts are ready;
 // the comment of each says when it acts.
 
-import (
-	"math"
-	"sort"
-)
+import "math"
 
 // Constants named Targets are in multiples of the shortest latency target of all classes, unless the
 // comment names another. "Class targets" are latency targets of the request's class. A round is one
 // RTT, in which a host answers the attempts in flight; a growth a round is spread over these answers.
 const (
-	decayTargets      = 8         // decay time of an RTT estimate: it outlasts a gap between samples
-	decayGaps         = 4         // decay time in gaps between samples of a host, where that is longer
-	decayMaxFactor    = 8         // longest decay time, in multiples of that from decayTargets
-	maxKinds          = 255       // highest kind of host with an RTT mean of its own
-	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
-	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
-	meanWeight        = 0.1       // weight of a sample in a mean of about the last ten
-	longTermWeight    = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
-	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
-	maxRecentWeight   = 0.5       // highest weight of a sample in addTimed: it may be an outlier
-	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
-	retryFactor       = 0.5       // priority factor of a client's retry: it may be answered too late
-	queueShare        = 0.2       // longest wait in a queue, in class targets
-	sweepShare        = 1.0 / 16  // time between sweeps of queues and hosts, in shortest targets
-	answerIntervals   = 2         // EventIntervals before the deadline by which a request is answered
+	decayTargets    = 8         // decay time of an RTT estimate: it outlasts a gap between samples
+	decayGaps       = 4         // decay time in gaps between samples of a host, where that is longer
+	decayMaxFactor  = 8         // longest decay time, in multiples of that from decayTargets
+	maxKinds        = 255       // highest kind of host with an RTT mean of its own
+	initialRTTShare = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
+	penaltyTargets  = 1         // least RTT of an error, in longest targets: above ordinary answers
+	meanWeight      = 0.1       // weight of a sample in a mean of about the last ten
+	longTermWeight  = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
+	returnSeconds   = 3         // longest wait for the first send to a host back from maintenance
+	maxRecentWeight = 0.5       // highest weight of a sample in addTimed: it may be an outlier
+	sweepShare      = 1.0 / 16  // time between sweeps of queues and hosts, in shortest targets
+	answerIntervals = 2         // EventIntervals before the deadline by which a request is answered
 )
 
 // Kinds of timer token.
@@ -61,52 +55,6 @@
 	return b, nil
 }
 
-// orderQueues lays out the queues by priority: each class has one for requests within quota and one
-// for those beyond it, and two more for client retries. Of equal priorities, the class with the
-// shorter latency target is served first.
-func (b *Balancer) orderQueues() {
-	type queueKey struct {
-		class    *class
-		flags    int
-		priority float64
-	}
-	var keys []queueKey
-	for _, c := range b.classes {
-		for flags := range len(c.queues) {
-			keys = append(keys, queueKey{c, flags, queuePriority(&c.Class, flags, &b.settings)})
-		}
-	}
-	sort.SliceStable(keys, func(i, j int) bool {
-		if keys[i].priority != keys[j].priority {
-			return keys[i].priority > keys[j].priority
-		}
-		return keys[i].class.LatencyTarget < keys[j].class.LatencyTarget
-	})
-	b.queues, b.priorities = make([]list[request], len(keys)), b.priorities[:0]
-	for k, key := range keys {
-		key.class.queues[key.flags] = k
-		b.priorities = append(b.priorities, key.priority)
-	}
-}
-
-// queuePriority is the priority of the requests of a class with the given queue flags.
-func queuePriority(c *Class, flags int, set *Settings) float64 {
-	priority := c.PriorityWeight
-	if flags&overQuota != 0 {
-		priority *= set.OverQuotaFactor
-	}
-	if flags&clientRetry != 0 {
-		priority *= retryFactor
-	}
-	return priority
-}
-
-// queueFor returns the first queue whose priority is not higher, or the last queue.
-func (b *Balancer) queueFor(priority float64) int {
-	return min(sort.Search(len(b.priorities), func(i int) bool { return b.priorities[i] <= priority }),
-		len(b.priorities)-1)
-}
-
 // Start is the first event: the gateway is running. It schedules the first call to discovery where the
 // host list has to be watched.
 func (b *Balancer) Start(now Time) {
@@ -278,23 +226,6 @@
 	b.scheduleSweep()
 }
 
-// Queue flags: each combination has a queue of its own in a class.
-const (
-	overQuota   = 1 << iota // beyond the tenant's quota
-	clientRetry             // the client marked the request as a retry
-)
-
-// queueFlags returns the queue flags of a request and charges the quota of its tenant.
-func (b *Balancer) queueFlags(r *request) (flags int) {
-	if r.Tenant >= 0 && r.Tenant < len(b.quotas) && !b.quotas[r.Tenant].take(b.now) {
-		flags |= overQuota
-	}
-	if r.ClientRetry {
-		flags |= clientRetry
-	}
-	return flags
-}
-
 // ResponseStarted reports that a response is being streamed from attempt n: no other may answer.
 func (b *Balancer) ResponseStarted(now Time, id RequestID, n int) {
 	b.now = now
@@ -642,45 +573,3 @@
 	}
 	b.finish(r)
 }
-
-// enqueue queues a request, a retry at the front. It waits for a small share of its latency target: a
-// client that is refused early may still be served in time elsewhere or later, and a request that is
-// sent has the rest of its target left.
-func (b *Balancer) enqueue(r *request, atFront bool) {
-	r.expires = r.arrived + Time(queueShare*float64(r.class.LatencyTarget))
-	b.pushQueued(r, atFront)
-	b.scheduleSweep()
-}
-
-// processQueues answers requests that have waited too long and sends others as far as hosts are ready,
-// in order of priority.
-func (b *Balancer) processQueues() {
-	for i := range b.queues {
-		for n := b.queues[i].head; n != nil && b.now >= n.item.expires; n = b.queues[i].head {
-			b.log(logRequestRefused, "refusing: hosts are full, %d requests wait", b.queued)
-			b.answerUnserved(n.item)
-		}
-	}
-	for i := range b.queues {
-		if noneReady := b.serveQueue(&b.queues[i]); noneReady {
-			break
-		}
-	}
-	b.scheduleSweep()
-}
-
-// serveQueue sends the requests of a queue. A retry that is bound to its DedupScope does not block those
-// behind it. It reports whether no host is ready for a request without an attempt that may have run.
-func (b *Balancer) serveQueue(queue *list[request]) (noneReady bool) {
-	for n := queue.head; n != nil; {
-		r, next := n.item, n.next
-		if h := b.pick(r); h != nil {
-			b.dequeue(r)
-			b.send(r, h)
-		} else if r.firstMayHaveRun() == nil {
-			return true
-		}
-		n = next
-	}
-	return false
-}
--- a/state.go
+++ b/state.go
@@ -1,5 +1,8 @@
 package bramblelock
 
+// The state of a Balancer and its helpers: lists, pools, random numbers. The decisions are in
+// balancer.go and the files that it names.
+
 import (
 	"fmt"
 	"maps"
@@ -7,9 +10,6 @@
 	"time"
 )
 
-// The state of a Balancer and its helpers: lists, pools, random numbers. The decisions are in
-// balancer.go and the files that it names.
-
 // Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
@@ -261,12 +261,6 @@
 	n.prev, n.next = nil, nil
 }
 
-// tokenBucket limits the requests of a tenant. Its rate is in requests a second; 0 means no limit.
-type tokenBucket struct {
-	tokens, rate float64
-	filledAt     Time
-}
-
 // oldestSentSince is the oldest pending attempt at a host that was sent at t or later, or nil.
 func (h *host) oldestSentSince(t Time) *attempt {
 	for n := h.pendingList.head; n != nil; n = n.next {
@@ -415,20 +409,6 @@
 	}
 }
 
-// take uses one request of a tenant's quota; it reports false if the quota is used up.
-func (t *tokenBucket) take(now Time) bool {
-	if t.rate <= 0 {
-		return true
-	}
-	t.tokens = min(t.tokens+(now-t.filledAt).Seconds()*t.rate, max(1, t.rate*quotaBurstSeconds))
-	t.filledAt = now
-	if t.tokens < 1 {
-		return false
-	}
-	t.tokens--
-	return true
-}
-
 // release drops a finished request once its last attempt has ended.
 func (b *Balancer) release(r *request) {
 	if !r.done || r.inFlight > 0 {
@@ -461,25 +441,6 @@
 	return a
 }
 
-// pushQueued adds a request to its queue.
-func (b *Balancer) pushQueued(r *request, atFront bool) {
-	r.queued, r.node.item = true, r
-	b.queued++
-	if atFront {
-		b.queues[r.queueIndex].pushFront(&r.node)
-	} else {
-		b.queues[r.queueIndex].pushBack(&r.node)
-	}
-}
-
-func (b *Balancer) dequeue(r *request) {
-	if r.queued {
-		b.queues[r.queueIndex].remove(&r.node)
-		r.queued = false
-		b.queued--
-	}
-}
-
 // Kinds of log line. The rate of each kind is limited separately.
 const (
 	logHostEjected    = iota // a host is ejected
