--- a/state.go
+++ b/state.go
@@ -314,15 +314,6 @@
 	return nil
 }
 
-// repeatDeadline is the time until which a deduplicated request may be sent again after its first
-// attempt that may have run: a repeat that reaches its host later would run. 0 means no limit.
-func (b *Balancer) repeatDeadline(c *Class, first *attempt) Time {
-	if first == nil || c.Effect != Deduplicated {
-		return 0
-	}
-	return first.sent + c.DedupWindow - answerIntervals*b.settings.EventInterval
-}
-
 // rejected reports whether a host found the request itself at fault: other hosts would too.
 func (r *request) rejected() bool {
 	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].result == Rejected
