--- a/balancer.go
+++ b/balancer.go
@@ -13,23 +13,12 @@
 // the lower estimate x (own pending + 1) is used. Departures from this path decide which hosts are ready;
 // the comment of each says when it acts.
 
-import "math"
-
 // Constants named Targets are in multiples of the shortest latency target of all classes, unless the
 // comment names another. "Class targets" are latency targets of the request's class. A round is one
 // RTT, in which a host answers the attempts in flight; a growth a round is spread over these answers.
 const (
-	decayTargets    = 8         // decay time of an RTT estimate: it outlasts a gap between samples
-	decayGaps       = 4         // decay time in gaps between samples of a host, where that is longer
-	decayMaxFactor  = 8         // longest decay time, in multiples of that from decayTargets
-	maxKinds        = 255       // highest kind of host with an RTT mean of its own
-	initialRTTShare = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
-	penaltyTargets  = 1         // least RTT of an error, in longest targets: above ordinary answers
-	meanWeight      = 0.1       // weight of a sample in a mean of about the last ten
-	longTermWeight  = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
-	returnSeconds   = 3         // longest wait for the first send to a host back from maintenance
-	maxRecentWeight = 0.5       // highest weight of a sample in addTimed: it may be an outlier
-	sweepShare      = 1.0 / 16  // time between sweeps of queues and hosts, in shortest targets
+	returnSeconds = 3        // longest wait for the first send to a host back from maintenance
+	sweepShare    = 1.0 / 16 // time between sweeps of queues and hosts, in shortest targets
 )
 
 // Kinds of timer token.
@@ -135,20 +124,6 @@
 	}
 }
 
-// effectiveDecay is the decay time of the RTT estimates in seconds. With little traffic it follows the
-// gap between two samples of a host, or every estimate would fade before the next sample.
-func (b *Balancer) effectiveDecay(h *host) float64 {
-	rate := b.arrivals.value(b.now, b.rateSpan())
-	if rate == 0 {
-		return b.decay
-	}
-	gap := float64(b.subsetSize()) / rate
-	if b.peers != nil {
-		gap = 1 / (rate * b.trafficShare(h)) // a host that is seldom sampled must not look fast
-	}
-	return max(b.decay, min(decayGaps*gap, decayMaxFactor*b.decay))
-}
-
 // applyEntry applies one entry of the host list.
 func (b *Balancer) applyEntry(entry Host) {
 	h := b.byID[entry.ID]
@@ -302,113 +277,6 @@
 	b.processQueues()
 }
 
-// pick is the ordinary path: it takes the less loaded of two random ready hosts.
-func (b *Balancer) pick(r *request) *host {
-	if !b.admit(r) {
-		return nil
-	}
-	if b.holding() {
-		b.log(logSendsHeld, "sending nothing: discovery does not say who drains")
-		return nil
-	}
-	b.updateSubset()
-	candidates := b.subset
-	if r.class.Effect == Deduplicated && r.firstMayHaveRun() != nil {
-		candidates = b.ring // its DedupScope may lie outside the subset
-	}
-	eligible, ejected := 0, 0
-	b.ready = b.ready[:0]
-	for _, h := range candidates {
-		if !h.available() || !b.allows(r, h) {
-			continue
-		}
-		eligible++
-		switch {
-		case b.ejected(h):
-			ejected++
-		case b.coldLimited(h) || b.atLimit(h):
-		default:
-			b.ready = append(b.ready, h)
-		}
-	}
-	// Fail open: when most hosts are ejected, the fault is more likely in the network or
-	// the load than in every host, and the few others must not get all requests.
-	if ejected*2 > eligible {
-		b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", ejected, eligible)
-		for _, h := range candidates {
-			if h.available() && b.allows(r, h) && b.ejected(h) && !b.coldLimited(h) && !b.atLimit(h) {
-				b.ready = append(b.ready, h)
-			}
-		}
-	}
-	n := len(b.ready)
-	if n == 0 {
-		return nil
-	}
-	if n == 1 {
-		return b.ready[0]
-	}
-	i, j := b.pickTwo()
-	if b.score(b.ready[j]) < b.score(b.ready[i]) {
-		i = j
-	}
-	return b.ready[i]
-}
-
-// score is the load of a host for the comparison of two: estimate x (own pending + 1).
-func (b *Balancer) score(h *host) float64 { return b.estimate(h) * float64(h.pending+1) }
-
-// estimate is the RTT estimate, decayed toward zero so that a penalized and then idle host is used again.
-func (b *Balancer) estimate(h *host) float64 {
-	if !h.sampled {
-		return b.initialRTT(h) * b.decayWeight(h)
-	}
-	return h.rtt * b.decayWeight(h)
-}
-
-// initialRTT is the RTT assumed of a host without samples: the mean of its kind, or of all hosts, so
-// that it does not look idle. An instance without any samples has a default.
-func (b *Balancer) initialRTT(h *host) float64 {
-	if h.Kind >= 0 && h.Kind < len(b.kindRTT) && b.kindRTT[h.Kind].seen {
-		return b.kindRTT[h.Kind].mean
-	}
-	if b.meanRTT.seen {
-		return b.meanRTT.mean
-	}
-	return initialRTTShare * b.shortestTarget.Seconds()
-}
-
-// normalize adds a good answer to the means of its class and kind of host, and returns its RTT scaled
-// to the mean over all classes: a host that last served a slow class must not look slow.
-func (b *Balancer) normalize(a *attempt, rtt float64) float64 {
-	a.request.class.rtt.addLongTerm(rtt)
-	b.meanRTT.add(rtt)
-	rtt *= b.meanRTT.mean / a.request.class.rtt.mean
-	if k := a.host.Kind; k >= 0 && k <= maxKinds {
-		for len(b.kindRTT) <= k {
-			b.kindRTT = append(b.kindRTT, movingAverage{})
-		}
-		b.kindRTT[k].add(rtt)
-	}
-	return rtt
-}
-
-// decayWeight is the weight that a host's estimate has kept since its last sample.
-func (b *Balancer) decayWeight(h *host) float64 {
-	return math.Exp(-(b.now - h.rttAt).Seconds() / b.effectiveDecay(h))
-}
-
-// addSample adds an RTT sample. One above the decayed estimate replaces it, one below is blended in.
-func (b *Balancer) addSample(h *host, rtt float64) {
-	w := b.decayWeight(h)
-	if old := b.estimate(h); rtt > old {
-		h.rtt = rtt
-	} else {
-		h.rtt = old + rtt*(1-w)
-	}
-	h.rttAt, h.sampled = b.now, true
-}
-
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
 	a := b.newAttempt()
--- a/state.go
+++ b/state.go
@@ -6,7 +6,6 @@
 import (
 	"fmt"
 	"maps"
-	"math"
 	"time"
 )
 
@@ -157,70 +156,6 @@
 	node    node[attempt] // node in the host's pendingList
 }
 
-// movingAverage is a moving mean with deviation. The first sample sets it.
-type movingAverage struct {
-	mean, dev float64
-	seen      bool
-	samples   int  // number of samples that addLongTerm has added
-	updatedAt Time // time of the last sample of addTimed
-}
-
-// add gives a sample a weight of about one tenth.
-func (m *movingAverage) add(x float64) { m.blend(x, meanWeight) }
-
-// addLongTerm gives each sample the same weight at first, and later longTermWeight.
-func (m *movingAverage) addLongTerm(x float64) {
-	m.samples++
-	m.blend(x, max(1/float64(m.samples), longTermWeight))
-}
-
-// addTimed gives a sample more weight the longer ago the last one is, so that the mean has the time
-// constant span, in seconds, even where samples are rare. No weight exceeds maxRecentWeight.
-func (m *movingAverage) addTimed(x float64, now Time, span float64) {
-	weight := 1 - math.Exp(-(now-m.updatedAt).Seconds()/span)
-	m.updatedAt = now
-	m.blend(x, min(max(weight, meanWeight), maxRecentWeight))
-}
-
-// blend gives a sample the given weight.
-func (m *movingAverage) blend(x, weight float64) {
-	if !m.seen {
-		m.mean, m.dev, m.seen = x, x/2, true
-		return
-	}
-	m.dev += weight * (math.Abs(x-m.mean) - m.dev)
-	m.mean += weight * (x - m.mean)
-}
-
-// minEvents is the number of events from which a rate is known to within about a third.
-const minEvents = 10
-
-// eventRate is an exponentially decaying rate of events a second.
-type eventRate struct {
-	perSecond float64
-	updatedAt Time
-	firstAt   Time // time of the first event
-}
-
-// corrected is the rate corrected for the short time since the first event. It reports false while
-// there are fewer events than minEvents.
-func (r *eventRate) corrected(now Time, span float64) (float64, bool) {
-	age, counted := (now-r.firstAt).Seconds()/span, r.value(now, span)
-	return counted / (1 - math.Exp(-age)), counted*span >= minEvents
-}
-
-// value is the rate decayed to now, with the time constant span in seconds.
-func (r *eventRate) value(now Time, span float64) float64 {
-	return r.perSecond * math.Exp(-(now-r.updatedAt).Seconds()/span)
-}
-
-func (r *eventRate) add(now Time, span float64) {
-	if r.perSecond == 0 {
-		r.firstAt = now
-	}
-	r.perSecond, r.updatedAt = r.value(now, span)+1/span, now
-}
-
 // list is a doubly linked list whose items contain their own nodes, so that nothing is allocated.
 type list[T any] struct{ head, tail *node[T] }
 
@@ -376,16 +311,6 @@
 	return 1 / float64(max(len(b.subset), 1))
 }
 
-// readyHostAt is the index of the ready host at a position on the sum of the traffic shares.
-func (b *Balancer) readyHostAt(position float64) int {
-	for i, h := range b.ready {
-		if position -= b.trafficShare(h); position < 0 {
-			return i
-		}
-	}
-	return len(b.ready) - 1
-}
-
 // dropIfRemoved drops a removed host once it has no open attempts.
 func (b *Balancer) dropIfRemoved(h *host) {
 	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
--- a/view.go
+++ b/view.go
@@ -93,27 +93,3 @@
 		h.trafficShare += (p.Rate/rates[own] - h.trafficShare) / 2
 	}
 }
-
-// pickTwo draws two ready hosts at random, i first. With a view, each comes as often as its traffic
-// share says: the positions of the two on the sum of the shares are half of that sum apart, so they
-// differ unless a share is over half.
-func (b *Balancer) pickTwo() (i, j int) {
-	n := len(b.ready)
-	if b.peers == nil {
-		i, j = b.randN(n), b.randN(n-1)
-	} else {
-		sum := 0.0
-		for _, h := range b.ready {
-			sum += b.trafficShare(h)
-		}
-		u := b.randFloat() * sum / 2
-		if i, j = b.readyHostAt(u), b.readyHostAt(u+sum/2); i != j {
-			return i, j
-		}
-		j = b.randN(n - 1)
-	}
-	if j >= i {
-		j++
-	}
-	return i, j
-}
