--- a/aperture.go
+++ b/aperture.go
@@ -149,9 +149,6 @@
 	b.rebalance()
 }
 
-// available reports whether a host may get new requests: it is listed as ready and not in maintenance.
-func (h *host) available() bool { return h.State == Ready && !h.inMaintenance }
-
 // inUse reports whether a host of the subset counts toward its size: neither cold nor ejected.
 func (b *Balancer) inUse(h *host) bool { return !h.cold && !b.ejected(h) }
 
--- a/balancer.go
+++ b/balancer.go
@@ -17,8 +17,7 @@
 // comment names another. "Class targets" are latency targets of the request's class. A round is one
 // RTT, in which a host answers the attempts in flight; a growth a round is spread over these answers.
 const (
-	returnSeconds = 3        // longest wait for the first send to a host back from maintenance
-	sweepShare    = 1.0 / 16 // time between sweeps of queues and hosts, in shortest targets
+	sweepShare = 1.0 / 16 // time between sweeps of queues and hosts, in shortest targets
 )
 
 // Kinds of timer token.
@@ -52,100 +51,6 @@
 	}
 }
 
-// UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
-func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
-	b.now = now
-	if kind.IsLoss() {
-		b.handleListLoss(kind)
-		return
-	}
-	if kind != ListSaved { // a saved list is not from discovery, so it ends neither a loss nor a hold
-		b.handleListReceived()
-	}
-	if kind != ListChanges { // the list is whole: hosts without an entry stay Removed
-		for _, h := range b.hosts {
-			h.State = Removed
-		}
-	}
-	for _, e := range list {
-		b.applyEntry(e)
-	}
-	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
-		b.dropIfRemoved(b.hosts[i])
-	}
-	b.buildRing()
-	for _, h := range b.hosts {
-		if h.limit == 0 { // it is new; sharers depends on the number of hosts, now complete
-			h.limit = initialFleetLimit / b.sharers()
-		}
-	}
-	b.processQueues() // hosts may have become ready, and a list from discovery ends a hold of sends
-}
-
-// SetMaintenance puts a host into maintenance or ends it. It is keyed by ID alone and stays in force
-// whatever the host list says meanwhile. A host back from maintenance may be another process on another
-// machine: its statistics are reset, and it is cold.
-func (b *Balancer) SetMaintenance(now Time, id HostID, on bool) {
-	b.now = now
-	wasOn := b.inMaintenance[id]
-	h := b.byID[id]
-	if on {
-		b.inMaintenance[id] = true
-		delete(b.returnedAt, id)
-	} else {
-		delete(b.inMaintenance, id)
-	}
-	if wasOn == on {
-		return
-	}
-	if !on {
-		b.recordReturn(id, now)
-	}
-	if h == nil {
-		return
-	}
-	h.inMaintenance = on
-	if !on {
-		b.resetHost(h)
-		b.markCold(h, now)
-		// The operator wants it in use, however little is known of its capacity.
-		h.coldDeadline = now + Time(1e9*returnSeconds*(0.5+b.randFloat()/2))
-	}
-	b.processQueues()
-}
-
-// MaintenanceEnded reports an end of maintenance that another process of this instance saw: the host,
-// listed or not yet, is cold as of that time.
-func (b *Balancer) MaintenanceEnded(now Time, id HostID, since Time) {
-	b.now = now
-	b.recordReturn(id, since)
-	if h := b.byID[id]; h != nil {
-		b.markCold(h, since)
-	}
-}
-
-// applyEntry applies one entry of the host list.
-func (b *Balancer) applyEntry(entry Host) {
-	h := b.byID[entry.ID]
-	if h == nil {
-		if entry.State == Removed {
-			return
-		}
-		h = &host{answeredAt: b.now, rttAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
-		h.hash = mix(uint64(entry.ID))
-		b.byID[entry.ID] = h
-		b.hosts = append(b.hosts, h)
-	}
-	started := h.Started
-	h.Host = entry
-	if since, ok := b.returnedAt[entry.ID]; ok && h.coldSince < since {
-		b.markCold(h, since)
-	}
-	if entry.Started > 0 && entry.Started != started {
-		b.markCold(h, entry.Started)
-	}
-}
-
 // Request is a new client request, which gets exactly one final answer.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
--- /dev/null
+++ b/host.go
@@ -0,0 +1,103 @@
+package bramblelock
+
+// Hosts and what this instance knows of each; the host list is applied here.
+
+// UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
+func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
+	b.now = now
+	if kind.IsLoss() {
+		b.handleListLoss(kind)
+		return
+	}
+	if kind != ListSaved { // a saved list is not from discovery, so it ends neither a loss nor a hold
+		b.handleListReceived()
+	}
+	if kind != ListChanges { // the list is whole: hosts without an entry stay Removed
+		for _, h := range b.hosts {
+			h.State = Removed
+		}
+	}
+	for _, e := range list {
+		b.applyEntry(e)
+	}
+	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
+		b.dropIfRemoved(b.hosts[i])
+	}
+	b.buildRing()
+	for _, h := range b.hosts {
+		if h.limit == 0 { // it is new; sharers depends on the number of hosts, now complete
+			h.limit = initialFleetLimit / b.sharers()
+		}
+	}
+	b.processQueues() // hosts may have become ready, and a list from discovery ends a hold of sends
+}
+
+// applyEntry applies one entry of the host list.
+func (b *Balancer) applyEntry(entry Host) {
+	h := b.byID[entry.ID]
+	if h == nil {
+		if entry.State == Removed {
+			return
+		}
+		h = &host{answeredAt: b.now, rttAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
+		h.hash = mix(uint64(entry.ID))
+		b.byID[entry.ID] = h
+		b.hosts = append(b.hosts, h)
+	}
+	started := h.Started
+	h.Host = entry
+	if since, ok := b.returnedAt[entry.ID]; ok && h.coldSince < since {
+		b.markCold(h, since)
+	}
+	if entry.Started > 0 && entry.Started != started {
+		b.markCold(h, entry.Started)
+	}
+}
+
+// dropIfRemoved drops a removed host once it has no open attempts.
+func (b *Balancer) dropIfRemoved(h *host) {
+	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
+		return
+	}
+	delete(b.byID, h.ID)
+	for i := range b.hosts {
+		if b.hosts[i] == h {
+			b.hosts = append(b.hosts[:i], b.hosts[i+1:]...)
+			return
+		}
+	}
+}
+
+// resetHost discards the statistics of a host.
+func (b *Balancer) resetHost(h *host) {
+	h.rtt, h.rttAt, h.sampled, h.rttRatio = 0, b.now, false, movingAverage{}
+	h.ejections, h.ejectUntil, h.trialInFlight, h.idleUntil = 0, 0, false, 0
+	h.answeredAt, h.servedSentAt, h.resetAt = b.now, b.now, b.now
+	h.limit = initialFleetLimit / b.sharers()
+}
+
+// oldestSentSince is the oldest pending attempt at a host that was sent at t or later, or nil.
+func (h *host) oldestSentSince(t Time) *attempt {
+	for n := h.pendingList.head; n != nil; n = n.next {
+		if n.item.sent >= t {
+			return n.item
+		}
+	}
+	return nil
+}
+
+// notOvertaken is the number of pending attempts at a host that were sent no earlier than the latest
+// one served, and the oldest of them. An attempt that a later one has overtaken is lost and does not
+// show how the host serves others.
+func (h *host) notOvertaken() (oldest *attempt, n int) {
+	if oldest = h.oldestSentSince(h.servedSentAt); oldest == nil {
+		return nil, 0
+	}
+	for link := &oldest.node; link != nil; link = link.next {
+		n++
+	}
+	return oldest, n
+}
+
+// available reports whether a host may get new requests: it is listed as ready and not in maintenance.
+func (h *host) available() bool { return h.State == Ready && !h.inMaintenance }
--- a/state.go
+++ b/state.go
@@ -5,7 +5,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"time"
 )
 
@@ -70,48 +69,6 @@
 	logLines      [logKinds]logLine
 }
 
-// host is what this instance knows of one host.
-type host struct {
-	Host
-	hash          uint64  // hash of the ID
-	ringPosition  float64 // position by hash among the hosts of its kind, from 0 to 1
-	rtt           float64 // RTT estimate (peak EWMA) in seconds, as of rttAt
-	rttAt         Time    // time of the last RTT sample or reset
-	inSubset      bool
-	inMaintenance bool
-	ringIndex     int           // index in Balancer.ring
-	preferIndex   int           // index in Balancer.preferred
-	trafficShare  float64       // fitted share of this instance's traffic; 0: not fitted
-	sampled       bool          // rtt has samples; otherwise initialRTT is used
-	openAttempts  int           // attempts that have not ended
-	pending       int           // attempts that the host has yet to answer
-	pendingList   list[attempt] // pending attempts in the order of sending
-	answeredAt    Time          // time of the last answer of any kind
-	connFailedAt  Time          // time at which a connection last failed
-	resetAt       Time          // time of the last end of maintenance; attempts sent before it do not enter the statistics
-	servedSentAt  Time          // send time of the latest attempt that the host has served
-	limit         float64       // in-flight attempts that the host may have from this instance, its portion of the fleet's limit there; 0: not set yet
-	// rttRatio is the mean of the RTT ratios (see ratioUnit): RTTs in latency targets of the class, scaled so
-	// that the goal is limitTargets. A sample gets more weight the longer ago the last one is (addTimed);
-	// the mean does not decay between samples.
-	rttRatio   movingAverage
-	limitCutAt Time // time of the last cut of the limit
-	idleUntil  Time // time before which the host gets no attempts, after a refusal or with a limit below one
-
-	ejections     int  // ejections in a row since the last answer
-	ejectUntil    Time // end of the last backoff
-	trialInFlight bool // a trial of the ejected host is in flight: one attempt, to see whether it answers
-
-	cold         bool          // the host started less than WarmAfter ago
-	coldSince    Time          // last start of the host or end of its maintenance
-	coldSentAt   Time          // time of the last send while cold, or at which the host became known as cold
-	coldGap      float64       // gap between coldSentAt and the next send, in mean gaps of 1/coldRate, not a time
-	coldDeadline Time          // time from which the next send is not paced; 0: it is paced at any time
-	coldSent     float64       // sends while cold
-	coldAllowed  float64       // mean number of sends that the pacing allowed while cold
-	warmRTT      movingAverage // RTT in seconds of good answers, scaled to the mean class and, by the cold share, to a warm host
-}
-
 // class is a class of the settings with its statistics. An open request keeps its class when the
 // settings change.
 type class struct {
@@ -196,29 +153,6 @@
 	n.prev, n.next = nil, nil
 }
 
-// oldestSentSince is the oldest pending attempt at a host that was sent at t or later, or nil.
-func (h *host) oldestSentSince(t Time) *attempt {
-	for n := h.pendingList.head; n != nil; n = n.next {
-		if n.item.sent >= t {
-			return n.item
-		}
-	}
-	return nil
-}
-
-// notOvertaken is the number of pending attempts at a host that were sent no earlier than the latest
-// one served, and the oldest of them. An attempt that a later one has overtaken is lost and does not
-// show how the host serves others.
-func (h *host) notOvertaken() (oldest *attempt, n int) {
-	if oldest = h.oldestSentSince(h.servedSentAt); oldest == nil {
-		return nil, 0
-	}
-	for link := &oldest.node; link != nil; link = link.next {
-		n++
-	}
-	return oldest, n
-}
-
 // addPending adds an attempt to those that its host has yet to answer: they are the load of the host,
 // and their times enter its statistics. An attempt whose request is still being uploaded, or whose
 // response has begun, is not among them: its time depends on the client, and it is no load at the
@@ -277,23 +211,6 @@
 	}
 }
 
-// resetHost discards the statistics of a host.
-func (b *Balancer) resetHost(h *host) {
-	h.rtt, h.rttAt, h.sampled, h.rttRatio = 0, b.now, false, movingAverage{}
-	h.ejections, h.ejectUntil, h.trialInFlight, h.idleUntil = 0, 0, false, 0
-	h.answeredAt, h.servedSentAt, h.resetAt = b.now, b.now, b.now
-	h.limit = initialFleetLimit / b.sharers()
-}
-
-// recordReturn records when the maintenance of a host ended, as the host may be listed again later. It
-// drops the hosts that would no longer be cold, so that the record does not grow without bound.
-func (b *Balancer) recordReturn(id HostID, since Time) {
-	maps.DeleteFunc(b.returnedAt, func(_ HostID, ended Time) bool {
-		return b.now-ended >= b.settings.WarmAfter
-	})
-	b.returnedAt[id] = since
-}
-
 // scheduleSweep schedules the next check of queued requests and pending attempts, if there are any.
 func (b *Balancer) scheduleSweep() {
 	if b.sweepAt == 0 && (b.queued > 0 || b.inFlight > 0) {
@@ -311,20 +228,6 @@
 	return 1 / float64(max(len(b.subset), 1))
 }
 
-// dropIfRemoved drops a removed host once it has no open attempts.
-func (b *Balancer) dropIfRemoved(h *host) {
-	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
-		return
-	}
-	delete(b.byID, h.ID)
-	for i := range b.hosts {
-		if b.hosts[i] == h {
-			b.hosts = append(b.hosts[:i], b.hosts[i+1:]...)
-			return
-		}
-	}
-}
-
 // release drops a finished request once its last attempt has ended.
 func (b *Balancer) release(r *request) {
 	if !r.done || r.inFlight > 0 {
@@ -443,3 +346,45 @@
 func (b *Balancer) wake(at Time, token uint64) {
 	b.emit(Action{Kind: Wake, At: at, Token: token})
 }
+
+// host is what this instance knows of one host.
+type host struct {
+	Host
+	hash          uint64  // hash of the ID
+	ringPosition  float64 // position by hash among the hosts of its kind, from 0 to 1
+	rtt           float64 // RTT estimate (peak EWMA) in seconds, as of rttAt
+	rttAt         Time    // time of the last RTT sample or reset
+	inSubset      bool
+	inMaintenance bool
+	ringIndex     int           // index in Balancer.ring
+	preferIndex   int           // index in Balancer.preferred
+	trafficShare  float64       // fitted share of this instance's traffic; 0: not fitted
+	sampled       bool          // rtt has samples; otherwise initialRTT is used
+	openAttempts  int           // attempts that have not ended
+	pending       int           // attempts that the host has yet to answer
+	pendingList   list[attempt] // pending attempts in the order of sending
+	answeredAt    Time          // time of the last answer of any kind
+	connFailedAt  Time          // time at which a connection last failed
+	resetAt       Time          // time of the last end of maintenance; attempts sent before it do not enter the statistics
+	servedSentAt  Time          // send time of the latest attempt that the host has served
+	limit         float64       // in-flight attempts that the host may have from this instance, its portion of the fleet's limit there; 0: not set yet
+	// rttRatio is the mean of the RTT ratios (see ratioUnit): RTTs in latency targets of the class, scaled so
+	// that the goal is limitTargets. A sample gets more weight the longer ago the last one is (addTimed);
+	// the mean does not decay between samples.
+	rttRatio   movingAverage
+	limitCutAt Time // time of the last cut of the limit
+	idleUntil  Time // time before which the host gets no attempts, after a refusal or with a limit below one
+
+	ejections     int  // ejections in a row since the last answer
+	ejectUntil    Time // end of the last backoff
+	trialInFlight bool // a trial of the ejected host is in flight: one attempt, to see whether it answers
+
+	cold         bool          // the host started less than WarmAfter ago
+	coldSince    Time          // last start of the host or end of its maintenance
+	coldSentAt   Time          // time of the last send while cold, or at which the host became known as cold
+	coldGap      float64       // gap between coldSentAt and the next send, in mean gaps of 1/coldRate, not a time
+	coldDeadline Time          // time from which the next send is not paced; 0: it is paced at any time
+	coldSent     float64       // sends while cold
+	coldAllowed  float64       // mean number of sends that the pacing allowed while cold
+	warmRTT      movingAverage // RTT in seconds of good answers, scaled to the mean class and, by the cold share, to a warm host
+}
