--- /dev/null
+++ b/outcome.go
@@ -0,0 +1,95 @@
+package bramblelock
+
+// What the end of an attempt says about its host and its class.
+
+// Outcome reports the end of an attempt.
+func (b *Balancer) Outcome(now Time, o Outcome) {
+	b.now = now
+	r := b.requests[o.Request]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
+		return
+	}
+	a := r.attempts[o.Attempt]
+	a.ended, a.result = true, o.Result
+	r.inFlight--
+	a.host.openAttempts--
+	b.removePending(a)
+	r.notReplayable = r.notReplayable || o.NotReplayable
+	b.observe(a, max(o.Elapsed, 0).Seconds())
+	b.afterAttempt(r, a, o.Answered)
+	b.dropIfRemoved(a.host)
+	b.processQueues()
+}
+
+// observe updates the statistics of a host and its class with the end of an attempt.
+func (b *Balancer) observe(a *attempt, rtt float64) {
+	h := a.host
+	if a.sent < h.resetAt {
+		return // it ran on a former process of that host
+	}
+	unit := b.ratioUnit(a.request.class)
+	rttRatio, ratioUnit := rtt/unit, Time(1e9*unit)
+	if a.trial {
+		h.trialInFlight = false
+	}
+	switch a.result {
+	case OK:
+		if a.alone {
+			a.request.class.aloneRTT.addLongTerm(rtt)
+		}
+		h.servedSentAt = max(h.servedSentAt, a.sent)
+		normalized := b.normalize(a, rtt)
+		b.addSample(h, normalized)
+		if h.cold {
+			h.warmRTT.addTimed(max(normalized, 1e-6)*b.coldShare(h), b.now,
+				b.settings.OverloadWindow.Seconds())
+		}
+		b.adjustLimit(h, rttRatio, ratioUnit, a.sent)
+		b.adjustRate(a, rtt)
+		if !h.cold && b.activeHosts > 0 {
+			b.served.add(b.now, b.rateSpan())
+			if served, ok := b.served.corrected(b.now, b.rateSpan()); ok {
+				b.warmRate.add(served / float64(b.activeHosts))
+			}
+		}
+		b.readmit(h)
+	case Full:
+		// A refusal comes at once but is taken as an RTT of at least the latency target. By its true RTT, a
+		// host that only refuses would attract all queued requests.
+		b.adjustLimit(h, max(rttRatio, 1), a.request.class.LatencyTarget, a.sent)
+		// The limit does not act on a host without pending attempts. Such a host idles until some of its work
+		// can have ended (one that drains but is not listed as draining takes no more requests), but not too
+		// long to retry requests that are bound to it.
+		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
+		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
+		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
+		fallthrough
+	case Failed:
+		b.addSample(h, max(rtt, b.penalty))
+		b.readmit(h)
+	case Rejected:
+		b.readmit(h) // an answer, but too early to be a sample of the RTT
+	case Canceled:
+		// An attempt canceled at the deadline or as lost has timed out. One whose client is
+		// gone, or whose request another attempt answered, says nothing about the host.
+		if !a.request.unserved && !a.request.attemptLost {
+			return
+		}
+		fallthrough
+	case TimedOut:
+		b.addSample(h, rtt)
+		if a.sent < h.servedSentAt {
+			return // the host lost this one but answers others: it is not congested
+		}
+		b.adjustLimit(h, rttRatio, ratioUnit, a.sent)
+		b.adjustRate(a, rtt)
+	case ConnectFailed, Reset:
+		b.addSample(h, rtt)
+		// A single connection may break. The host is at fault if another one breaks
+		// before it has answered anything, or if no connection can be made.
+		if a.result == ConnectFailed || h.connFailedAt > h.answeredAt {
+			b.eject(h, "connections fail")
+		}
+		h.connFailedAt = b.now
+	}
+}
