--- a/balancer.go
+++ b/balancer.go
@@ -1,33 +1,23 @@
 package bramblelock
 
-// The decisions of the balancer. The exported types are in api.go, the state in state.go. Which
-// hosts an instance uses is decided in aperture.go, how cold hosts are paced in cold.go, when to
-// call discovery in asking.go, how long an outdated host list may be used in notified.go.
+// The balancer and its events, one method each. The exported types are in api.go, the settings in
+// settings.go. Each kind of decision has a file of its own:
 //
-// Reading order: the constants; New; one method per event, from Start to Timer; then what they
-// call: dispatch and pick (the ordinary path), score to addSample (the RTT estimate), allows to
-// atLimit (which hosts are ready), observe, adjustLimit and adjustRate (feedback), afterAttempt
-// to answerUnserved (retries and answers), enqueue to serveQueue, and checkSilence.
+//   - Which host a request is sent to: pick.go, by the RTT estimates of estimate.go, among the hosts of
+//     the subset of aperture.go, whose shares of the traffic with a view of the fleet are set in view.go.
+//   - Which hosts are ready: limit.go (in-flight limit), ejection.go and silence.go (hosts at fault),
+//     cold.go (hosts that have just started), maintenance.go.
+//   - When nothing is sent: ratelimit.go (send rate), notified.go (an outdated host list).
+//   - What becomes of a request that is not sent, or not answered: queue.go, quota.go, retry.go.
+//   - What the end of an attempt says about its host: outcome.go.
+//   - When to call discovery: asking.go.
 //
 // The ordinary path is failure-aware peak EWMA with two choices: of two random ready hosts, the one with
 // the lower estimate x (own pending + 1) is used. Departures from this path decide which hosts are ready;
 // the comment of each says when it acts.
-
+//
 // Constants named Targets are in multiples of the shortest latency target of all classes, unless the
-// comment names another. "Class targets" are latency targets of the request's class. A round is one
-// RTT, in which a host answers the attempts in flight; a growth a round is spread over these answers.
-const (
-	sweepShare = 1.0 / 16 // time between sweeps of queues and hosts, in shortest targets
-)
-
-// Kinds of timer token.
-const (
-	tokenSweep    = iota + 1 // check queues and hosts
-	tokenWatch               // call discovery
-	tokenDeadline            // answer a request that nears its deadline
-)
-
-const tokenShift = 56 // bits of a token below its kind, which can contain a request ID
+// comment names another. "Class targets" are latency targets of the request's class.
 
 // New returns a Balancer for the settings, or an error if they are invalid.
 func New(set Settings, seed uint64) (*Balancer, error) {
@@ -74,17 +64,6 @@
 	b.dispatch(r, false)
 }
 
-// setDeadlineTimer sets the timer that every request has ahead of its deadline: the outcome of an
-// attempt that is still connecting then would come too late to answer on. A request that arrived too
-// late to be sent is answered at once.
-func (b *Balancer) setDeadlineTimer(r *request) {
-	b.wake(max(b.now, r.deadline-answerIntervals*b.settings.EventInterval),
-		tokenDeadline<<tokenShift|uint64(r.ID))
-	if b.now+answerIntervals*b.settings.EventInterval >= r.deadline {
-		b.answerUnserved(r)
-	}
-}
-
 // UploadComplete reports that the last byte of a request that was forwarded while it arrived is with
 // the host. Its deadline and the measured time of its attempt start here.
 func (b *Balancer) UploadComplete(now Time, id RequestID, remaining Time) {
@@ -129,28 +108,6 @@
 	}
 }
 
-// Timer reports that the time of a Wake action has come.
-func (b *Balancer) Timer(now Time, token uint64) {
-	b.now = now
-	switch token >> tokenShift {
-	case tokenSweep:
-		if now >= b.sweepAt {
-			b.sweepAt = 0
-			b.checkSilence()
-			b.processQueues()
-		}
-	case tokenWatch:
-		if now >= b.watchAt && !b.watching {
-			b.emit(Action{Kind: Watch})
-			b.scheduleWatch(b.settings.MaxWatchGap)
-		}
-	case tokenDeadline:
-		if r := b.requests[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.streaming {
-			b.answerUnserved(r)
-		}
-	}
-}
-
 // dispatch sends the request if no request is queued and a host is ready for it, and else queues it.
 func (b *Balancer) dispatch(r *request, retry bool) {
 	if b.queued == 0 {
--- a/settings.go
+++ b/settings.go
@@ -148,3 +148,12 @@
 	}
 	b.orderQueues()
 }
+
+// class is a class of the settings with its statistics. An open request keeps its class when the
+// settings change.
+type class struct {
+	Class
+	rtt      movingAverage // RTT in seconds of good answers
+	aloneRTT movingAverage // RTT in seconds of good answers to lone attempts at a host
+	queues   [4]int        // index in Balancer.queues, by queue flags
+}
--- a/state.go
+++ b/state.go
@@ -3,11 +3,6 @@
 // The state of a Balancer and its helpers: lists, pools, random numbers. The decisions are in
 // balancer.go and the files that it names.
 
-import (
-	"fmt"
-	"time"
-)
-
 // Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
@@ -69,144 +64,6 @@
 	logLines      [logKinds]logLine
 }
 
-// class is a class of the settings with its statistics. An open request keeps its class when the
-// settings change.
-type class struct {
-	Class
-	rtt      movingAverage // RTT in seconds of good answers
-	aloneRTT movingAverage // RTT in seconds of good answers to lone attempts at a host
-	queues   [4]int        // index in Balancer.queues, by queue flags
-}
-
-// list is a doubly linked list whose items contain their own nodes, so that nothing is allocated.
-type list[T any] struct{ head, tail *node[T] }
-
-type node[T any] struct {
-	item       *T
-	prev, next *node[T]
-}
-
-func (l *list[T]) pushBack(n *node[T]) {
-	if n.prev = l.tail; n.prev != nil {
-		n.prev.next = n
-	} else {
-		l.head = n
-	}
-	l.tail = n
-}
-
-func (l *list[T]) pushFront(n *node[T]) {
-	if n.next = l.head; n.next != nil {
-		n.next.prev = n
-	} else {
-		l.tail = n
-	}
-	l.head = n
-}
-
-func (l *list[T]) remove(n *node[T]) {
-	if n.prev != nil {
-		n.prev.next = n.next
-	} else {
-		l.head = n.next
-	}
-	if n.next != nil {
-		n.next.prev = n.prev
-	} else {
-		l.tail = n.prev
-	}
-	n.prev, n.next = nil, nil
-}
-
-// scheduleSweep schedules the next check of queued requests and pending attempts, if there are any.
-func (b *Balancer) scheduleSweep() {
-	if b.sweepAt == 0 && (b.queued > 0 || b.inFlight > 0) {
-		b.sweepAt = b.now + max(b.settings.EventInterval, Time(float64(b.shortestTarget)*sweepShare))
-		b.wake(b.sweepAt, tokenSweep<<tokenShift)
-	}
-}
-
-// trafficShare is a host's share of this instance's traffic. A host without a fitted share, as it is
-// cold or new, has the share that an even spread would give it.
-func (b *Balancer) trafficShare(h *host) float64 {
-	if h.trafficShare > 0 {
-		return h.trafficShare
-	}
-	return 1 / float64(max(len(b.subset), 1))
-}
-
-// Kinds of log line. The rate of each kind is limited separately.
-const (
-	logHostEjected    = iota // a host is ejected
-	logHostBack              // an ejected host has answered and is used again
-	logFailOpen              // most hosts are ejected, and they are used all the same
-	logRequestRefused        // a request has waited too long in a queue and is answered unserved
-	logListLost              // the watch of the host list, or a first call for it, has failed
-	logListRegained          // discovery has given a list again after a loss
-	logSendsHeld             // a request is not sent, as the host list is outdated
-	logKinds                 // number of kinds
-)
-
-// logInterval is the least time between two log lines of a kind.
-const logInterval = 10 * time.Second
-
-// logLine is the state of the rate limit of a kind of log line.
-type logLine struct {
-	loggedAt Time
-	logged   bool
-	heldBack int // lines not logged since loggedAt
-}
-
-// log queues a Log action, whose text the gateway writes to its log for operators. Of each kind of line,
-// at most one per logInterval is logged; the next one gives the number of those held back.
-func (b *Balancer) log(kind int, format string, args ...any) {
-	l := &b.logLines[kind]
-	if l.logged && b.now-l.loggedAt < logInterval {
-		l.heldBack++
-		return
-	}
-	text := fmt.Sprintf(format, args...)
-	if l.heldBack > 0 {
-		text += fmt.Sprintf(" (%d more such lines held back)", l.heldBack)
-	}
-	*l = logLine{loggedAt: b.now, logged: true}
-	b.emit(Action{Kind: Log, Text: text})
-}
-
-// nextRand is splitmix64, a small generator with the same sequence on every platform.
-func (b *Balancer) nextRand() uint64 {
-	b.rng += 0x9e3779b97f4a7c15
-	return mix(b.rng)
-}
-
-// mix is the output function of splitmix64, also used to hash host IDs.
-func mix(z uint64) uint64 {
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return z ^ z>>31
-}
-
-// randN is a random number from 0 to n-1.
-func (b *Balancer) randN(n int) int { return int(b.nextRand() >> 33 % uint64(n)) }
-
-// randFloat is a random number from 0 up to 1.
-func (b *Balancer) randFloat() float64 { return float64(b.nextRand()>>11) / (1 << 53) }
-
-// RequestRate is the recent rate of requests a second to this instance.
-func (b *Balancer) RequestRate(now Time) float64 {
-	if b.longArrivals.perSecond == 0 {
-		return 0
-	}
-	rate, _ := b.longArrivals.corrected(now, peerRateSpan)
-	return min(rate, b.longArrivals.value(now, peerRateSpan)*peerRateSpan) // counted over at least one second
-}
-
-// FleetStatus returns the number of instances in the view, the number of instances among which the limits
-// of hosts are divided, and the number of hosts that this instance uses.
-func (b *Balancer) FleetStatus() (live int, sharedBy float64, hostsUsed int) {
-	return len(b.peers), b.instances(), len(b.subset)
-}
-
 // TakeActions appends the actions decided since the last call to dst. The balancer keeps no reference
 // to them.
 func (b *Balancer) TakeActions(dst []Action) []Action {
@@ -217,11 +74,6 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// wake emits a Wake action.
-func (b *Balancer) wake(at Time, token uint64) {
-	b.emit(Action{Kind: Wake, At: at, Token: token})
-}
-
 // host is what this instance knows of one host.
 type host struct {
 	Host
--- a/view.go
+++ b/view.go
@@ -93,3 +93,27 @@
 		h.trafficShare += (p.Rate/rates[own] - h.trafficShare) / 2
 	}
 }
+
+// trafficShare is a host's share of this instance's traffic. A host without a fitted share, as it is
+// cold or new, has the share that an even spread would give it.
+func (b *Balancer) trafficShare(h *host) float64 {
+	if h.trafficShare > 0 {
+		return h.trafficShare
+	}
+	return 1 / float64(max(len(b.subset), 1))
+}
+
+// RequestRate is the recent rate of requests a second to this instance.
+func (b *Balancer) RequestRate(now Time) float64 {
+	if b.longArrivals.perSecond == 0 {
+		return 0
+	}
+	rate, _ := b.longArrivals.corrected(now, peerRateSpan)
+	return min(rate, b.longArrivals.value(now, peerRateSpan)*peerRateSpan) // counted over at least one second
+}
+
+// FleetStatus returns the number of instances in the view, the number of instances among which the limits
+// of hosts are divided, and the number of hosts that this instance uses.
+func (b *Balancer) FleetStatus() (live int, sharedBy float64, hostsUsed int) {
+	return len(b.peers), b.instances(), len(b.subset)
+}
