--- a/aperture.go
+++ b/aperture.go
@@ -17,6 +17,24 @@
 	goldenSection = 0.6180339887498949
 )
 
+// hostPosition is the place of a host in the ring and in the subset of this instance.
+type hostPosition struct {
+	hash         uint64  // hash of the ID
+	ringPosition float64 // position by hash among the hosts of its kind, from 0 to 1
+	ringIndex    int     // index in hostSubset.ring
+	preferIndex  int     // index in hostSubset.preferred
+	inSubset     bool
+}
+
+// hostSubset is the ring of all hosts and the subset of them that this instance uses.
+type hostSubset struct {
+	ring         []*host // the hosts in an order that is the same at every instance
+	preferred    []*host // the hosts in this instance's order of preference
+	subset       []*host // the hosts that this instance uses
+	subsetMoveAt Time    // earliest time at which a host of the subset may be replaced
+	activeHosts  int     // hosts of the subset that are neither cold nor ejected
+}
+
 // buildRing orders the hosts in a way that is the same at every instance and spreads each kind of host
 // evenly, so that every section is a fair sample of the fleet. Few positions change when hosts are
 // added or removed.
--- a/asking.go
+++ b/asking.go
@@ -29,6 +29,14 @@
 	maxBackoffShare    = 0.25        // longest backoff in a small fleet, after doublings, in MaxWatchGaps
 )
 
+// listWatch is the state of the watch of the host list.
+type listWatch struct {
+	watching      bool // a watch of the host list is open
+	watchAt       Time // time of the next call to discovery
+	watchFails    int  // calls to discovery that failed in a row
+	watchingSince Time // start of the open watch: discovery has kept the list current since then
+}
+
 // firstCallDelay is the time from the start of an instance to its first call; a single instance does
 // not wait.
 func firstCallDelay(set *Settings) Time {
--- a/balancer.go
+++ b/balancer.go
@@ -18,6 +18,34 @@
 //
 // Constants named Targets are in multiples of the shortest latency target of all classes, unless the
 // comment names another. "Class targets" are latency targets of the request's class.
+// Balancer decides for one gateway. It is not safe for concurrent use. Its state is grouped by decision;
+// each group is declared in the file of its decision.
+type Balancer struct {
+	settings       Settings
+	classes        []*class
+	shortestTarget Time          // shortest latency target of any class
+	quotas         []tokenBucket // quotas of the tenants, by index in Settings.Tenants
+
+	now      Time
+	rng      uint64    // state of nextRand
+	actions  []Action  // actions decided since the last TakeActions
+	arrivals eventRate // requests to this instance, a second
+	ready    []*host   // scratch space of pick
+	logLines [logKinds]logLine
+
+	hostTable
+	maintenanceRecord
+	hostSubset
+	fleetView
+	rttStatistics
+	warmHostRate
+	requestTable
+	requestQueues
+	sendRate
+	sweepTimer
+	listWatch
+	sendHold
+}
 
 // New returns a Balancer for the settings, or an error if they are invalid.
 func New(set Settings, seed uint64) (*Balancer, error) {
@@ -25,8 +53,10 @@
 		return nil, err
 	}
 	b := &Balancer{
-		rng: seed, byID: map[HostID]*host{}, requests: map[RequestID]*request{},
-		inMaintenance: map[HostID]bool{}, returnedAt: map[HostID]Time{},
+		rng:               seed,
+		hostTable:         hostTable{byID: map[HostID]*host{}},
+		maintenanceRecord: maintenanceRecord{inMaintenance: map[HostID]bool{}, returnedAt: map[HostID]Time{}},
+		requestTable:      requestTable{requests: map[RequestID]*request{}},
 	}
 	b.applySettings(set)
 	return b, nil
@@ -142,3 +172,13 @@
 	b.rateTokens = max(b.rateTokens-1, 0)
 	b.scheduleSweep()
 }
+
+// TakeActions appends the actions decided since the last call to dst. The balancer keeps no reference
+// to them.
+func (b *Balancer) TakeActions(dst []Action) []Action {
+	dst = append(dst, b.actions...)
+	b.actions = b.actions[:0]
+	return dst
+}
+
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/cold.go
+++ b/cold.go
@@ -10,6 +10,26 @@
 	maxColdSharers = 16  // most instances that use a cold host: its connection table is small
 )
 
+// hostSlowStart is the state of the slow start of a host.
+type hostSlowStart struct {
+	cold         bool    // the host started less than WarmAfter ago
+	coldSince    Time    // last start of the host or end of its maintenance
+	coldSentAt   Time    // time of the last send while cold, or at which the host became known as cold
+	coldGap      float64 // gap between coldSentAt and the next send, in mean gaps of 1/coldRate, not a time
+	coldDeadline Time    // time from which the next send is not paced; 0: it is paced at any time
+	coldSent     float64 // sends while cold
+	coldAllowed  float64 // mean number of sends that the pacing allowed while cold
+	// warmRTT is the RTT in seconds of good answers, scaled to the mean class and, by the cold share, to a
+	// warm host.
+	warmRTT movingAverage
+}
+
+// warmHostRate is the rate of good answers that this instance gets of warm hosts.
+type warmHostRate struct {
+	served   eventRate     // good answers of all warm hosts, a second
+	warmRate movingAverage // good answers of one warm host, a second
+}
+
 // markCold marks a host as cold since its start. Its first send is paced too, as a host that leaves
 // the list and returns may have been sent to just before.
 func (b *Balancer) markCold(h *host, since Time) {
--- a/ejection.go
+++ b/ejection.go
@@ -8,6 +8,14 @@
 	backoffDoublings = 5 // most doublings of the duration of an ejection
 )
 
+// hostEjection is the state of the ejection of a host.
+type hostEjection struct {
+	ejections     int  // ejections in a row since the last answer
+	ejectUntil    Time // end of the last backoff
+	trialInFlight bool // a trial of the ejected host is in flight: one attempt, to see whether it answers
+	connFailedAt  Time // time at which a connection last failed
+}
+
 // ejected reports whether a host is excluded: until its backoff ends, then for all but one trial at a time.
 func (b *Balancer) ejected(h *host) bool {
 	return h.ejections > 0 && (b.now < h.ejectUntil || h.trialInFlight)
--- a/estimate.go
+++ b/estimate.go
@@ -13,6 +13,21 @@
 	penaltyTargets  = 1    // least RTT of an error, in longest targets: above ordinary answers
 )
 
+// rttEstimate is the RTT estimate of a host.
+type rttEstimate struct {
+	rtt     float64 // peak EWMA of the RTT in seconds, as of rttAt
+	rttAt   Time    // time of the last RTT sample or reset
+	sampled bool    // rtt has samples; otherwise initialRTT is used
+}
+
+// rttStatistics is what all RTT estimates of an instance have in common.
+type rttStatistics struct {
+	decay   float64         // decay time of RTT estimates in seconds
+	penalty float64         // least RTT in seconds that is recorded for an error
+	meanRTT movingAverage   // RTT in seconds of good answers of any class
+	kindRTT []movingAverage // RTT in seconds by kind of host, scaled to the mean over all classes
+}
+
 // estimate is the RTT estimate, decayed toward zero so that a penalized and then idle host is used again.
 func (b *Balancer) estimate(h *host) float64 {
 	if !h.sampled {
--- a/host.go
+++ b/host.go
@@ -1,6 +1,30 @@
 package bramblelock
 
 // Hosts and what this instance knows of each; the host list is applied here.
+// host is what this instance knows of one host.
+type host struct {
+	Host
+	hostPosition
+	rttEstimate
+	hostLimit
+	hostEjection
+	hostSlowStart
+
+	inMaintenance bool
+	trafficShare  float64       // fitted share of this instance's traffic; 0: not fitted
+	openAttempts  int           // attempts that have not ended
+	pending       int           // attempts that the host has yet to answer
+	pendingList   list[attempt] // pending attempts in the order of sending
+	answeredAt    Time          // time of the last answer of any kind
+	servedSentAt  Time          // send time of the latest attempt that the host has served
+	resetAt       Time          // last end of maintenance; attempts sent before it say nothing of the host
+}
+
+// hostTable is the hosts that are listed or still have open attempts.
+type hostTable struct {
+	hosts []*host // in order of first listing, so that nothing depends on map order
+	byID  map[HostID]*host
+}
 
 // UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
 func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
@@ -39,7 +63,8 @@
 		if entry.State == Removed {
 			return
 		}
-		h = &host{answeredAt: b.now, rttAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
+		h = &host{answeredAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
+		h.rttAt = b.now
 		h.hash = mix(uint64(entry.ID))
 		b.byID[entry.ID] = h
 		b.hosts = append(b.hosts, h)
--- a/limit.go
+++ b/limit.go
@@ -16,6 +16,19 @@
 	overdueTargets    = 0.5   // age of an attempt, in class targets, that blocks its host
 )
 
+// hostLimit is the state of the in-flight limit of a host.
+type hostLimit struct {
+	// limit is how many attempts in flight the host may have from this instance: its portion of the fleet's
+	// limit there. 0 means that it is not set yet.
+	limit      float64
+	limitCutAt Time // time of the last cut of the limit
+	// rttRatio is the mean of the RTT ratios (see ratioUnit): RTTs in latency targets of the class, scaled so
+	// that the goal is limitTargets. A sample gets more weight the longer ago the last one is (addTimed);
+	// the mean does not decay between samples.
+	rttRatio  movingAverage
+	idleUntil Time // time before which the host gets no attempts, after a refusal or with a limit below one
+}
+
 // atLimit reports whether a host is at its in-flight limit, idles or has an overdue attempt. A limit below
 // one, at a host whose mean RTT is above the goal, means that it is used for that share of the time.
 func (b *Balancer) atLimit(h *host) bool {
--- a/maintenance.go
+++ b/maintenance.go
@@ -6,6 +6,12 @@
 
 const returnSeconds = 3 // longest wait for the first send to a host back from maintenance
 
+// maintenanceRecord is what is known of the maintenance of hosts, listed or not.
+type maintenanceRecord struct {
+	inMaintenance map[HostID]bool // hosts in maintenance
+	returnedAt    map[HostID]Time // when maintenance last ended, for hosts that may still be cold
+}
+
 // SetMaintenance puts a host into maintenance or ends it. It is keyed by ID alone and stays in force
 // whatever the host list says meanwhile. A host back from maintenance may be another process on another
 // machine: its statistics are reset, and it is cold.
--- a/notified.go
+++ b/notified.go
@@ -23,6 +23,12 @@
 	maxHoldEnd = 2 * NotifiedAfter
 )
 
+// sendHold is the time in which sends are held.
+type sendHold struct {
+	holdFrom  Time // time from which nothing is sent until discovery gives a list; 0: sends are not held
+	holdUntil Time // time at which sends resume even without a list
+}
+
 // scheduleHold sets the times from which and until which sends are held after a loss of discovery. Of
 // two losses, the one whose hold starts earlier sets both times.
 func (b *Balancer) scheduleHold(kind ListKind) {
--- a/queue.go
+++ b/queue.go
@@ -9,6 +9,13 @@
 	queueShare  = 0.2 // longest wait in a queue, in class targets
 )
 
+// requestQueues is the state of the queues.
+type requestQueues struct {
+	queues     []list[request] // queued requests, by falling priority
+	priorities []float64       // priorities of the queues
+	queued     int             // requests in all queues
+}
+
 // orderQueues lays out the queues by priority: each class has one for requests within quota and one
 // for those beyond it, and two more for client retries. Of equal priorities, the class with the
 // shorter latency target is served first.
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -16,6 +16,19 @@
 	rateBurst        = 4       // sends that may be saved up under the rate limit
 )
 
+// sendRate is the state of the limit on the send rate.
+type sendRate struct {
+	sends eventRate // attempts that this instance sends, a second
+	// rateRatio is the mean ratio of the RTTs of the last attempts at warm hosts to the RTT goal of
+	// adjustRate.
+	rateRatio    movingAverage
+	rateLimit    float64 // sends a second; 0: not limited
+	rateCutAt    Time    // time of the last cut of the rate limit
+	rateGrownAt  Time    // time of the last growth of the rate limit
+	rateTokens   float64 // sends saved up under the rate limit
+	rateFilledAt Time    // time of the last refill of rateTokens
+}
+
 // adjustRate adjusts the limit on this instance's send rate to keep the RTT of its last answers at a goal,
 // which follows from the mean RTT and the latency target of their class. It guards the fleet against
 // overload, once a round, where rateMinSharers instances or more share a host and have less than one attempt
--- a/request.go
+++ b/request.go
@@ -1,6 +1,12 @@
 package bramblelock
 
 // Client requests and their attempts.
+// requestTable is the open requests and the pools of released ones.
+type requestTable struct {
+	requests     map[RequestID]*request
+	freeRequests []*request // released requests, for reuse
+	freeAttempts []*attempt // attempts of released requests, for reuse
+}
 
 // request is a client request with its attempts. It is kept until it has its answer and all its
 // attempts have ended.
@@ -12,7 +18,7 @@
 	arrived       Time // time at which its last byte arrived
 	deadline      Time // time until which the client waits
 	expires       Time // while queued: time at which it has waited too long and is answered unserved
-	queueIndex    int  // index in Balancer.queues
+	queueIndex    int  // index in requestQueues.queues
 	inFlight      int  // attempts in flight
 	done          bool // it has its answer or needs none
 	unserved      bool // it was answered for want of time or hosts
--- a/settings.go
+++ b/settings.go
@@ -155,5 +155,5 @@
 	Class
 	rtt      movingAverage // RTT in seconds of good answers
 	aloneRTT movingAverage // RTT in seconds of good answers to lone attempts at a host
-	queues   [4]int        // index in Balancer.queues, by queue flags
+	queues   [4]int        // index in requestQueues.queues, by queue flags
 }
--- a/timer.go
+++ b/timer.go
@@ -13,6 +13,12 @@
 
 const tokenShift = 56 // bits of a token below its kind, which can contain a request ID
 
+// sweepTimer is the state of the regular check of queues and hosts.
+type sweepTimer struct {
+	sweepAt  Time // time of the next sweep; 0: none is scheduled
+	inFlight int  // pending attempts at the last sweep and those added since
+}
+
 // Timer reports that the time of a Wake action has come.
 func (b *Balancer) Timer(now Time, token uint64) {
 	b.now = now
--- a/view.go
+++ b/view.go
@@ -23,6 +23,18 @@
 	minPeerRate       = 0.01 // least request rate a second that is assumed of a peer
 )
 
+// fleetView is the view of the fleet and the state of the fit of the traffic shares.
+type fleetView struct {
+	longArrivals  eventRate // requests to this instance, a second, with the time constant peerRateSpan
+	peers         []Peer    // instances in the view of the fleet, with this one; nil: there is no view
+	peakInstances float64   // recent peak of the number of instances
+	peakAt        Time      // time of peakInstances
+	// viewSubset is the least number of hosts that each instance uses, so that each host has viewMinSharers
+	// sharers.
+	viewSubset  float64
+	rebalanceAt Time // time of the next fit of the traffic shares
+}
+
 // UpdatePeers applies a new view of the fleet: the instances that are present, with suspect ones and
 // this one among them. The subsets follow it slowly. Limits and slow starts of hosts are shared by the
 // larger of their number and a recent peak, so that both sides of a network partition stay within
