--- a/cold.go
+++ b/cold.go
@@ -6,8 +6,9 @@
 // not overload it.
 
 const (
-	coldMargin     = 0.5 // share used of a rate measured at warm hosts: it is an estimate, and work varies
-	maxColdSharers = 16  // most instances that use a cold host: its connection table is small
+	coldMargin     = 0.5  // share used of a rate measured at warm hosts: it is an estimate, and work varies
+	maxColdSharers = 16   // most instances that use a cold host: its connection table is small
+	minWarmRTT     = 1e-6 // least sample of hostSlowStart.warmRTT in seconds, as coldRate divides by it
 )
 
 // hostSlowStart is the state of the slow start of a host.
@@ -89,7 +90,7 @@
 //     capacity, of which coldMargin is used.
 //   - The second rate is taken from the host's own RTT: a host that answers a request in some time
 //     serves at least one in that time. warmRTT is the RTT times the cold share at the time of the
-//     answer (see observe), so the present cold share divided by it is about one over the present
+//     answer (see addColdSample), so the present cold share divided by it is about one over the present
 //     RTT. This rate falls at once when the host is congested. Without samples, the host is assumed
 //     to have the default initial RTT once warm. All instances that use the host share this rate.
 //   - The floor is one request in an OverloadWindow from all instances that use the host together.
@@ -104,6 +105,22 @@
 		1/(sharers*b.settings.OverloadWindow.Seconds()))
 }
 
+// addColdSample adds the RTT in seconds of a good answer of a cold host, scaled to the mean class.
+func (b *Balancer) addColdSample(h *host, normalized float64) {
+	h.warmRTT.addTimed(max(normalized, minWarmRTT)*b.coldShare(h), b.now, b.settings.OverloadWindow.Seconds())
+}
+
+// addWarmAnswer counts a good answer of a warm host.
+func (b *Balancer) addWarmAnswer() {
+	if b.activeHosts == 0 {
+		return
+	}
+	b.served.add(b.now, b.rateSpan())
+	if served, ok := b.served.corrected(b.now, b.rateSpan()); ok {
+		b.warmRate.add(served / float64(b.activeHosts))
+	}
+}
+
 // coldShare is the least share of its capacity that a cold host has now.
 func (b *Balancer) coldShare(h *host) float64 {
 	return b.settings.ColdCapacity +
--- a/outcome.go
+++ b/outcome.go
@@ -27,69 +27,90 @@
 	if a.sent < h.resetAt {
 		return // it ran on a former process of that host
 	}
-	unit := b.ratioUnit(a.request.class)
-	rttRatio, ratioUnit := rtt/unit, Time(1e9*unit)
 	if a.trial {
 		h.trialInFlight = false
 	}
 	switch a.result {
 	case OK:
-		if a.alone {
-			a.request.class.aloneRTT.addLongTerm(rtt)
-		}
-		h.servedSentAt = max(h.servedSentAt, a.sent)
-		normalized := b.normalize(a, rtt)
-		b.addSample(h, normalized)
-		if h.cold {
-			h.warmRTT.addTimed(max(normalized, 1e-6)*b.coldShare(h), b.now,
-				b.settings.OverloadWindow.Seconds())
-		}
-		b.adjustLimit(h, rttRatio, ratioUnit, a.sent)
-		b.adjustRate(a, rtt)
-		if !h.cold && b.activeHosts > 0 {
-			b.served.add(b.now, b.rateSpan())
-			if served, ok := b.served.corrected(b.now, b.rateSpan()); ok {
-				b.warmRate.add(served / float64(b.activeHosts))
-			}
-		}
-		b.readmit(h)
+		b.observeAnswer(a, rtt)
 	case Full:
-		// A refusal comes at once but is taken as an RTT of at least the latency target. By its true RTT, a
-		// host that only refuses would attract all queued requests.
-		b.adjustLimit(h, max(rttRatio, 1), a.request.class.LatencyTarget, a.sent)
-		// The limit does not act on a host without pending attempts. Such a host idles until some of its work
-		// can have ended (one that drains but is not listed as draining takes no more requests), but not too
-		// long to retry requests that are bound to it.
-		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
-		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
-		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
-		fallthrough
+		b.observeRefusal(a, rtt)
+		b.observeError(h, rtt)
 	case Failed:
-		b.addSample(h, max(rtt, b.penalty))
-		b.readmit(h)
+		b.observeError(h, rtt)
 	case Rejected:
 		b.readmit(h) // an answer, but too early to be a sample of the RTT
 	case Canceled:
 		// An attempt canceled at the deadline or as lost has timed out. One whose client is
 		// gone, or whose request another attempt answered, says nothing about the host.
-		if !a.request.unserved && !a.request.attemptLost {
-			return
+		if a.request.unserved || a.request.attemptLost {
+			b.observeTimeout(a, rtt)
 		}
-		fallthrough
 	case TimedOut:
-		b.addSample(h, rtt)
-		if a.sent < h.servedSentAt {
-			return // the host lost this one but answers others: it is not congested
-		}
-		b.adjustLimit(h, rttRatio, ratioUnit, a.sent)
-		b.adjustRate(a, rtt)
+		b.observeTimeout(a, rtt)
 	case ConnectFailed, Reset:
-		b.addSample(h, rtt)
-		// A single connection may break. The host is at fault if another one breaks
-		// before it has answered anything, or if no connection can be made.
-		if a.result == ConnectFailed || h.connFailedAt > h.answeredAt {
-			b.eject(h, "connections fail")
-		}
-		h.connFailedAt = b.now
+		b.observeBrokenConnection(a, rtt)
+	}
+}
+
+// observeAnswer handles a good answer.
+func (b *Balancer) observeAnswer(a *attempt, rtt float64) {
+	h, unit := a.host, b.ratioUnit(a.request.class)
+	if a.alone {
+		a.request.class.aloneRTT.addLongTerm(rtt)
+	}
+	h.servedSentAt = max(h.servedSentAt, a.sent)
+	normalized := b.normalize(a, rtt)
+	b.addSample(h, normalized)
+	if h.cold {
+		b.addColdSample(h, normalized)
+	}
+	b.adjustLimit(h, rtt/unit, Time(1e9*unit), a.sent)
+	b.adjustRate(a, rtt)
+	if !h.cold {
+		b.addWarmAnswer()
+	}
+	b.readmit(h)
+}
+
+// observeRefusal handles a refusal. It comes at once but is taken as an RTT of at least the latency target.
+// By its true RTT, a host that only refuses would attract all queued requests.
+func (b *Balancer) observeRefusal(a *attempt, rtt float64) {
+	h, latencyTarget := a.host, a.request.class.LatencyTarget
+	b.adjustLimit(h, max(rtt/b.ratioUnit(a.request.class), 1), latencyTarget, a.sent)
+	// The limit does not act on a host without pending attempts. Such a host idles until some of its work
+	// can have ended (one that drains but is not listed as draining takes no more requests), but not too
+	// long to retry requests that are bound to it.
+	idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
+	h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
+	b.adjustRate(a, max(rtt, latencyTarget.Seconds()))
+}
+
+// observeError handles an answer that is an error or a refusal.
+func (b *Balancer) observeError(h *host, rtt float64) {
+	b.addSample(h, max(rtt, b.penalty))
+	b.readmit(h)
+}
+
+// observeTimeout handles an attempt that was not answered in time.
+func (b *Balancer) observeTimeout(a *attempt, rtt float64) {
+	h, unit := a.host, b.ratioUnit(a.request.class)
+	b.addSample(h, rtt)
+	if a.sent < h.servedSentAt {
+		return // the host lost this one but answers others: it is not congested
+	}
+	b.adjustLimit(h, rtt/unit, Time(1e9*unit), a.sent)
+	b.adjustRate(a, rtt)
+}
+
+// observeBrokenConnection handles an attempt whose connection could not be made or broke. A single
+// connection may break. The host is at fault if another one breaks before it has answered anything, or if
+// no connection can be made.
+func (b *Balancer) observeBrokenConnection(a *attempt, rtt float64) {
+	h := a.host
+	b.addSample(h, rtt)
+	if a.result == ConnectFailed || h.connFailedAt > h.answeredAt {
+		b.eject(h, "connections fail")
 	}
+	h.connFailedAt = b.now
 }
--- a/pick.go
+++ b/pick.go
@@ -12,12 +12,30 @@
 		return nil
 	}
 	b.updateSubset()
+	b.collectReady(r)
+	switch len(b.ready) {
+	case 0:
+		return nil
+	case 1:
+		return b.ready[0]
+	}
+	i, j := b.pickTwo()
+	if b.score(b.ready[j]) < b.score(b.ready[i]) {
+		i = j
+	}
+	return b.ready[i]
+}
+
+// collectReady collects in b.ready the hosts that may be sent the request now. It fails open: when most
+// hosts are ejected, the fault is more likely in the network or the load than in every host, and the few
+// others must not get all requests.
+func (b *Balancer) collectReady(r *request) {
 	candidates := b.subset
 	if r.class.Effect == Deduplicated && r.firstMayHaveRun() != nil {
 		candidates = b.ring // its DedupScope may lie outside the subset
 	}
-	eligible, ejected := 0, 0
 	b.ready = b.ready[:0]
+	eligible, ejected := 0, 0
 	for _, h := range candidates {
 		if !h.available() || !b.allows(r, h) {
 			continue
@@ -31,8 +49,6 @@
 			b.ready = append(b.ready, h)
 		}
 	}
-	// Fail open: when most hosts are ejected, the fault is more likely in the network or
-	// the load than in every host, and the few others must not get all requests.
 	if ejected*2 > eligible {
 		b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", ejected, eligible)
 		for _, h := range candidates {
@@ -41,18 +57,6 @@
 			}
 		}
 	}
-	n := len(b.ready)
-	if n == 0 {
-		return nil
-	}
-	if n == 1 {
-		return b.ready[0]
-	}
-	i, j := b.pickTwo()
-	if b.score(b.ready[j]) < b.score(b.ready[i]) {
-		i = j
-	}
-	return b.ready[i]
 }
 
 // pickTwo draws two ready hosts at random, i first. With a view, each comes as often as its traffic
