--- a/aperture.go
+++ b/aperture.go
@@ -122,12 +122,19 @@
 
 // updateSubset updates the hosts that this instance uses: subsetSize of them in use, and cold and
 // ejected hosts besides. A host stays while it serves, as this instance has samples of it; one at a
-// time is replaced by a preferred one, so that new hosts get no rush of traffic. Where most hosts are
-// cold, the subset grows no further than maxColdSharers instances a host allow: otherwise every
-// instance would hold a connection to every host, and all would meet at the few warm hosts.
+// time is replaced by a preferred one, so that new hosts get no rush of traffic.
 func (b *Balancer) updateSubset() {
-	n, size, used, cold := len(b.ring), b.subsetSize(), 0, 0
-	maxHosts := max(size, int(maxColdSharers*float64(n)/b.instances()))
+	size := b.subsetSize()
+	used, cold := b.dropUnavailable()
+	used = b.growSubset(size, used, cold)
+	b.shrinkSubset(size, used)
+	b.activeHosts = min(used, size)
+	b.rebalance()
+}
+
+// dropUnavailable stops using hosts that may get no new requests. It returns the numbers of hosts of the
+// subset that are in use and of those that are cold.
+func (b *Balancer) dropUnavailable() (used, cold int) {
 	for i := len(b.subset) - 1; i >= 0; i-- {
 		if h := b.subset[i]; !h.available() {
 			b.removeFromSubset(i)
@@ -137,6 +144,16 @@
 			cold++
 		}
 	}
+	return used, cold
+}
+
+// growSubset adds preferred hosts to the subset, which has the given numbers of hosts in use and cold, and
+// returns how many are in use then; these may be more than size, for shrinkSubset to remove. Where most
+// hosts are cold, the subset grows no further than maxColdSharers instances a host allow: otherwise every
+// instance would hold a connection to every host, and all would meet at the few warm hosts.
+func (b *Balancer) growSubset(size, used, cold int) int {
+	n := len(b.ring)
+	maxHosts := max(size, int(maxColdSharers*float64(n)/b.instances()))
 	for k := 0; k < n && (k < size || used < size && cold < maxHosts); k++ {
 		h := b.preferred[k]
 		inUse := b.inUse(h)
@@ -154,6 +171,12 @@
 		h.inSubset = true
 		b.subset = append(b.subset, h)
 	}
+	return used
+}
+
+// shrinkSubset removes the least preferred hosts in use until the subset, which has the given number of
+// them, has size.
+func (b *Balancer) shrinkSubset(size, used int) {
 	for ; used > size; used-- {
 		farthest, maxIndex := 0, -1
 		for i, h := range b.subset {
@@ -163,8 +186,6 @@
 		}
 		b.removeFromSubset(farthest)
 	}
-	b.activeHosts = used
-	b.rebalance()
 }
 
 // inUse reports whether a host of the subset counts toward its size: neither cold nor ejected.
--- a/settings.go
+++ b/settings.go
@@ -18,6 +18,24 @@
 
 // checkSettings rejects invalid settings, naming the field, and fills in defaults.
 func checkSettings(set *Settings) error {
+	for _, check := range []func(*Settings) error{
+		checkCounts, checkDurations, checkNumbers, checkClasses, checkTenants,
+	} {
+		if err := check(set); err != nil {
+			return err
+		}
+	}
+	setDefault(&set.MaxAttempts, 3)
+	setDefault(&set.MaxWatchGap, defaultMaxWatchGap)
+	setDefault(&set.ColdCapacity, 1)
+	setDefault(&set.OverloadFactor, 2)
+	setDefault(&set.OverloadWindow, 1e9)
+	setDefault(&set.DrainGrace, defaultDrainGrace)
+	set.ColdCapacity = min(set.ColdCapacity, 1)
+	return nil
+}
+
+func checkCounts(set *Settings) error {
 	switch {
 	case set.Instances < 1 || set.Instances > maxCount:
 		return fmt.Errorf("settings: instances: %d is not between 1 and %d", set.Instances, maxCount)
@@ -28,6 +46,10 @@
 	case set.MaxAttempts < 0 || set.MaxAttempts > maxCount:
 		return fmt.Errorf("settings: max attempts: %d is not between 0 and %d", set.MaxAttempts, maxCount)
 	}
+	return nil
+}
+
+func checkDurations(set *Settings) error {
 	for _, f := range []struct {
 		name string
 		d    time.Duration
@@ -39,6 +61,10 @@
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.d, maxTime)
 		}
 	}
+	return nil
+}
+
+func checkNumbers(set *Settings) error {
 	for _, f := range []struct {
 		name string
 		x    float64
@@ -50,40 +76,49 @@
 			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxNumber)
 		}
 	}
+	return nil
+}
+
+// checkClasses checks the classes and fills in their defaults, in a copy of the caller's slice.
+func checkClasses(set *Settings) error {
 	set.Classes = append([]Class(nil), set.Classes...)
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		switch {
-		case c.LatencyTarget < 0 || c.LatencyTarget > maxTime:
-			return fmt.Errorf("settings: class %d: latency target: %v is not between 0 and %v", i, c.LatencyTarget, maxTime)
-		case c.Deadline <= 0 || c.Deadline > maxTime:
-			return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
-		case c.DedupWindow < 0 || c.DedupWindow > maxTime:
-			return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
-		case c.Effect > AtMostOnce:
-			return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Effect)
-		case c.DedupScope > DedupCell:
-			return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
-		case !validNumber(c.PriorityWeight):
-			return fmt.Errorf("settings: class %d: priority weight: %v is not between 0 and %v", i, c.PriorityWeight, maxNumber)
+		if err := checkClass(i, c); err != nil {
+			return err
 		}
 		if c.LatencyTarget == 0 || c.LatencyTarget > c.Deadline {
 			c.LatencyTarget = c.Deadline
 		}
 		setDefault(&c.PriorityWeight, 1)
 	}
+	return nil
+}
+
+func checkClass(i int, c *Class) error {
+	switch {
+	case c.LatencyTarget < 0 || c.LatencyTarget > maxTime:
+		return fmt.Errorf("settings: class %d: latency target: %v is not between 0 and %v", i, c.LatencyTarget, maxTime)
+	case c.Deadline <= 0 || c.Deadline > maxTime:
+		return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
+	case c.DedupWindow < 0 || c.DedupWindow > maxTime:
+		return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
+	case c.Effect > AtMostOnce:
+		return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Effect)
+	case c.DedupScope > DedupCell:
+		return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
+	case !validNumber(c.PriorityWeight):
+		return fmt.Errorf("settings: class %d: priority weight: %v is not between 0 and %v", i, c.PriorityWeight, maxNumber)
+	}
+	return nil
+}
+
+func checkTenants(set *Settings) error {
 	for i, t := range set.Tenants {
 		if !validNumber(t.Quota) {
 			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxNumber)
 		}
 	}
-	setDefault(&set.MaxAttempts, 3)
-	setDefault(&set.MaxWatchGap, defaultMaxWatchGap)
-	setDefault(&set.ColdCapacity, 1)
-	setDefault(&set.OverloadFactor, 2)
-	setDefault(&set.OverloadWindow, 1e9)
-	setDefault(&set.DrainGrace, defaultDrainGrace)
-	set.ColdCapacity = min(set.ColdCapacity, 1)
 	return nil
 }
 
@@ -123,10 +158,17 @@
 
 // applySettings puts checked settings into force.
 func (b *Balancer) applySettings(set Settings) {
-	old, quota := b.classes, b.quotas
-	b.settings, b.classes, b.quotas = set, nil, nil
-	b.shortestTarget, b.penalty = set.Classes[0].LatencyTarget, 0
-	for _, c := range set.Classes {
+	b.settings = set
+	b.applyClasses()
+	b.applyQuotas()
+	b.orderQueues()
+}
+
+// applyClasses lists the classes of the settings. Those that stay, by name, keep their statistics.
+func (b *Balancer) applyClasses() {
+	old := b.classes
+	b.classes, b.shortestTarget, b.penalty = nil, b.settings.Classes[0].LatencyTarget, 0
+	for _, c := range b.settings.Classes {
 		b.shortestTarget = min(b.shortestTarget, c.LatencyTarget)
 		b.penalty = max(b.penalty, penaltyTargets*c.LatencyTarget.Seconds())
 		k := &class{Class: c}
@@ -138,15 +180,20 @@
 		b.classes = append(b.classes, k)
 	}
 	b.decay = decayTargets * b.shortestTarget.Seconds()
-	for i, t := range set.Tenants {
-		r := t.Quota / float64(set.Instances)
-		q := tokenBucket{tokens: r * quotaBurstSeconds, rate: r, filledAt: b.now}
-		if i < len(quota) && quota[i].rate == r {
-			q = quota[i]
+}
+
+// applyQuotas sets this instance's part of the quotas. A quota that is the same as before keeps its tokens.
+func (b *Balancer) applyQuotas() {
+	old := b.quotas
+	b.quotas = nil
+	for i, t := range b.settings.Tenants {
+		rate := t.Quota / float64(b.settings.Instances)
+		quota := tokenBucket{tokens: rate * quotaBurstSeconds, rate: rate, filledAt: b.now}
+		if i < len(old) && old[i].rate == rate {
+			quota = old[i]
 		}
-		b.quotas = append(b.quotas, q)
+		b.quotas = append(b.quotas, quota)
 	}
-	b.orderQueues()
 }
 
 // class is a class of the settings with its statistics. An open request keeps its class when the
--- a/view.go
+++ b/view.go
@@ -18,7 +18,7 @@
 	peakHold          = 30e9 // nanoseconds that a peak of the instance count is kept
 	peakDecaySeconds  = 30.0 // time constant of the decay of that peak afterwards
 	fitRounds         = 30   // rounds of the fit: loads then differ by some hundredths
-	maxTrafficShare   = 0.5  // largest share of its traffic that an instance sends a host: a pick takes two
+	maxTrafficShare   = 0.5  // largest share of an edge within a round of the fit: a pick takes two hosts
 	peerRateSpan      = 30.0 // time constant in seconds of the request rate reported to peers
 	minPeerRate       = 0.01 // least request rate a second that is assumed of a peer
 )
@@ -76,26 +76,7 @@
 	instances := max(float64(len(b.peers)), float64(b.settings.Instances)/viewMaxShrink)
 	target := viewMinSharers * float64(len(b.hosts)) / instances
 	b.viewSubset += min(max(target-b.viewSubset, -1), 1)
-	rows, rates, own := make([][]flow.Edge, len(b.peers)), make([]float64, len(b.peers)), -1
-	for i, p := range b.peers {
-		rates[i] = max(p.Rate, minPeerRate)
-		if p.Rank == b.settings.Rank && own < 0 {
-			own = i
-			for _, h := range b.subset {
-				if b.inUse(h) {
-					rows[i] = append(rows[i], flow.Edge{To: h.ringIndex})
-				}
-			}
-			continue
-		}
-		size := b.subsetSizeFor(rates[i], b.viewSubset)
-		for k := 0; k < len(b.ring)+scatteredHosts && len(rows[i]) < size; k++ {
-			edge := flow.Edge{To: b.preferredHost(p.Rank, k).ringIndex}
-			if h := b.ring[edge.To]; h.available() && b.inUse(h) && !slices.Contains(rows[i], edge) {
-				rows[i] = append(rows[i], edge)
-			}
-		}
-	}
+	rows, rates, own := b.trafficEdges()
 	flow.Balance(rows, rates, len(b.ring), maxTrafficShare, fitRounds)
 	if own < 0 {
 		return
@@ -106,6 +87,43 @@
 	}
 }
 
+// trafficEdges returns which hosts of the ring each instance of the view uses, the request rates of the
+// instances, and the row of this one, or -1 if the view is without it.
+func (b *Balancer) trafficEdges() (rows [][]flow.Edge, rates []float64, own int) {
+	rows, rates, own = make([][]flow.Edge, len(b.peers)), make([]float64, len(b.peers)), -1
+	for i, p := range b.peers {
+		rates[i] = max(p.Rate, minPeerRate)
+		if p.Rank == b.settings.Rank && own < 0 {
+			own, rows[i] = i, b.ownEdges()
+		} else {
+			rows[i] = b.peerEdges(p.Rank, rates[i])
+		}
+	}
+	return rows, rates, own
+}
+
+// ownEdges is an edge to each host in use of the subset.
+func (b *Balancer) ownEdges() (edges []flow.Edge) {
+	for _, h := range b.subset {
+		if b.inUse(h) {
+			edges = append(edges, flow.Edge{To: h.ringIndex})
+		}
+	}
+	return edges
+}
+
+// peerEdges is an edge to each host that another instance, of the given rank and request rate, uses.
+func (b *Balancer) peerEdges(rank int, rate float64) (edges []flow.Edge) {
+	size := b.subsetSizeFor(rate, b.viewSubset)
+	for k := 0; k < len(b.ring)+scatteredHosts && len(edges) < size; k++ {
+		edge := flow.Edge{To: b.preferredHost(rank, k).ringIndex}
+		if h := b.ring[edge.To]; h.available() && b.inUse(h) && !slices.Contains(edges, edge) {
+			edges = append(edges, edge)
+		}
+	}
+	return edges
+}
+
 // trafficShare is a host's share of this instance's traffic. A host without a fitted share, as it is
 // cold or new, has the share that an even spread would give it.
 func (b *Balancer) trafficShare(h *host) float64 {
