--- a/polling_test.go
+++ b/polling_test.go
@@ -86,3 +86,40 @@
 		}
 	}
 }
+
+func TestWatchSchedule(t *testing.T) {
+	set := basicSettings()
+	set.WatchHosts, set.Instances, set.Rank, set.MaxWatchGap = true, 4, 2, 8*time.Second
+	g := startGateway(t, set, testHosts(1)...)
+	countWatches := func(d time.Duration) int { return len(g.advance(d)) }
+	if n := countWatches(11 * ms); n != 0 {
+		t.Errorf("%d watches before the time of its rank", n)
+	}
+	if n := countWatches(2 * ms); n != 1 {
+		t.Fatalf("%d watches at the time of its rank, want 1", n)
+	}
+	g.updateHosts(ListFailed)
+	if n := countWatches(time.Second); n != 1 {
+		t.Errorf("%d watches within a second of a failure, want 1", n)
+	}
+	g.updateHosts(ListChanges)
+	if n := countWatches(time.Minute); n != 0 {
+		t.Errorf("%d watches while one is open", n)
+	}
+	g.updateHosts(ListFailed)
+	gaps := []int{}
+	for range 5 {
+		failedAt := g.now
+		for countWatches(10*ms) == 0 {
+		}
+		gaps = append(gaps, int((g.now-failedAt)/ms))
+		g.updateHosts(ListFailed)
+	}
+	if gaps[4] <= gaps[0] || gaps[4] > 8000 {
+		t.Errorf("gaps %v ms between calls, want them to grow and stay within MaxWatchGap", gaps)
+	}
+	set.WatchHosts = false
+	if g := startGateway(t, set, testHosts(1)...); len(g.advance(time.Minute)) != 0 {
+		t.Error("watch opened where the list is pushed")
+	}
+}
--- /dev/null
+++ b/settings_test.go
@@ -0,0 +1,137 @@
+package bramblelock
+
+import (
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	invalid := map[string]func(*Settings){
+		"instances: 0":             func(s *Settings) { s.Instances = 0 },
+		"instances: 1048577":       func(s *Settings) { s.Instances = 1<<20 + 1 },
+		"rank: 1":                  func(s *Settings) { s.Rank = 1 },
+		"rank: -1":                 func(s *Settings) { s.Rank = -1 },
+		"classes":                  func(s *Settings) { s.Classes = nil },
+		"fall: -1ns":               func(s *Settings) { s.OverloadWindow = -1 },
+		"step":                     func(s *Settings) { s.EventInterval = 2000 * time.Hour },
+		"ask within":               func(s *Settings) { s.MaxWatchGap = math.MaxInt64 },
+		"warm after":               func(s *Settings) { s.WarmAfter = -1 },
+		"max retry after":          func(s *Settings) { s.MaxRetryAfter = -1 },
+		"max attempts":             func(s *Settings) { s.MaxAttempts = -1 },
+		"class 0: deadline":        func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"class 0: latency target":  func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
+		"class 0: window":          func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"class 1: unknown e":       func(s *Settings) { s.Classes[1].Effect = 9 },
+		"class 1: unknown g":       func(s *Settings) { s.Classes[1].DedupScope = 9 },
+		"class 2: priority weight": func(s *Settings) { s.Classes[2].PriorityWeight = math.NaN() },
+		"cold from":                func(s *Settings) { s.ColdCapacity = math.Inf(1) },
+		"overload factor":          func(s *Settings) { s.OverloadFactor = 1e300 },
+		"over-quota worth":         func(s *Settings) { s.OverQuotaFactor = math.NaN() },
+		"tenant 0: quota":          func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
+	}
+	for want, modify := range invalid {
+		set := basicSettings()
+		modify(&set)
+		if b, err := New(set, 1); b != nil || err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v", want, err)
+		}
+	}
+}
+
+func TestDefaultSettings(t *testing.T) {
+	b, err := New(Settings{Instances: 1, Classes: []Class{{Deadline: time.Second}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := b.settings
+	if s.MaxAttempts != 3 || s.MaxWatchGap != 10*time.Second || s.ColdCapacity != 1 || s.OverloadWindow != time.Second ||
+		s.Classes[0].LatencyTarget != time.Second || s.Classes[0].PriorityWeight != 1 {
+		t.Errorf("wrong default in %+v", s)
+	}
+}
+
+// New settings apply to later requests. An open request keeps the rules that it came under, with
+// its number of attempts, even if its class is dropped or redefined.
+func TestUpdateSettingsKeepsRulesOfOpenRequests(t *testing.T) {
+	set := basicSettings()
+	set.Classes[0].Name, set.Classes[2].Name = "look", "book"
+	g := startGateway(t, set, testHosts(4)...)
+	g.serve(50, 0, func(HostID) time.Duration { return 10 * ms })
+	idempotent, atMostOnce := g.request(0, time.Second), g.request(2, time.Second)
+	g.collectActions()
+	newSettings := basicSettings()
+	newSettings.MaxAttempts = 1
+	newSettings.Classes = []Class{
+		{Name: "book", LatencyTarget: 400 * ms, Deadline: time.Second, Effect: Idempotent},
+		{Name: "haul", LatencyTarget: 800 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce},
+	}
+	if err := g.b.UpdateSettings(g.now, newSettings); err != nil {
+		t.Fatal(err)
+	}
+	g.collectActions()
+	for n := range 3 { // the first three of four attempts
+		g.outcome(idempotent, n, Failed, ms)
+		g.onlyAction(Send)
+	}
+	g.outcome(idempotent, 3, Failed, ms)
+	g.onlyAction(Refuse)
+	g.outcome(atMostOnce, 0, Failed, ms)
+	g.onlyAction(Fail) // it may have run
+	newIdempotent := g.request(0, time.Second)
+	g.onlyAction(Send)
+	g.outcome(newIdempotent, 0, Failed, ms)
+	g.onlyAction(Refuse) // there is only one attempt, and a retry by the client is harmless
+	newAtMostOnce := g.request(1, 2*time.Second)
+	g.onlyAction(Send)
+	g.outcome(newAtMostOnce, 0, Failed, ms)
+	g.onlyAction(Fail)
+	if g.request(2, time.Second); len(g.actions) != 0 {
+		t.Errorf("actions %v for a class that no longer exists", g.actions)
+	}
+	if g.b.classes[0].rtt.seen || g.b.shortestTarget != 400*ms || len(g.b.requests) != 0 {
+		t.Errorf("class %+v, shortest latency target %v, %d requests kept", g.b.classes[0], g.b.shortestTarget, len(g.b.requests))
+	}
+}
+
+// The statistics of a class stay with its name when the settings change, and queued requests stay
+// queued.
+func TestUpdateSettingsKeepsStatisticsAndQueue(t *testing.T) {
+	set := basicSettings()
+	set.ColdCapacity = 1 // no pacing
+	for i, name := range []string{"look", "report", "book"} {
+		set.Classes[i].Name = name
+	}
+	g := startGateway(t, set, testHosts(1)...)
+	g.serve(50, 2, func(HostID) time.Duration { return 10 * ms })
+	rtt, aloneRTT := g.b.classes[2].rtt, g.b.classes[2].aloneRTT
+	g.b.SetMaintenance(g.now, 1, true)
+	dropped, kept := g.request(0, time.Second), g.request(2, time.Second)
+	newSettings := set
+	newSettings.Classes = []Class{set.Classes[2], set.Classes[1]}
+	if err := g.b.UpdateSettings(g.now, newSettings); err != nil {
+		t.Fatal(err)
+	}
+	if g.b.classes[0].rtt != rtt || g.b.classes[0].aloneRTT != aloneRTT {
+		t.Errorf("RTT statistics %+v and %+v, want %+v and %+v", g.b.classes[0].rtt, g.b.classes[0].aloneRTT, rtt, aloneRTT)
+	}
+	g.collectActions()
+	if len(g.actions) != 0 || g.b.queued != 2 {
+		t.Fatalf("actions %v, %d requests queued; want both queued", g.actions, g.b.queued)
+	}
+	g.b.SetMaintenance(g.now, 1, false)
+	g.collectActions()
+	var sent []RequestID
+	for _, a := range g.actions {
+		sent = append(sent, a.Request)
+	}
+	if len(sent) == 0 || sent[0] != kept {
+		t.Errorf("sent %v, want %d, of the higher priority, before %d", sent, kept, dropped)
+	}
+	invalid := newSettings
+	invalid.Classes = nil
+	if err := g.b.UpdateSettings(g.now, invalid); err == nil || len(g.b.classes) != 2 {
+		t.Errorf("settings without classes: error %v, %d classes in use, want an error and 2", err, len(g.b.classes))
+	}
+}
