--- a/balancer.go
+++ b/balancer.go
@@ -18,6 +18,7 @@
 //
 // Constants named Targets are in multiples of the shortest latency target of all classes, unless the
 // comment names another. "Class targets" are latency targets of the request's class.
+
 // Balancer decides for one gateway. It is not safe for concurrent use. Its state is grouped by decision;
 // each group is declared in the file of its decision.
 type Balancer struct {
@@ -77,13 +78,7 @@
 	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.classes) {
 		return
 	}
-	r := b.newRequest()
-	r.Request, r.class, r.maxAttempts = q, b.classes[q.Class], b.settings.MaxAttempts
-	r.arrived = now - max(q.Age, 0)
-	r.deadline = now + min(max(q.Remaining, 0), r.class.Deadline)
-	r.flags = b.queueFlags(r)
-	r.queueIndex = r.class.queues[r.flags]
-	b.requests[q.ID] = r
+	r := b.openRequest(q)
 	b.arrivals.add(now, b.rateSpan())
 	b.longArrivals.add(now, peerRateSpan)
 	if q.Upload {
@@ -94,6 +89,20 @@
 	b.dispatch(r, false)
 }
 
+// openRequest records a request under the rules in force.
+func (b *Balancer) openRequest(q Request) *request {
+	r := b.newRequest()
+	r.Request = q
+	r.class = b.classes[q.Class]
+	r.maxAttempts = b.settings.MaxAttempts
+	r.arrived = b.now - max(q.Age, 0)
+	r.deadline = b.now + min(max(q.Remaining, 0), r.class.Deadline)
+	r.flags = b.queueFlags(r)
+	r.queueIndex = r.class.queues[r.flags]
+	b.requests[q.ID] = r
+	return r
+}
+
 // UploadComplete reports that the last byte of a request that was forwarded while it arrived is with
 // the host. Its deadline and the measured time of its attempt start here.
 func (b *Balancer) UploadComplete(now Time, id RequestID, remaining Time) {
@@ -152,15 +161,15 @@
 
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
+	writeBy := b.sendDeadline(r) // before the attempt is one of those of the request
 	a := b.newAttempt()
 	a.request, a.host, a.sent = r, h, b.now
-	writeBy := b.sendDeadline(r)
 	a.trial = h.ejections > 0
+	a.alone = h.pending == 0
 	h.trialInFlight = h.trialInFlight || a.trial
+	h.openAttempts++
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	a.alone = h.pending == 0
-	h.openAttempts++
 	if !r.Upload {
 		b.addPending(a)
 	}
--- a/host.go
+++ b/host.go
@@ -1,6 +1,7 @@
 package bramblelock
 
 // Hosts and what this instance knows of each; the host list is applied here.
+
 // host is what this instance knows of one host.
 type host struct {
 	Host
@@ -63,11 +64,7 @@
 		if entry.State == Removed {
 			return
 		}
-		h = &host{answeredAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
-		h.rttAt = b.now
-		h.hash = mix(uint64(entry.ID))
-		b.byID[entry.ID] = h
-		b.hosts = append(b.hosts, h)
+		h = b.addHost(entry.ID)
 	}
 	started := h.Started
 	h.Host = entry
@@ -79,6 +76,16 @@
 	}
 }
 
+// addHost adds a host that is listed for the first time.
+func (b *Balancer) addHost(id HostID) *host {
+	h := &host{answeredAt: b.now, inMaintenance: b.inMaintenance[id]}
+	h.rttAt = b.now
+	h.hash = mix(uint64(id))
+	b.byID[id] = h
+	b.hosts = append(b.hosts, h)
+	return h
+}
+
 // dropIfRemoved drops a removed host once it has no open attempts.
 func (b *Balancer) dropIfRemoved(h *host) {
 	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
@@ -95,10 +102,12 @@
 
 // resetHost discards the statistics of a host.
 func (b *Balancer) resetHost(h *host) {
-	h.rtt, h.rttAt, h.sampled, h.rttRatio = 0, b.now, false, movingAverage{}
-	h.ejections, h.ejectUntil, h.trialInFlight, h.idleUntil = 0, 0, false, 0
-	h.answeredAt, h.servedSentAt, h.resetAt = b.now, b.now, b.now
-	h.limit = initialFleetLimit / b.sharers()
+	h.rttEstimate = rttEstimate{rttAt: b.now}
+	h.hostLimit = hostLimit{limit: initialFleetLimit / b.sharers()}
+	h.hostEjection = hostEjection{}
+	h.answeredAt = b.now
+	h.servedSentAt = b.now
+	h.resetAt = b.now
 }
 
 // oldestSentSince is the oldest pending attempt at a host that was sent at t or later, or nil.
--- a/queue.go
+++ b/queue.go
@@ -91,12 +91,7 @@
 // processQueues answers requests that have waited too long and sends others as far as hosts are ready,
 // in order of priority.
 func (b *Balancer) processQueues() {
-	for i := range b.queues {
-		for n := b.queues[i].head; n != nil && b.now >= n.item.expires; n = b.queues[i].head {
-			b.log(logRequestRefused, "refusing: hosts are full, %d requests wait", b.queued)
-			b.answerUnserved(n.item)
-		}
-	}
+	b.refuseExpired()
 	for i := range b.queues {
 		if noneReady := b.serveQueue(&b.queues[i]); noneReady {
 			break
@@ -105,6 +100,16 @@
 	b.scheduleSweep()
 }
 
+// refuseExpired answers requests that have waited too long.
+func (b *Balancer) refuseExpired() {
+	for i := range b.queues {
+		for n := b.queues[i].head; n != nil && b.now >= n.item.expires; n = b.queues[i].head {
+			b.log(logRequestRefused, "refusing: hosts are full, %d requests wait", b.queued)
+			b.answerUnserved(n.item)
+		}
+	}
+}
+
 // serveQueue sends the requests of a queue. A retry that is bound to its DedupScope does not block those
 // behind it. It reports whether no host is ready for a request without an attempt that may have run.
 func (b *Balancer) serveQueue(queue *list[request]) (noneReady bool) {
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -45,17 +45,29 @@
 	case b.sharers() < rateMinSharers:
 		b.rateLimit = 0 // without effect here: cuts must not accumulate
 	case b.rateRatio.mean > 1 && a.sent >= b.rateCutAt && !a.host.cold:
-		if sends := b.sends.value(b.now, b.rateSpan()); b.rateLimit == 0 || sends < b.rateLimit {
-			b.rateLimit = sends
-		}
-		b.rateLimit = max(b.rateLimit/b.rateRatio.mean, 1/b.rateSpan())
-		b.rateRatio.mean, b.rateCutAt, b.rateGrownAt = 1, b.now, b.now
+		b.cutRate()
 	case b.rateLimit > 0 && b.rateRatio.mean <= 1:
-		b.rateLimit *= math.Exp((b.now - b.rateGrownAt).Seconds() / (rateGrowthDecays * b.decay))
-		b.rateGrownAt = b.now
-		if b.rateLimit > 2*b.arrivals.value(b.now, b.rateSpan()) {
-			b.rateLimit = 0
-		}
+		b.growRate()
+	}
+}
+
+// cutRate cuts the rate limit, or the present rate of sends if that is lower, by the mean RTT ratio.
+func (b *Balancer) cutRate() {
+	if sends := b.sends.value(b.now, b.rateSpan()); b.rateLimit == 0 || sends < b.rateLimit {
+		b.rateLimit = sends
+	}
+	b.rateLimit = max(b.rateLimit/b.rateRatio.mean, 1/b.rateSpan())
+	b.rateRatio.mean = 1
+	b.rateCutAt = b.now
+	b.rateGrownAt = b.now
+}
+
+// growRate lets the rate limit grow, and ends it where it is far above the rate of requests.
+func (b *Balancer) growRate() {
+	b.rateLimit *= math.Exp((b.now - b.rateGrownAt).Seconds() / (rateGrowthDecays * b.decay))
+	b.rateGrownAt = b.now
+	if b.rateLimit > 2*b.arrivals.value(b.now, b.rateSpan()) {
+		b.rateLimit = 0
 	}
 }
 
--- a/request.go
+++ b/request.go
@@ -1,6 +1,7 @@
 package bramblelock
 
 // Client requests and their attempts.
+
 // requestTable is the open requests and the pools of released ones.
 type requestTable struct {
 	requests     map[RequestID]*request
