--- a/outcome.go
+++ b/outcome.go
@@ -65,7 +65,7 @@
 	if h.cold {
 		b.addColdSample(h, normalized)
 	}
-	b.adjustLimit(h, rtt/unit, Time(1e9*unit), a.sent)
+	b.adjustLimit(h, rtt/unit, seconds(unit), a.sent)
 	b.adjustRate(a, rtt)
 	if !h.cold {
 		b.addWarmAnswer()
@@ -82,7 +82,7 @@
 	// can have ended (one that drains but is not listed as draining takes no more requests), but not too
 	// long to retry requests that are bound to it.
 	idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
-	h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
+	h.idleUntil = max(h.idleUntil, b.now+seconds(idle))
 	b.adjustRate(a, max(rtt, latencyTarget.Seconds()))
 }
 
@@ -99,7 +99,7 @@
 	if a.sent < h.servedSentAt {
 		return // the host lost this one but answers others: it is not congested
 	}
-	b.adjustLimit(h, rtt/unit, Time(1e9*unit), a.sent)
+	b.adjustLimit(h, rtt/unit, seconds(unit), a.sent)
 	b.adjustRate(a, rtt)
 }
 
--- a/peers.go
+++ b/peers.go
@@ -6,21 +6,23 @@
 import (
 	"math"
 	"slices"
+	"time"
 
 	"bramblelock/internal/flow"
 )
 
 const (
-	scatteredHosts    = 8    // first hosts of an instance's preference order that are far apart
-	viewMinSharers    = 7    // least instances that use a host: with six the fitted loads stay uneven
-	viewMaxShrink     = 3    // divisor of the settings' Instances for the least size of a view
-	rebalanceInterval = 1e9  // nanoseconds between two fits of the traffic shares
-	peakHold          = 30e9 // nanoseconds that a peak of the instance count is kept
-	peakDecaySeconds  = 30.0 // time constant of the decay of that peak afterwards
-	fitRounds         = 30   // rounds of the fit: loads then differ by some hundredths
-	maxTrafficShare   = 0.5  // largest share of an edge within a round of the fit: a pick takes two hosts
-	peerRateSpan      = 30.0 // time constant in seconds of the request rate reported to peers
-	minPeerRate       = 0.01 // least request rate a second that is assumed of a peer
+	scatteredHosts   = 8    // first hosts of an instance's preference order that are far apart
+	viewMinSharers   = 7    // least instances that use a host: with six the fitted loads stay uneven
+	viewMaxShrink    = 3    // divisor of the settings' Instances for the least size of a view
+	peakDecaySeconds = 30.0 // time constant of the decay of that peak afterwards
+	fitRounds        = 30   // rounds of the fit: loads then differ by some hundredths
+	maxTrafficShare  = 0.5  // largest share of an edge within a round of the fit: a pick takes two hosts
+	peerRateSpan     = 30.0 // time constant in seconds of the request rate reported to peers
+	minPeerRate      = 0.01 // least request rate a second that is assumed of a peer
+
+	rebalanceInterval = time.Second      // between two fits of the traffic shares
+	peakHold          = 30 * time.Second // how long a peak of the instance count is kept
 )
 
 // fleetView is the view of the fleet and the state of the fit of the traffic shares.
--- a/polling.go
+++ b/polling.go
@@ -3,11 +3,13 @@
 // When to call discovery for the host list: a fleet that starts, or loses discovery, at once must
 // not overload it with calls, but each instance must get changes before they count as notified.
 
+import "time"
+
 const (
 	// NotifiedAfter is the time after which a change of the host list counts as notified, from when
 	// discovery has it and can be reached. Operators hold a gateway to a change from then on, whether
 	// or not it has arrived: sends to a draining or removed host must stop within DrainGrace of then.
-	NotifiedAfter = Time(6e9)
+	NotifiedAfter = 6 * time.Second
 	// SilentAfter is the silence after which a call or a watch has failed. An open watch brings a
 	// line every 2 s.
 	SilentAfter = NotifiedAfter / 2
@@ -18,15 +20,19 @@
 	// a change that such a watch did not deliver counts as notified after 2 s (NotifiedAfterEnd). A
 	// watch that was open for less than minResumeWatch does not resume in this way, as it may end
 	// each time.
-	maxResumeSpread = Time(500e6)
-	minResumeWatch  = Time(500e6)
+	maxResumeSpread = 500 * time.Millisecond
+	minResumeWatch  = 500 * time.Millisecond
+
+	// firstCallGap is the time between the first calls of two ranks: 1.8 s for a fleet of 300.
+	firstCallGap = 6 * time.Millisecond
+	// fleetCallGap is the time between calls of the fleet while discovery fails: 100 a second.
+	fleetCallGap = 10 * time.Millisecond
+	// unreachableCallGap is the least gap of an instance while discovery's address is unreachable.
+	unreachableCallGap = 500 * time.Millisecond
 
-	firstCallGap       = Time(6e6)   // time between the first calls of two ranks: 1.8 s for a fleet of 300
-	firstCallShare     = 0.25        // share of MaxWatchGap within which all first calls are made
-	fleetCallGap       = Time(10e6)  // time between calls of the fleet while discovery fails: 100 a second
-	unreachableCallGap = Time(500e6) // least gap of an instance while discovery's address is unreachable
-	minBackoffShare    = 1.0 / 16    // first backoff in a small fleet, in MaxWatchGaps
-	maxBackoffShare    = 0.25        // longest backoff in a small fleet, after doublings, in MaxWatchGaps
+	firstCallShare  = 0.25     // share of MaxWatchGap within which all first calls are made
+	minBackoffShare = 1.0 / 16 // first backoff in a small fleet, in MaxWatchGaps
+	maxBackoffShare = 0.25     // longest backoff in a small fleet, after doublings, in MaxWatchGaps
 )
 
 // listWatch is the state of the watch of the host list.
--- a/settings.go
+++ b/settings.go
@@ -12,8 +12,8 @@
 	maxCount  = 1 << 20
 	maxNumber = 1e12
 
-	defaultMaxWatchGap = Time(10e9)
-	defaultDrainGrace  = Time(1e9)
+	defaultMaxWatchGap = 10 * time.Second
+	defaultDrainGrace  = time.Second
 )
 
 // checkSettings rejects invalid settings, naming the field, and fills in defaults.
@@ -29,7 +29,7 @@
 	setDefault(&set.MaxWatchGap, defaultMaxWatchGap)
 	setDefault(&set.ColdCapacity, 1)
 	setDefault(&set.OverloadFactor, 2)
-	setDefault(&set.OverloadWindow, 1e9)
+	setDefault(&set.OverloadWindow, time.Second)
 	setDefault(&set.DrainGrace, defaultDrainGrace)
 	set.ColdCapacity = min(set.ColdCapacity, 1)
 	return nil
--- a/silence.go
+++ b/silence.go
@@ -7,7 +7,7 @@
 // silenceTimeout is how long an attempt may take before checkSilence takes its host to be silent.
 func (b *Balancer) silenceTimeout(r *request) Time {
 	if l := &r.class.rtt; l.seen {
-		return Time(1e9 * (l.mean + silenceDeviations*l.dev))
+		return seconds(l.mean + silenceDeviations*l.dev)
 	}
 	return r.class.LatencyTarget / 2
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,10 +1,10 @@
 package bramblelock
 
-import "math"
-
 // Slow start: limits what a host that has just started is sent, so that the fleet as a whole does
 // not overload it.
 
+import "math"
+
 const (
 	coldMargin     = 0.5  // share used of a rate measured at warm hosts: it is an estimate, and work varies
 	maxColdSharers = 16   // most instances that use a cold host: its connection table is small
--- a/staleness.go
+++ b/staleness.go
@@ -8,16 +8,18 @@
 // host answers as usual, so its answers do not show it either. Such an instance holds its sends: it
 // sends nothing until discovery gives it a list, or until holdEndAfterLoss has passed since the loss.
 
+import "time"
+
 const (
 	// NotifiedAfterEnd is the time after which a change counts as notified that a watch did not
 	// deliver before discovery closed it without an error. It starts at the end of the watch.
-	NotifiedAfterEnd = Time(2e9)
+	NotifiedAfterEnd = 2 * time.Second
 	// NotifiedAfterMove is the time after which a change counts as notified that discovery has at a
 	// new address. It starts when the gateway reports the new address (ListMoved).
-	NotifiedAfterMove = Time(4e9)
+	NotifiedAfterMove = 4 * time.Second
 
 	// holdMargin is how long before the end of DrainGrace sends stop: a process may stall for 150 ms.
-	holdMargin = Time(200e6)
+	holdMargin = 200 * time.Millisecond
 	// maxHoldEnd is the latest end of a hold, counted from the loss. Sends then resume with or
 	// without a list: a discovery that answers nobody must not end service.
 	maxHoldEnd = 2 * NotifiedAfter
--- a/timer.go
+++ b/timer.go
@@ -64,3 +64,6 @@
 		b.wake(b.sweepAt, tokenSweep<<tokenShift)
 	}
 }
+
+// seconds is a number of seconds as a Time.
+func seconds(s float64) Time { return Time(1e9 * s) }
