--- a/balancer.go
+++ b/balancer.go
@@ -1,72 +1,52 @@
 package bramblelock
 
-// The decisions of the balancer. The exported types are in api.go, the state in state.go. Which
-// hosts an instance uses is decided in aperture.go, how cold hosts are paced in cold.go, when to
-// call discovery in asking.go, how long an outdated host list may be used in notified.go.
+// The balancer and its events, one method each. The exported types are in api.go, the settings in
+// settings.go. Each kind of decision has a file of its own:
 //
-// Reading order: the constants; New; one method per event, from Start to Timer; then what they
-// call: dispatch and pick (the ordinary path), score to addSample (the RTT estimate), allows to
-// atLimit (which hosts are ready), observe, adjustLimit and adjustRate (feedback), afterAttempt
-// to answerUnserved (retries and answers), enqueue to serveQueue, and checkSilence.
+//   - Which host a request is sent to: pick.go, by the RTT estimates of estimate.go, among the hosts of
+//     the subset of aperture.go, whose shares of the traffic with a view of the fleet are set in peers.go.
+//   - Which hosts are ready: limit.go (in-flight limit), ejection.go and silence.go (hosts at fault),
+//     slowstart.go (hosts that have just started), maintenance.go.
+//   - When nothing is sent: ratelimit.go (send rate), staleness.go (an outdated host list).
+//   - What becomes of a request that is not sent, or not answered: queue.go, quota.go, retry.go.
+//   - What the end of an attempt says about its host: outcome.go.
+//   - When to call discovery: polling.go.
 //
 // The ordinary path is failure-aware peak EWMA with two choices: of two random ready hosts, the one with
 // the lower estimate x (own pending + 1) is used. Departures from this path decide which hosts are ready;
 // the comment of each says when it acts.
-
-import (
-	"math"
-	"sort"
-)
-
+//
 // Constants named Targets are in multiples of the shortest latency target of all classes, unless the
-// comment names another. "Class targets" are latency targets of the request's class. A round is one
-// RTT, in which a host answers the attempts in flight; a growth a round is spread over these answers.
-const (
-	decayTargets      = 8         // decay time of an RTT estimate: it outlasts a gap between samples
-	decayGaps         = 4         // decay time in gaps between samples of a host, where that is longer
-	decayMaxFactor    = 8         // longest decay time, in multiples of that from decayTargets
-	maxKinds          = 255       // highest kind of host with an RTT mean of its own
-	initialRTTShare   = 0.25      // RTT of an unknown host, in shortest targets: it must not look idle
-	penaltyTargets    = 1         // least RTT of an error, in longest targets: above ordinary answers
-	meanWeight        = 0.1       // weight of a sample in a mean of about the last ten
-	longTermWeight    = 1.0 / 256 // weight in a long-term mean: congestion must not become usual
-	backoffTargets    = 2         // duration of a first ejection
-	backoffDoublings  = 5         // most doublings of the duration of an ejection
-	silenceDeviations = 4         // deviations above the mean RTT from which a host is silent
-	returnSeconds     = 3         // longest wait for the first send to a host back from maintenance
-	rateSpanWindows   = 4         // time constant of the event rates, in OverloadWindows
-	initialFleetLimit = 4         // in-flight attempts that the whole fleet may have at a new host
-	limitTargets      = 0.375     // RTT goal of a host's in-flight limit, in class targets
-	limitFactor       = 2         // RTT goal of the limit in mean RTTs of the class, if below limitTargets
-	aloneFactor       = 1.25      // RTT goal of the limit in RTTs of lone attempts, if above limitTargets
-	maxLimitTargets   = 0.5       // highest RTT goal of the limit, in class targets
-	recentTargets     = 0.5       // time constant of a host's mean RTT: a collapse of a host takes longer
-	maxRecentWeight   = 0.5       // highest weight of a sample in addTimed: it may be an outlier
-	minFleetLimit     = 2         // least in-flight limit of the fleet at a host: one runs, the next arrives
-	fleetLimitGrowth  = 0.3       // growth of the fleet's limit while requests wait, in attempts a round
-	overdueTargets    = 0.5       // age of an attempt, in class targets, that blocks its host
-	rateTargets       = 0.45      // RTT goal of the send rate, in class targets: the rest is for variation
-	rateFactor        = 1.5       // RTT goal of the send rate in mean RTTs of the class, if below rateTargets
-	maxRateRatio      = 3         // highest ratio of an answer to its RTT goal: it may be an outlier
-	rateRatioWeight   = 1.0 / 8   // weight of an answer in the mean RTT ratio, which has few samples
-	rateMinSharers    = 8         // least sharers of a host for a rate limit: each has under one attempt
-	rateGrowthDecays  = 2         // time in which the rate limit grows by a factor of e, in decay times
-	rateBurst         = 4         // sends that may be saved up under the rate limit
-	quotaBurstSeconds = 1.0       // seconds of its quota that a tenant may save up
-	retryFactor       = 0.5       // priority factor of a client's retry: it may be answered too late
-	queueShare        = 0.2       // longest wait in a queue, in class targets
-	sweepShare        = 1.0 / 16  // time between sweeps of queues and hosts, in shortest targets
-	answerIntervals   = 2         // EventIntervals before the deadline by which a request is answered
-)
-
-// Kinds of timer token.
-const (
-	tokenSweep    = iota + 1 // check queues and hosts
-	tokenWatch               // call discovery
-	tokenDeadline            // answer a request that nears its deadline
-)
-
-const tokenShift = 56 // bits of a token below its kind, which can contain a request ID
+// comment names another. "Class targets" are latency targets of the request's class.
+
+// Balancer decides for one gateway. It is not safe for concurrent use. Its state is grouped by decision;
+// each group is declared in the file of its decision.
+type Balancer struct {
+	settings       Settings
+	classes        []*class
+	shortestTarget Time          // shortest latency target of any class
+	quotas         []tokenBucket // quotas of the tenants, by index in Settings.Tenants
+
+	now      Time
+	rng      uint64    // state of nextRand
+	actions  []Action  // actions decided since the last TakeActions
+	arrivals eventRate // requests to this instance, a second
+	ready    []*host   // scratch space of pick
+	logLines [logKinds]logLine
+
+	hostTable
+	maintenanceRecord
+	hostSubset
+	fleetView
+	rttStatistics
+	warmHostRate
+	requestTable
+	requestQueues
+	sendRate
+	sweepTimer
+	listWatch
+	sendHold
+}
 
 // New returns a Balancer for the settings, or an error if they are invalid.
 func New(set Settings, seed uint64) (*Balancer, error) {
@@ -74,59 +54,15 @@
 		return nil, err
 	}
 	b := &Balancer{
-		rng: seed, byID: map[HostID]*host{}, requests: map[RequestID]*request{},
-		inMaintenance: map[HostID]bool{}, returnedAt: map[HostID]Time{},
+		rng:               seed,
+		hostTable:         hostTable{byID: map[HostID]*host{}},
+		maintenanceRecord: maintenanceRecord{inMaintenance: map[HostID]bool{}, returnedAt: map[HostID]Time{}},
+		requestTable:      requestTable{requests: map[RequestID]*request{}},
 	}
 	b.applySettings(set)
 	return b, nil
 }
 
-// orderQueues lays out the queues by priority: each class has one for requests within quota and one
-// for those beyond it, and two more for client retries. Of equal priorities, the class with the
-// shorter latency target is served first.
-func (b *Balancer) orderQueues() {
-	type queueKey struct {
-		class    *class
-		flags    int
-		priority float64
-	}
-	var keys []queueKey
-	for _, c := range b.classes {
-		for flags := range len(c.queues) {
-			keys = append(keys, queueKey{c, flags, queuePriority(&c.Class, flags, &b.settings)})
-		}
-	}
-	sort.SliceStable(keys, func(i, j int) bool {
-		if keys[i].priority != keys[j].priority {
-			return keys[i].priority > keys[j].priority
-		}
-		return keys[i].class.LatencyTarget < keys[j].class.LatencyTarget
-	})
-	b.queues, b.priorities = make([]list[request], len(keys)), b.priorities[:0]
-	for k, key := range keys {
-		key.class.queues[key.flags] = k
-		b.priorities = append(b.priorities, key.priority)
-	}
-}
-
-// queuePriority is the priority of the requests of a class with the given queue flags.
-func queuePriority(c *Class, flags int, set *Settings) float64 {
-	priority := c.PriorityWeight
-	if flags&overQuota != 0 {
-		priority *= set.OverQuotaFactor
-	}
-	if flags&clientRetry != 0 {
-		priority *= retryFactor
-	}
-	return priority
-}
-
-// queueFor returns the first queue whose priority is not higher, or the last queue.
-func (b *Balancer) queueFor(priority float64) int {
-	return min(sort.Search(len(b.priorities), func(i int) bool { return b.priorities[i] <= priority }),
-		len(b.priorities)-1)
-}
-
 // Start is the first event: the gateway is running. It schedules the first call to discovery where the
 // host list has to be watched.
 func (b *Balancer) Start(now Time) {
@@ -136,127 +72,13 @@
 	}
 }
 
-// UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
-func (b *Balancer) UpdateHosts(now Time, kind ListKind, list []Host) {
-	b.now = now
-	if kind.IsLoss() {
-		b.handleListLoss(kind)
-		return
-	}
-	if kind != ListSaved { // a saved list is not from discovery, so it ends neither a loss nor a hold
-		b.handleListReceived()
-	}
-	if kind != ListChanges { // the list is whole: hosts without an entry stay Removed
-		for _, h := range b.hosts {
-			h.State = Removed
-		}
-	}
-	for _, e := range list {
-		b.applyEntry(e)
-	}
-	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
-		b.dropIfRemoved(b.hosts[i])
-	}
-	b.buildRing()
-	for _, h := range b.hosts {
-		if h.limit == 0 { // it is new; sharers depends on the number of hosts, now complete
-			h.limit = initialFleetLimit / b.sharers()
-		}
-	}
-	b.processQueues() // hosts may have become ready, and a list from discovery ends a hold of sends
-}
-
-// SetMaintenance puts a host into maintenance or ends it. It is keyed by ID alone and stays in force
-// whatever the host list says meanwhile. A host back from maintenance may be another process on another
-// machine: its statistics are reset, and it is cold.
-func (b *Balancer) SetMaintenance(now Time, id HostID, on bool) {
-	b.now = now
-	wasOn := b.inMaintenance[id]
-	h := b.byID[id]
-	if on {
-		b.inMaintenance[id] = true
-		delete(b.returnedAt, id)
-	} else {
-		delete(b.inMaintenance, id)
-	}
-	if wasOn == on {
-		return
-	}
-	if !on {
-		b.returnedAt[id] = now // the host may be listed again later
-	}
-	if h == nil {
-		return
-	}
-	h.inMaintenance = on
-	if !on {
-		b.resetHost(h)
-		b.markCold(h, now)
-		// The operator wants it in use, however little is known of its capacity.
-		h.coldDeadline = now + Time(1e9*returnSeconds*(0.5+b.randFloat()/2))
-	}
-	b.processQueues()
-}
-
-// MaintenanceEnded reports an end of maintenance that another process of this instance saw: the host,
-// listed or not yet, is cold as of that time.
-func (b *Balancer) MaintenanceEnded(now Time, id HostID, since Time) {
-	b.now = now
-	b.returnedAt[id] = since
-	if h := b.byID[id]; h != nil {
-		b.markCold(h, since)
-	}
-}
-
-// effectiveDecay is the decay time of the RTT estimates in seconds. With little traffic it follows the
-// gap between two samples of a host, or every estimate would fade before the next sample.
-func (b *Balancer) effectiveDecay(h *host) float64 {
-	rate := b.arrivals.value(b.now, b.rateSpan())
-	if rate == 0 {
-		return b.decay
-	}
-	gap := float64(b.subsetSize()) / rate
-	if b.peers != nil {
-		gap = 1 / (rate * b.trafficShare(h)) // a host that is seldom sampled must not look fast
-	}
-	return max(b.decay, min(decayGaps*gap, decayMaxFactor*b.decay))
-}
-
-// applyEntry applies one entry of the host list.
-func (b *Balancer) applyEntry(entry Host) {
-	h := b.byID[entry.ID]
-	if h == nil {
-		if entry.State == Removed {
-			return
-		}
-		h = &host{answeredAt: b.now, rttAt: b.now, inMaintenance: b.inMaintenance[entry.ID]}
-		h.hash = mix(uint64(entry.ID))
-		b.byID[entry.ID] = h
-		b.hosts = append(b.hosts, h)
-	}
-	started := h.Started
-	h.Host = entry
-	if since, ok := b.returnedAt[entry.ID]; ok && h.coldSince < since {
-		b.markCold(h, since)
-	}
-	if entry.Started > 0 && entry.Started != started {
-		b.markCold(h, entry.Started)
-	}
-}
-
 // Request is a new client request, which gets exactly one final answer.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
 	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.classes) {
 		return
 	}
-	r := b.newRequest()
-	r.Request, r.class, r.maxAttempts = q, b.classes[q.Class], b.settings.MaxAttempts
-	r.arrived = now - max(q.Age, 0)
-	r.deadline = now + min(max(q.Remaining, 0), r.class.Deadline)
-	r.flags = b.queueFlags(r)
-	r.queueIndex = r.class.queues[r.flags]
-	b.requests[q.ID] = r
+	r := b.openRequest(q)
 	b.arrivals.add(now, b.rateSpan())
 	b.longArrivals.add(now, peerRateSpan)
 	if q.Upload {
@@ -267,15 +89,18 @@
 	b.dispatch(r, false)
 }
 
-// setDeadlineTimer sets the timer that every request has ahead of its deadline: the outcome of an
-// attempt that is still connecting then would come too late to answer on. A request that arrived too
-// late to be sent is answered at once.
-func (b *Balancer) setDeadlineTimer(r *request) {
-	b.wake(max(b.now, r.deadline-answerIntervals*b.settings.EventInterval),
-		tokenDeadline<<tokenShift|uint64(r.ID))
-	if b.now+answerIntervals*b.settings.EventInterval >= r.deadline {
-		b.answerUnserved(r)
-	}
+// openRequest records a request under the rules in force.
+func (b *Balancer) openRequest(q Request) *request {
+	r := b.newRequest()
+	r.Request = q
+	r.class = b.classes[q.Class]
+	r.maxAttempts = b.settings.MaxAttempts
+	r.arrived = b.now - max(q.Age, 0)
+	r.deadline = b.now + min(max(q.Remaining, 0), r.class.Deadline)
+	r.flags = b.queueFlags(r)
+	r.queueIndex = r.class.queues[r.flags]
+	b.requests[q.ID] = r
+	return r
 }
 
 // UploadComplete reports that the last byte of a request that was forwarded while it arrived is with
@@ -298,23 +123,6 @@
 	b.scheduleSweep()
 }
 
-// Queue flags: each combination has a queue of its own in a class.
-const (
-	overQuota   = 1 << iota // beyond the tenant's quota
-	clientRetry             // the client marked the request as a retry
-)
-
-// queueFlags returns the queue flags of a request and charges the quota of its tenant.
-func (b *Balancer) queueFlags(r *request) (flags int) {
-	if r.Tenant >= 0 && r.Tenant < len(b.quotas) && !b.quotas[r.Tenant].take(b.now) {
-		flags |= overQuota
-	}
-	if r.ClientRetry {
-		flags |= clientRetry
-	}
-	return flags
-}
-
 // ResponseStarted reports that a response is being streamed from attempt n: no other may answer.
 func (b *Balancer) ResponseStarted(now Time, id RequestID, n int) {
 	b.now = now
@@ -331,25 +139,6 @@
 	b.readmit(a.host)
 }
 
-// Outcome reports the end of an attempt.
-func (b *Balancer) Outcome(now Time, o Outcome) {
-	b.now = now
-	r := b.requests[o.Request]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
-		return
-	}
-	a := r.attempts[o.Attempt]
-	a.ended, a.result = true, o.Result
-	r.inFlight--
-	a.host.openAttempts--
-	b.removePending(a)
-	r.notReplayable = r.notReplayable || o.NotReplayable
-	b.observe(a, max(o.Elapsed, 0).Seconds())
-	b.afterAttempt(r, a, o.Answered)
-	b.dropIfRemoved(a.host)
-	b.processQueues()
-}
-
 // ClientGone reports that the client no longer waits for the request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
@@ -358,28 +147,6 @@
 	}
 }
 
-// Timer reports that the time of a Wake action has come.
-func (b *Balancer) Timer(now Time, token uint64) {
-	b.now = now
-	switch token >> tokenShift {
-	case tokenSweep:
-		if now >= b.sweepAt {
-			b.sweepAt = 0
-			b.checkSilence()
-			b.processQueues()
-		}
-	case tokenWatch:
-		if now >= b.watchAt && !b.watching {
-			b.emit(Action{Kind: Watch})
-			b.scheduleWatch(b.settings.MaxWatchGap)
-		}
-	case tokenDeadline:
-		if r := b.requests[RequestID(token&(1<<tokenShift-1))]; r != nil && !r.done && !r.streaming {
-			b.answerUnserved(r)
-		}
-	}
-}
-
 // dispatch sends the request if no request is queued and a host is ready for it, and else queues it.
 func (b *Balancer) dispatch(r *request, retry bool) {
 	if b.queued == 0 {
@@ -392,189 +159,17 @@
 	b.processQueues()
 }
 
-// pick is the ordinary path: it takes the less loaded of two random ready hosts.
-func (b *Balancer) pick(r *request) *host {
-	if !b.admit(r) {
-		return nil
-	}
-	if b.holding() {
-		b.log(logSendsHeld, "sending nothing: discovery does not say who drains")
-		return nil
-	}
-	b.updateSubset()
-	candidates := b.subset
-	if r.class.Effect == Deduplicated && r.firstMayHaveRun() != nil {
-		candidates = b.ring // its DedupScope may lie outside the subset
-	}
-	eligible, ejected := 0, 0
-	b.ready = b.ready[:0]
-	for _, h := range candidates {
-		if !h.available() || !b.allows(r, h) {
-			continue
-		}
-		eligible++
-		switch {
-		case b.ejected(h):
-			ejected++
-		case b.coldLimited(h) || b.atLimit(h):
-		default:
-			b.ready = append(b.ready, h)
-		}
-	}
-	// Fail open: when most hosts are ejected, the fault is more likely in the network or
-	// the load than in every host, and the few others must not get all requests.
-	if ejected*2 > eligible {
-		b.log(logFailOpen, "%d of %d hosts are ejected, using them all the same", ejected, eligible)
-		for _, h := range candidates {
-			if h.available() && b.allows(r, h) && b.ejected(h) && !b.coldLimited(h) && !b.atLimit(h) {
-				b.ready = append(b.ready, h)
-			}
-		}
-	}
-	n := len(b.ready)
-	if n == 0 {
-		return nil
-	}
-	if n == 1 {
-		return b.ready[0]
-	}
-	i, j := b.pickTwo()
-	if b.score(b.ready[j]) < b.score(b.ready[i]) {
-		i = j
-	}
-	return b.ready[i]
-}
-
-// score is the load of a host for the comparison of two: estimate x (own pending + 1).
-func (b *Balancer) score(h *host) float64 { return b.estimate(h) * float64(h.pending+1) }
-
-// estimate is the RTT estimate, decayed toward zero so that a penalized and then idle host is used again.
-func (b *Balancer) estimate(h *host) float64 {
-	if !h.sampled {
-		return b.initialRTT(h) * b.decayWeight(h)
-	}
-	return h.rtt * b.decayWeight(h)
-}
-
-// initialRTT is the RTT assumed of a host without samples: the mean of its kind, or of all hosts, so
-// that it does not look idle. An instance without any samples has a default.
-func (b *Balancer) initialRTT(h *host) float64 {
-	if h.Kind >= 0 && h.Kind < len(b.kindRTT) && b.kindRTT[h.Kind].seen {
-		return b.kindRTT[h.Kind].mean
-	}
-	if b.meanRTT.seen {
-		return b.meanRTT.mean
-	}
-	return initialRTTShare * b.shortestTarget.Seconds()
-}
-
-// normalize adds a good answer to the means of its class and kind of host, and returns its RTT scaled
-// to the mean over all classes: a host that last served a slow class must not look slow.
-func (b *Balancer) normalize(a *attempt, rtt float64) float64 {
-	a.request.class.rtt.addLongTerm(rtt)
-	b.meanRTT.add(rtt)
-	rtt *= b.meanRTT.mean / a.request.class.rtt.mean
-	if k := a.host.Kind; k >= 0 && k <= maxKinds {
-		for len(b.kindRTT) <= k {
-			b.kindRTT = append(b.kindRTT, movingAverage{})
-		}
-		b.kindRTT[k].add(rtt)
-	}
-	return rtt
-}
-
-// decayWeight is the weight that a host's estimate has kept since its last sample.
-func (b *Balancer) decayWeight(h *host) float64 {
-	return math.Exp(-(b.now - h.rttAt).Seconds() / b.effectiveDecay(h))
-}
-
-// addSample adds an RTT sample. One above the decayed estimate replaces it, one below is blended in.
-func (b *Balancer) addSample(h *host, rtt float64) {
-	w := b.decayWeight(h)
-	if old := b.estimate(h); rtt > old {
-		h.rtt = rtt
-	} else {
-		h.rtt = old + rtt*(1-w)
-	}
-	h.rttAt, h.sampled = b.now, true
-}
-
-// allows reports whether the effect rules let the request go to the host now: nothing runs twice, and
-// a deduplicated request is repeated only where and while repeats are dropped.
-func (b *Balancer) allows(r *request, h *host) bool {
-	first := r.firstMayHaveRun()
-	switch c := r.class; {
-	case !b.repeatable(&c.Class, first):
-		return false
-	case first == nil || c.Effect == Idempotent:
-		return true
-	case c.DedupScope == DedupZone:
-		return h.Zone == first.host.Zone
-	case c.DedupScope == DedupCell:
-		return h.Cell == first.host.Cell
-	}
-	return true
-}
-
-// repeatable reports whether a request of the class may be sent (again) somewhere, given its first
-// attempt that may have run: an at-most-once request never, a deduplicated one only while repeats are
-// sure to be dropped.
-func (b *Balancer) repeatable(c *Class, first *attempt) bool {
-	if first == nil || c.Effect == Idempotent {
-		return true
-	}
-	return c.Effect == Deduplicated && b.now <= b.repeatDeadline(c, first)
-}
-
-// ejected reports whether a host is excluded: until its backoff ends, then for all but one trial at a time.
-func (b *Balancer) ejected(h *host) bool {
-	return h.ejections > 0 && (b.now < h.ejectUntil || h.trialInFlight)
-}
-
-// eject excludes a host, for longer with each ejection in a row.
-func (b *Balancer) eject(h *host, reason string) {
-	if h.ejections > 0 && b.now < h.ejectUntil {
-		return
-	}
-	d := float64(backoffTargets*b.shortestTarget) * float64(int(1)<<min(h.ejections, backoffDoublings))
-	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.randFloat()))
-	h.ejections++
-	if h.ejections == 1 {
-		b.log(logHostEjected, "host %x ejected: %s", h.ID, reason)
-	}
-}
-
-// atLimit reports whether a host is at its in-flight limit, idles or has an overdue attempt. A limit below
-// one, at a host whose mean RTT is above the goal, means that it is used for that share of the time.
-func (b *Balancer) atLimit(h *host) bool {
-	oldest, n := h.notOvertaken()
-	if h.ejections > 0 && !b.ejected(h) {
-		// Its pending attempts caused the ejection; a trial shows whether only those are lost.
-		oldest, n = nil, 0
-	}
-	return n > 0 && float64(n+1) > h.limit || b.now < h.idleUntil || b.overdue(oldest)
-}
-
-// overdue reports whether an attempt, which may be nil, has taken longer than overdueTargets.
-func (b *Balancer) overdue(a *attempt) bool {
-	return a != nil &&
-		float64(b.now-a.sent) > overdueTargets*float64(a.request.class.LatencyTarget)
-}
-
-// rateSpan is the time constant of the event rates in seconds.
-func (b *Balancer) rateSpan() float64 { return rateSpanWindows * b.settings.OverloadWindow.Seconds() }
-
 // send starts an attempt.
 func (b *Balancer) send(r *request, h *host) {
+	writeBy := b.sendDeadline(r) // before the attempt is one of those of the request
 	a := b.newAttempt()
 	a.request, a.host, a.sent = r, h, b.now
-	writeBy := b.sendDeadline(r)
 	a.trial = h.ejections > 0
+	a.alone = h.pending == 0
 	h.trialInFlight = h.trialInFlight || a.trial
+	h.openAttempts++
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	a.alone = h.pending == 0
-	h.openAttempts++
 	if !r.Upload {
 		b.addPending(a)
 	}
@@ -587,293 +182,12 @@
 	b.scheduleSweep()
 }
 
-// observe updates the statistics of a host and its class with the end of an attempt.
-func (b *Balancer) observe(a *attempt, rtt float64) {
-	h := a.host
-	if a.sent < h.resetAt {
-		return // it ran on a former process of that host
-	}
-	// The ratio of the RTT to the class target is scaled so that the RTT goal of the limit is limitTargets:
-	// limitFactor mean RTTs of the class are the goal where they are lower, which gives a higher ratio.
-	rttRatio := rtt / a.request.class.LatencyTarget.Seconds()
-	if l := &a.request.class.rtt; l.seen {
-		rttRatio = max(rttRatio, limitTargets/limitFactor*rtt/l.mean)
-	}
-	// Where fewer than rateMinSharers instances share a host, a lone attempt seldom meets congestion, so the
-	// usual RTT of lone attempts raises the goal. With more sharers, lone attempts meet those of others.
-	if l := &a.request.class.aloneRTT; l.seen && b.sharers() < rateMinSharers {
-		rttRatio /= min(max(1, aloneFactor*l.mean/(limitTargets*a.request.class.LatencyTarget.Seconds())),
-			maxLimitTargets/limitTargets)
-	}
-	if a.trial {
-		h.trialInFlight = false
-	}
-	switch a.result {
-	case OK:
-		if a.alone {
-			a.request.class.aloneRTT.addLongTerm(rtt)
-		}
-		h.servedSentAt = max(h.servedSentAt, a.sent)
-		normalized := b.normalize(a, rtt)
-		b.addSample(h, normalized)
-		if h.cold {
-			h.warmRTT.addTimed(max(normalized, 1e-6)*b.coldShare(h), b.now,
-				b.settings.OverloadWindow.Seconds())
-		}
-		b.adjustLimit(h, rttRatio, a.request.class.LatencyTarget, a.sent)
-		b.adjustRate(a, rtt)
-		if !h.cold && b.activeHosts > 0 {
-			b.served.add(b.now, b.rateSpan())
-			if served, ok := b.served.corrected(b.now, b.rateSpan()); ok {
-				b.warmRate.add(served / float64(b.activeHosts))
-			}
-		}
-		b.readmit(h)
-	case Full:
-		// A refusal comes at once but is taken as an RTT of at least the latency target. By its true RTT, a
-		// host that only refuses would attract all queued requests.
-		b.adjustLimit(h, max(rttRatio, 1), a.request.class.LatencyTarget, a.sent)
-		// The limit does not act on a host without pending attempts. Such a host idles until some of its work
-		// can have ended (one that drains but is not listed as draining takes no more requests), but not too
-		// long to retry requests that are bound to it.
-		idle := min(b.initialRTT(h), queueShare/2*b.shortestTarget.Seconds())
-		h.idleUntil = max(h.idleUntil, b.now+Time(1e9*idle))
-		b.adjustRate(a, max(rtt, a.request.class.LatencyTarget.Seconds()))
-		fallthrough
-	case Failed:
-		b.addSample(h, max(rtt, b.penalty))
-		b.readmit(h)
-	case Rejected:
-		b.readmit(h) // an answer, but too early to be a sample of the RTT
-	case Canceled:
-		// An attempt canceled at the deadline or as lost has timed out. One whose client is
-		// gone, or whose request another attempt answered, says nothing about the host.
-		if !a.request.unserved && !a.request.attemptLost {
-			return
-		}
-		fallthrough
-	case TimedOut:
-		b.addSample(h, rtt)
-		if a.sent < h.servedSentAt {
-			return // the host lost this one but answers others: it is not congested
-		}
-		b.adjustLimit(h, rttRatio, a.request.class.LatencyTarget, a.sent)
-		b.adjustRate(a, rtt)
-	case ConnectFailed, Reset:
-		b.addSample(h, rtt)
-		// A single connection may break. The host is at fault if another one breaks
-		// before it has answered anything, or if no connection can be made.
-		if a.result == ConnectFailed || h.connFailedAt > h.answeredAt {
-			b.eject(h, "connections fail")
-		}
-		h.connFailedAt = b.now
-	}
-}
-
-// adjustLimit adjusts a host's in-flight limit to keep the mean of its RTT ratios (see observe) at the goal,
-// limitTargets. It guards against congestion, which wastes work on requests that are answered too late and
-// can drive a host into a state in which it is slow. It cuts the limit when the mean exceeds the goal, and
-// then once a round (one RTT): only an attempt sent after the last cut can show whether that was enough.
-// With a limit below one, it also makes the host idle for a time. While the mean does not exceed the goal
-// and requests are queued, it raises the limit of a host that is at its limit.
-func (b *Balancer) adjustLimit(h *host, rttRatio float64, latencyTarget, sent Time) {
-	h.rttRatio.addTimed(rttRatio, b.now, recentTargets*b.shortestTarget.Seconds())
-	sharers := b.sharers()
-	if h.rttRatio.mean > limitTargets {
-		if sent >= h.limitCutAt {
-			h.limit = max(minFleetLimit/sharers, h.limit*limitTargets/h.rttRatio.mean)
-			h.limitCutAt = b.now
-		}
-		if h.limit < 1 {
-			// The host is busy for about one mean RTT; with this idle time, busy/(busy+idle) is h.limit.
-			h.idleUntil = b.now + Time(float64(latencyTarget)*h.rttRatio.mean*(1/h.limit-1))
-		}
-	} else if h.pending+1 >= int(h.limit) && b.queued > 0 { // +1: this attempt is not pending now
-		h.limit += fleetLimitGrowth / (sharers * h.limit)
-	}
+// TakeActions appends the actions decided since the last call to dst. The balancer keeps no reference
+// to them.
+func (b *Balancer) TakeActions(dst []Action) []Action {
+	dst = append(dst, b.actions...)
+	b.actions = b.actions[:0]
+	return dst
 }
 
-// adjustRate adjusts the limit on this instance's send rate to keep the RTT of its last answers at a goal,
-// which follows from the mean RTT and the latency target of their class. It guards the fleet against
-// overload, once a round, where rateMinSharers instances or more share a host and have less than one attempt
-// each there. A cold host is guarded by its pacing; its answers only let the limit grow.
-func (b *Balancer) adjustRate(a *attempt, rtt float64) {
-	rttGoal := rateTargets * a.request.class.LatencyTarget.Seconds()
-	if l := &a.request.class.rtt; l.seen {
-		rttGoal = min(rttGoal, rateFactor*l.mean)
-	}
-	if !a.host.cold {
-		b.rateRatio.blend(min(rtt/rttGoal, maxRateRatio), rateRatioWeight)
-	}
-	switch {
-	case b.sharers() < rateMinSharers:
-		b.rateLimit = 0 // without effect here: cuts must not accumulate
-	case b.rateRatio.mean > 1 && a.sent >= b.rateCutAt && !a.host.cold:
-		if sends := b.sends.value(b.now, b.rateSpan()); b.rateLimit == 0 || sends < b.rateLimit {
-			b.rateLimit = sends
-		}
-		b.rateLimit = max(b.rateLimit/b.rateRatio.mean, 1/b.rateSpan())
-		b.rateRatio.mean, b.rateCutAt, b.rateGrownAt = 1, b.now, b.now
-	case b.rateLimit > 0 && b.rateRatio.mean <= 1:
-		b.rateLimit *= math.Exp((b.now - b.rateGrownAt).Seconds() / (rateGrowthDecays * b.decay))
-		b.rateGrownAt = b.now
-		if b.rateLimit > 2*b.arrivals.value(b.now, b.rateSpan()) {
-			b.rateLimit = 0
-		}
-	}
-}
-
-// admit reports whether the rate limit lets a request be sent now. Requests of low priority leave
-// tokens in the bucket for those of higher priority, so that the lowest are shed first.
-func (b *Balancer) admit(r *request) bool {
-	if b.rateLimit == 0 || b.sharers() < rateMinSharers {
-		return true
-	}
-	b.rateTokens = min(b.rateTokens+b.rateLimit*(b.now-b.rateFilledAt).Seconds(), rateBurst)
-	b.rateFilledAt = b.now
-	return b.rateTokens >= 1+(rateBurst-1)*float64(r.queueIndex)/float64(len(b.queues))
-}
-
-// readmit ends the ejection of a host that has answered.
-func (b *Balancer) readmit(h *host) {
-	h.answeredAt = b.now
-	if h.ejections == 0 {
-		return
-	}
-	h.ejections = 0
-	b.log(logHostBack, "host %x is back", h.ID)
-}
-
-// afterAttempt decides what follows the end of an attempt: nothing if the request has its answer,
-// another attempt if class and time allow it, and else the final answer.
-func (b *Balancer) afterAttempt(r *request, a *attempt, answered bool) {
-	switch {
-	case r.done:
-		b.release(r)
-	case answered || a.result == OK && r.streaming:
-		b.finish(r)
-	case r.inFlight > 0 || r.queued:
-	case b.mayRetry(r):
-		b.dispatch(r, true)
-	default:
-		b.answerUnserved(r)
-	}
-}
-
-// mayRetry reports whether the request gets another attempt. The in-flight limits keep retries from
-// adding to an overload.
-func (b *Balancer) mayRetry(r *request) bool {
-	if r.streaming || r.notReplayable || r.rejected() || len(r.attempts) >= r.maxAttempts ||
-		b.now+2*answerIntervals*b.settings.EventInterval >= r.deadline {
-		return false
-	}
-	return b.repeatable(&r.class.Class, r.firstMayHaveRun())
-}
-
-// answerUnserved gives the final answer to a request that will not be served: a refusal only where
-// another request of the client is known to be harmless.
-func (b *Balancer) answerUnserved(r *request) {
-	r.unserved = true
-	harmless := r.class.Effect == Idempotent ||
-		r.class.Effect == Deduplicated && r.class.DedupScope == DedupAll
-	if r.firstMayHaveRun() == nil || harmless && !r.rejected() {
-		b.emit(Action{Kind: Refuse, Request: r.ID,
-			RetryAfter: min(b.shortestTarget/4, b.settings.MaxRetryAfter)})
-	} else {
-		b.emit(Action{Kind: Fail, Request: r.ID})
-	}
-	b.finish(r)
-}
-
-// enqueue queues a request, a retry at the front. It waits for a small share of its latency target: a
-// client that is refused early may still be served in time elsewhere or later, and a request that is
-// sent has the rest of its target left.
-func (b *Balancer) enqueue(r *request, atFront bool) {
-	r.expires = r.arrived + Time(queueShare*float64(r.class.LatencyTarget))
-	b.pushQueued(r, atFront)
-	b.scheduleSweep()
-}
-
-// processQueues answers requests that have waited too long and sends others as far as hosts are ready,
-// in order of priority.
-func (b *Balancer) processQueues() {
-	for i := range b.queues {
-		for n := b.queues[i].head; n != nil && b.now >= n.item.expires; n = b.queues[i].head {
-			b.log(logRequestRefused, "refusing: hosts are full, %d requests wait", b.queued)
-			b.answerUnserved(n.item)
-		}
-	}
-	for i := range b.queues {
-		if noneReady := b.serveQueue(&b.queues[i]); noneReady {
-			break
-		}
-	}
-	b.scheduleSweep()
-}
-
-// serveQueue sends the requests of a queue. A retry that is bound to its DedupScope does not block those
-// behind it. It reports whether no host is ready for a request without an attempt that may have run.
-func (b *Balancer) serveQueue(queue *list[request]) (noneReady bool) {
-	for n := queue.head; n != nil; {
-		r, next := n.item, n.next
-		if h := b.pick(r); h != nil {
-			b.dequeue(r)
-			b.send(r, h)
-		} else if r.firstMayHaveRun() == nil {
-			return true
-		}
-		n = next
-	}
-	return false
-}
-
-// silenceTimeout is how long an attempt may take before checkSilence takes its host to be silent.
-func (b *Balancer) silenceTimeout(r *request) Time {
-	if l := &r.class.rtt; l.seen {
-		return Time(1e9 * (l.mean + silenceDeviations*l.dev))
-	}
-	return r.class.LatencyTarget / 2
-}
-
-// checkSilence ejects silent hosts: those that have answered nothing since their oldest pending
-// attempt was sent, for longer than such a request should take. The ejection ends with an answer. It
-// guards against hosts that accept requests and answer none; a host that is only slow, or has one
-// costly request, answers others meanwhile. Attempts there are not canceled: most are still answered,
-// and sending them again costs more than it saves.
-func (b *Balancer) checkSilence() {
-	b.inFlight = 0
-	for _, h := range b.hosts {
-		b.inFlight += h.pending
-		b.cancelLost(h)
-		a := h.oldestSentSince(h.answeredAt)
-		if a == nil || b.now-a.sent < b.silenceTimeout(a.request) {
-			continue
-		}
-		if h.ejections == 0 {
-			// The RTT is at least this long: overload shows before the answers arrive.
-			b.adjustRate(a, (b.now - a.sent).Seconds())
-		}
-		b.eject(h, "silent")
-	}
-}
-
-// cancelLost cancels attempts that a host has lost: later ones were answered, and they are older than
-// the latency target, after which an answer has no value. Each occupies one of the few connections that
-// the host accepts. An idempotent request goes elsewhere while there is time, as soon as its attempt
-// is overdue and should have been answered; only once, as a request that is slow on any host gains
-// nothing from a restart.
-func (b *Balancer) cancelLost(h *host) {
-	for n := h.pendingList.head; n != nil && n.item.sent < h.servedSentAt; {
-		a, r := n.item, n.item.request
-		n = n.next
-		switch age := b.now - a.sent; {
-		case r.done || r.streaming || !b.settings.CancelAllowed:
-		case age >= r.class.LatencyTarget:
-			b.answerUnserved(r)
-		case r.class.Effect == Idempotent && !r.attemptLost && b.overdue(a) &&
-			age >= b.silenceTimeout(r) && b.mayRetry(r):
-			r.attemptLost = true
-			b.cancelAttempts(r, -1)
-		}
-	}
-}
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
