--- a/aperture.go
+++ b/aperture.go
@@ -3,10 +3,7 @@
 // Which hosts an instance uses: a subset (aperture) taken from a ring of all hosts that is the same
 // at every instance. How it picks among them is decided in pick.go.
 
-import (
-	"math"
-	"sort"
-)
+import "math"
 
 const (
 	subsetSamples   = 6    // samples that an instance needs of each host within the decay time
@@ -21,46 +18,20 @@
 type hostPosition struct {
 	hash         uint64  // hash of the ID
 	ringPosition float64 // position by hash among the hosts of its kind, from 0 to 1
-	ringIndex    int     // index in hostSubset.ring
+	ringIndex    int     // index in hostRing.ring
 	preferIndex  int     // index in hostSubset.preferred
 	inSubset     bool
+	dropped      bool // the host is no longer in hostTable
 }
 
-// hostSubset is the ring of all hosts and the subset of them that this instance uses.
+// hostSubset is the subset of the hosts that this instance uses.
 type hostSubset struct {
-	ring         []*host // the hosts in an order that is the same at every instance
 	preferred    []*host // the hosts in this instance's order of preference
 	subset       []*host // the hosts that this instance uses
 	subsetMoveAt Time    // earliest time at which a host of the subset may be replaced
 	activeHosts  int     // hosts of the subset that are neither cold nor ejected
 }
 
-// buildRing orders the hosts in a way that is the same at every instance and spreads each kind of host
-// evenly, so that every section is a fair sample of the fleet. Few positions change when hosts are
-// added or removed.
-func (b *Balancer) buildRing() {
-	b.ring = append(b.ring[:0], b.hosts...)
-	sort.Slice(b.ring, func(i, j int) bool {
-		x, y := b.ring[i], b.ring[j]
-		if x.Kind != y.Kind {
-			return x.Kind < y.Kind
-		}
-		return x.hash < y.hash || x.hash == y.hash && x.ID < y.ID
-	})
-	for i := 0; i < len(b.ring); {
-		j := i
-		for j < len(b.ring) && b.ring[j].Kind == b.ring[i].Kind {
-			j++
-		}
-		for k := i; k < j; k++ {
-			b.ring[k].ringPosition = (float64(k-i) + 0.5) / float64(j-i)
-		}
-		i = j
-	}
-	sort.SliceStable(b.ring, func(i, j int) bool { return b.ring[i].ringPosition < b.ring[j].ringPosition })
-	b.orderPreferred()
-}
-
 // subsetSize is how many hosts this instance uses: as many as its traffic can give subsetSamples each
 // within the decay time, but enough for a choice of two with one ejected, and enough to give each host
 // minSharers instances. It acts where that is less than the whole list. It guards against scores and
--- a/balancer.go
+++ b/balancer.go
@@ -35,6 +35,7 @@
 
 	hostTable
 	maintenanceRecord
+	hostRing
 	hostSubset
 	fleetView
 	rttStatistics
--- a/host.go
+++ b/host.go
@@ -44,14 +44,11 @@
 	for _, e := range list {
 		b.applyEntry(e)
 	}
-	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
-		b.dropIfRemoved(b.hosts[i])
-	}
+	b.dropRemoved(kind, list)
+	added := b.newHosts
 	b.buildRing()
-	for _, h := range b.hosts {
-		if h.limit == 0 { // it is new; sharers depends on the number of hosts, now complete
-			h.limit = initialFleetLimit / b.sharers()
-		}
+	for _, h := range added {
+		h.limit = initialFleetLimit / b.sharers() // sharers depends on the number of hosts, now complete
 	}
 	b.processQueues() // hosts may have become ready, and a list from discovery ends a hold of sends
 }
@@ -68,7 +65,10 @@
 		h.hash = mix(uint64(entry.ID))
 		b.byID[entry.ID] = h
 		b.hosts = append(b.hosts, h)
+		b.newHosts = append(b.newHosts, h)
+		b.ringChanged = true
 	}
+	b.ringChanged = b.ringChanged || h.Kind != entry.Kind
 	started := h.Started
 	h.Host = entry
 	if since, ok := b.returnedAt[entry.ID]; ok && h.coldSince < since {
@@ -79,12 +79,29 @@
 	}
 }
 
+// dropRemoved drops the hosts that a list has removed. Of a list of changes, it looks only at the entries,
+// as there may be thousands of other hosts.
+func (b *Balancer) dropRemoved(kind ListKind, list []Host) {
+	if kind == ListChanges {
+		for _, e := range list {
+			if h := b.byID[e.ID]; h != nil {
+				b.dropIfRemoved(h)
+			}
+		}
+		return
+	}
+	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
+		b.dropIfRemoved(b.hosts[i])
+	}
+}
+
 // dropIfRemoved drops a removed host once it has no open attempts.
 func (b *Balancer) dropIfRemoved(h *host) {
 	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
 		return
 	}
 	delete(b.byID, h.ID)
+	h.dropped, b.ringChanged = true, true
 	for i := range b.hosts {
 		if b.hosts[i] == h {
 			b.hosts = append(b.hosts[:i], b.hosts[i+1:]...)
