--- a/host.go
+++ b/host.go
@@ -14,6 +14,8 @@
 	trafficShare  float64       // fitted share of this instance's traffic; 0: not fitted
 	openAttempts  int           // attempts that have not ended
 	pending       int           // attempts that the host has yet to answer
+	listedIndex   int           // number of hosts listed before it since the start
+	busyIndex     int           // index in hostTable.busyHosts while pending is not 0
 	pendingList   list[attempt] // pending attempts in the order of sending
 	answeredAt    Time          // time of the last answer of any kind
 	servedSentAt  Time          // send time of the latest attempt that the host has served
@@ -24,6 +26,9 @@
 type hostTable struct {
 	hosts []*host // in order of first listing, so that nothing depends on map order
 	byID  map[HostID]*host
+
+	busyHosts   []*host // hosts with pending attempts, in any order
+	listedCount int     // hosts listed since the start
 }
 
 // UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
@@ -64,6 +69,8 @@
 		h.rttAt = b.now
 		h.hash = mix(uint64(entry.ID))
 		b.byID[entry.ID] = h
+		h.listedIndex = b.listedCount
+		b.listedCount++
 		b.hosts = append(b.hosts, h)
 		b.newHosts = append(b.newHosts, h)
 		b.ringChanged = true
--- a/request.go
+++ b/request.go
@@ -90,6 +90,10 @@
 func (b *Balancer) addPending(a *attempt) {
 	a.node.item, a.pending = a, true
 	a.host.pendingList.pushBack(&a.node)
+	if a.host.pending == 0 {
+		a.host.busyIndex = len(b.busyHosts)
+		b.busyHosts = append(b.busyHosts, a.host)
+	}
 	a.host.pending++
 	b.inFlight++
 }
@@ -100,9 +104,20 @@
 		a.pending = false
 		a.host.pendingList.remove(&a.node)
 		a.host.pending--
+		if a.host.pending == 0 {
+			b.removeBusy(a.host)
+		}
 	}
 }
 
+// removeBusy removes a host from busyHosts. The last one takes its place.
+func (b *Balancer) removeBusy(h *host) {
+	last := b.busyHosts[len(b.busyHosts)-1]
+	b.busyHosts[h.busyIndex] = last
+	last.busyIndex = h.busyIndex
+	b.busyHosts = b.busyHosts[:len(b.busyHosts)-1]
+}
+
 // cancelAttempts cancels the attempts in flight of the request, but for attempt number except.
 func (b *Balancer) cancelAttempts(r *request, except int) {
 	for i, a := range r.attempts {
--- a/silence.go
+++ b/silence.go
@@ -2,6 +2,11 @@
 
 // Hosts that accept requests and do not answer, and attempts that a host has lost.
 
+import (
+	"cmp"
+	"slices"
+)
+
 const silenceDeviations = 4 // deviations above the mean RTT from which a host is silent
 
 // silenceTimeout is how long an attempt may take before checkSilence takes its host to be silent.
@@ -19,7 +24,10 @@
 // and sending them again costs more than it saves.
 func (b *Balancer) checkSilence() {
 	b.inFlight = 0
-	for _, h := range b.hosts {
+	// Of thousands of hosts, few have pending attempts. They are taken in the order of hosts.
+	b.sweptHosts = append(b.sweptHosts[:0], b.busyHosts...)
+	slices.SortFunc(b.sweptHosts, func(x, y *host) int { return cmp.Compare(x.listedIndex, y.listedIndex) })
+	for _, h := range b.sweptHosts {
 		b.inFlight += h.pending
 		b.cancelLost(h)
 		a := h.oldestSentSince(h.answeredAt)
--- a/timer.go
+++ b/timer.go
@@ -17,6 +17,8 @@
 type sweepTimer struct {
 	sweepAt  Time // time of the next sweep; 0: none is scheduled
 	inFlight int  // pending attempts at the last sweep and those added since
+
+	sweptHosts []*host // scratch space of checkSilence
 }
 
 // Timer reports that the time of a Wake action has come.
