--- a/balancer.go
+++ b/balancer.go
@@ -36,6 +36,7 @@
 
 	hostTable
 	maintenanceRecord
+	hostRing
 	hostSubset
 	fleetView
 	rttStatistics
--- a/host.go
+++ b/host.go
@@ -15,6 +15,8 @@
 	trafficShare  float64       // fitted share of this instance's traffic; 0: not fitted
 	openAttempts  int           // attempts that have not ended
 	pending       int           // attempts that the host has yet to answer
+	listedIndex   int           // number of hosts listed before it since the start
+	busyIndex     int           // index in hostTable.busyHosts while pending is not 0
 	pendingList   list[attempt] // pending attempts in the order of sending
 	answeredAt    Time          // time of the last answer of any kind
 	servedSentAt  Time          // send time of the latest attempt that the host has served
@@ -25,6 +27,9 @@
 type hostTable struct {
 	hosts []*host // in order of first listing, so that nothing depends on map order
 	byID  map[HostID]*host
+
+	busyHosts   []*host // hosts with pending attempts, in any order
+	listedCount int     // hosts listed since the start
 }
 
 // UpdateHosts applies a host list or handles a loss of discovery, whichever the kind stands for.
@@ -45,14 +50,11 @@
 	for _, e := range list {
 		b.applyEntry(e)
 	}
-	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
-		b.dropIfRemoved(b.hosts[i])
-	}
+	b.dropRemoved(kind, list)
+	added := b.newHosts
 	b.buildRing()
-	for _, h := range b.hosts {
-		if h.limit == 0 { // it is new; sharers depends on the number of hosts, now complete
-			h.limit = initialFleetLimit / b.sharers()
-		}
+	for _, h := range added {
+		h.limit = initialFleetLimit / b.sharers() // sharers depends on the number of hosts, now complete
 	}
 	b.processQueues() // hosts may have become ready, and a list from discovery ends a hold of sends
 }
@@ -66,6 +68,7 @@
 		}
 		h = b.addHost(entry.ID)
 	}
+	b.ringChanged = b.ringChanged || h.Kind != entry.Kind
 	started := h.Started
 	h.Host = entry
 	if since, ok := b.returnedAt[entry.ID]; ok && h.coldSince < since {
@@ -82,16 +85,37 @@
 	h.rttAt = b.now
 	h.hash = mix(uint64(id))
 	b.byID[id] = h
+	h.listedIndex = b.listedCount
+	b.listedCount++
 	b.hosts = append(b.hosts, h)
+	b.newHosts = append(b.newHosts, h)
+	b.ringChanged = true
 	return h
 }
 
+// dropRemoved drops the hosts that a list has removed. Of a list of changes, it looks only at the entries,
+// as there may be thousands of other hosts.
+func (b *Balancer) dropRemoved(kind ListKind, list []Host) {
+	if kind == ListChanges {
+		for _, e := range list {
+			if h := b.byID[e.ID]; h != nil {
+				b.dropIfRemoved(h)
+			}
+		}
+		return
+	}
+	for i := len(b.hosts) - 1; i >= 0; i-- { // backward, as dropIfRemoved deletes from b.hosts
+		b.dropIfRemoved(b.hosts[i])
+	}
+}
+
 // dropIfRemoved drops a removed host once it has no open attempts.
 func (b *Balancer) dropIfRemoved(h *host) {
 	if h.State != Removed || h.openAttempts > 0 || b.byID[h.ID] != h {
 		return
 	}
 	delete(b.byID, h.ID)
+	h.dropped, b.ringChanged = true, true
 	for i := range b.hosts {
 		if b.hosts[i] == h {
 			b.hosts = append(b.hosts[:i], b.hosts[i+1:]...)
