--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -103,7 +103,7 @@
 	}
 	balancer, err := bramblelock.New(settings, e.Seed)
 	if err != nil {
-		a.out.WriteCrash(e.Instance, err.Error())
+		a.out.WriteCrash(e.Instance, wire.NameSettingsKey(err).Error())
 		return
 	}
 	balancer.Start(now)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -134,7 +134,7 @@
 		}
 		sent = sent || c == 64 && bodies[i][0] == 3
 	}
-	if len(crashed) != 2 || !strings.Contains(crashed[0], "there are none") || !sent {
+	if len(crashed) != 2 || !strings.Contains(crashed[0], "settings.classes: an empty list") || !sent {
 		t.Errorf("crashes %q, instance 3 sent its request: %v; want 2 crashes, the first for no classes, and true", crashed, sent)
 	}
 	in.Close()
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -62,8 +62,8 @@
 func TestLoadErrorNamesField(t *testing.T) {
 	obligation := func(text string) string { return `"rank":1,"obligations":{` + text + `}` }
 	const (
-		anyTime   = " is not between 0 and 3600000000000 microseconds"
-		anyNumber = " is not between 0 and 1000000000000"
+		anyTime   = " is not between 0s and 1000h0m0s"
+		anyNumber = " is not between 0 and 1e+12"
 	)
 	for _, tt := range []struct{ from, to, want string }{
 		{`"listen":"127.0.0.1:9000"`, `"listen":"127.0.0.1"`, `listen: "127.0.0.1" is no host:port`},
@@ -80,27 +80,27 @@
 		{`"balancers":2`, `"Balancers":-2`, "settings.balancers: -2 is not between 1 and 1048576"},
 		{`"rank":1`, `"rank":2`, "settings.rank: 2 is not between 0 and 1"},
 		{`"rank":1`, `"rank":1,"discovery":"subscrib"`, `settings.discovery: "subscrib" is not one of "", "automatic", "subscribe"`},
-		{`"rank":1`, `"rank":1,"step":-1`, "settings.step: -1" + anyTime},
+		{`"rank":1`, `"rank":1,"step":-1`, "settings.step: -1µs" + anyTime},
 		{`"rank":1`, `"rank":1,"over_share_worth":-1`, "settings.over_share_worth: -1" + anyNumber},
-		{`"rank":1`, obligation(`"ask_within":-1`), "settings.obligations.ask_within: -1" + anyTime},
+		{`"rank":1`, obligation(`"ask_within":-1`), "settings.obligations.ask_within: -1µs" + anyTime},
 		{`"rank":1`, obligation(`"cold_from":-1`), "settings.obligations.cold_from: -1" + anyNumber},
-		{`"rank":1`, obligation(`"warm_after":-1`), "settings.obligations.warm_after: -1" + anyTime},
-		{`"rank":1`, obligation(`"overload_factor":2e12`), "settings.obligations.overload_factor: 2e12" + anyNumber},
-		{`"rank":1`, obligation(`"fall":1e300`), "settings.obligations.fall: 1e300" + anyTime},
+		{`"rank":1`, obligation(`"warm_after":-1`), "settings.obligations.warm_after: -1µs" + anyTime},
+		{`"rank":1`, obligation(`"overload_factor":2e12`), "settings.obligations.overload_factor: 2e+12" + anyNumber},
+		{`"rank":1`, obligation(`"fall":1e300`), "settings.obligations.fall: 2562047h47m16.854775807s" + anyTime},
 		{`"rank":1`, obligation(`"drain_grace":true`), "settings.obligations.drain_grace: true is not a number"},
 		{`"rank":1`, `"rank":1,"obligations":[2]`, "settings.obligations: a list is not an object"},
 		{`"conn_idle"`, `"max_attempts":-1,"conn_idle"`, "settings.caps.max_attempts: -1 is not between 0 and 1048576"},
-		{`"conn_idle"`, `"retry_after":true,"max_retry_after":-1,"conn_idle"`, "settings.caps.max_retry_after: -1" + anyTime},
+		{`"conn_idle"`, `"retry_after":true,"max_retry_after":-1,"conn_idle"`, "settings.caps.max_retry_after: -1µs" + anyTime},
 		{`"quota_per_s":10`, `"quota_per_s":-1`, "settings.tenants[0].quota_per_s: -1" + anyNumber},
-		{`"classes":[`, `"classes":[],"klasses":[`, "settings.classes: a list of 0 is not a list of one class or more"},
-		{`"classes":[`, `"klasses":[`, "settings.classes: missing, must be a list of one class or more"},
-		{`"effect":"idempotent"`, `"effect":"deduplicated","window":-5`, "settings.classes[0].window: -5" + anyTime},
-		{`"effect":"idempotent"`, `"effect":"deduplicated","group":"rack"`, `settings.classes[0].group: "rack" is not one of "", "all", "zone", "cell"`},
-		{`"effect":"idempotent"`, `"effect":"harmless"`, `settings.classes[0].effect: "harmless" is not one of "idempotent", "deduplicated", "at_most_once"`},
-		{`"effect":"at_most_once",`, ``, `settings.classes[1].effect: missing, must be one of "idempotent"`},
-		{`"effect":"idempotent"`, `"effect":"idempotent","promise":-1`, "settings.classes[0].promise: -1" + anyTime},
+		{`"classes":[`, `"classes":[],"klasses":[`, "settings.classes: an empty list is not a list of one class or more"},
+		{`"classes":[`, `"klasses":[`, "settings.classes: an empty list is not a list of one class or more"},
+		{`"effect":"idempotent"`, `"effect":"deduplicated","window":-5`, "settings.classes[0].window: -5µs" + anyTime},
+		{`"effect":"idempotent"`, `"effect":"deduplicated","group":"rack"`, `settings.classes[0].group: "rack" is not one of "", "all", "cell", "zone"`},
+		{`"effect":"idempotent"`, `"effect":"harmless"`, `settings.classes[0].effect: "harmless" is not one of "at_most_once", "deduplicated", "idempotent"`},
+		{`"effect":"at_most_once",`, ``, `settings.classes[1].effect: "" is not one of "at_most_once", "deduplicated", "idempotent"`},
+		{`"effect":"idempotent"`, `"effect":"idempotent","promise":-1`, "settings.classes[0].promise: -1µs" + anyTime},
 		{`"effect":"idempotent"`, `"effect":"idempotent","importance":-1`, "settings.classes[0].importance: -1" + anyNumber},
-		{`"hard_limit":1000000},`, `"hard_limit":0},`, "settings.classes[0].hard_limit: 0 is not above 0 and up to 3600000000000 microseconds"},
+		{`"hard_limit":1000000},`, `"hard_limit":0},`, "settings.classes[0].hard_limit: 0s is not above 0s and up to 1000h0m0s"},
 		{`"version":41`, `"version":-41`, "known.version: -41 is not a whole number"},
 		{`"started_ms":5`, `"started_ms":"noon"`, `known.servers.started_ms: "noon" is not a whole number`},
 		{`"name":"book"`, `"name":"look"`, `settings.classes[1]: "look" is there twice`},
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,8 +2,14 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"maps"
 	"math"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
 	"time"
 
 	"bramblelock"
@@ -84,7 +90,7 @@
 	}
 	watch, ok := watchByDiscovery[decoded.Discovery]
 	if !ok {
-		return result, fmt.Errorf("settings: discovery: unknown mode %q", decoded.Discovery)
+		return result, unknownName("discovery", decoded.Discovery, watchByDiscovery)
 	}
 	result = bramblelock.Settings{
 		Instances: decoded.Balancers, Rank: decoded.Rank, EventInterval: decoded.Step.duration(),
@@ -100,11 +106,11 @@
 	for i, c := range decoded.Classes {
 		effect, ok := effectsByName[c.Effect]
 		if !ok {
-			return result, fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
+			return result, unknownName(fmt.Sprintf("classes[%d].effect", i), c.Effect, effectsByName)
 		}
 		dedupScope, ok := dedupScopesByName[c.Group]
 		if !ok {
-			return result, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
+			return result, unknownName(fmt.Sprintf("classes[%d].group", i), c.Group, dedupScopesByName)
 		}
 		result.Classes = append(result.Classes, bramblelock.Class{
 			Name: c.Name, LatencyTarget: c.Promise.duration(), Deadline: c.HardLimit.duration(), PriorityWeight: c.Importance,
@@ -116,3 +122,53 @@
 	}
 	return result, nil
 }
+
+// unknownName returns the error for a name that is not a key of allowed. key is its path in the settings.
+func unknownName[V any](key, name string, allowed map[string]V) error {
+	var quoted []string
+	for _, known := range slices.Sorted(maps.Keys(allowed)) {
+		quoted = append(quoted, strconv.Quote(known))
+	}
+	return fmt.Errorf("settings.%s: %q is not one of %s", key, name, strings.Join(quoted, ", "))
+}
+
+// keysByField maps the fields of bramblelock.Settings that have a range to their keys in the settings object.
+// An index in the path of a field stands at the same list in the path of its key.
+var keysByField = map[string]string{
+	"Instances":                "balancers",
+	"Rank":                     "rank",
+	"EventInterval":            "step",
+	"MaxAttempts":              "caps.max_attempts",
+	"MaxRetryAfter":            "caps.max_retry_after",
+	"OverQuotaFactor":          "over_share_worth",
+	"MaxWatchGap":              "obligations.ask_within",
+	"ColdCapacity":             "obligations.cold_from",
+	"WarmAfter":                "obligations.warm_after",
+	"OverloadFactor":           "obligations.overload_factor",
+	"OverloadWindow":           "obligations.fall",
+	"DrainGrace":               "obligations.drain_grace",
+	"Classes":                  "classes",
+	"Classes[].LatencyTarget":  "classes[].promise",
+	"Classes[].Deadline":       "classes[].hard_limit",
+	"Classes[].DedupWindow":    "classes[].window",
+	"Classes[].PriorityWeight": "classes[].importance",
+	"Tenants[].Quota":          "tenants[].quota_per_s",
+}
+
+// listIndex matches the index of a list in the path of a field.
+var listIndex = regexp.MustCompile(`\[\d+\]`)
+
+// NameSettingsKey returns an error with the key of the settings object, its value and what is allowed if err is
+// a bramblelock.SettingsError, and err itself otherwise. A time is given with its unit, not in microseconds.
+func NameSettingsKey(err error) error {
+	var invalid *bramblelock.SettingsError
+	if !errors.As(err, &invalid) {
+		return err
+	}
+	key, known := keysByField[listIndex.ReplaceAllString(invalid.Field, "[]")]
+	if !known {
+		return err
+	}
+	key = strings.Replace(key, "[]", listIndex.FindString(invalid.Field), 1)
+	return fmt.Errorf("settings.%s: %v is not %s", key, invalid.Value, invalid.Allowed)
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -198,7 +198,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := bramblelock.New(parsed, 1); err == nil || !strings.Contains(err.Error(), "step") {
+		if _, err := bramblelock.New(parsed, 1); err == nil || !strings.HasPrefix(NameSettingsKey(err).Error(), "settings.step: ") {
 			t.Errorf("step %s: error %v, want one that names the step", us, err)
 		}
 	}
@@ -233,8 +233,8 @@
 		t.Errorf("\ngot  %+v\nwant %+v", got, want)
 	}
 	for text, want := range map[string]string{
-		`{"classes": [{"effect": "sometimes"}]}`:                   `unknown effect "sometimes"`,
-		`{"classes": [{"effect": "idempotent", "group": "moon"}]}`: `unknown group "moon"`,
+		`{"classes": [{"effect": "sometimes"}]}`:                   `settings.classes[0].effect: "sometimes" is not one of "at_most_once", "deduplicated", "idempotent"`,
+		`{"classes": [{"effect": "idempotent", "group": "moon"}]}`: `settings.classes[0].group: "moon" is not one of "", "all", "cell", "zone"`,
 		`[]`: "settings", `{`: "settings",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
--- a/settings.go
+++ b/settings.go
@@ -1,7 +1,7 @@
 package bramblelock
 
 import (
-	"errors"
+	"cmp"
 	"fmt"
 	"time"
 )
@@ -16,7 +16,33 @@
 	defaultDrainGrace  = time.Second
 )
 
-// checkSettings rejects invalid settings, naming the field, and fills in defaults.
+// SettingsError reports a setting whose value is not allowed.
+type SettingsError struct {
+	Field   string // path of the field in Settings, such as Classes[2].Deadline
+	Value   any    // a time.Duration if the field is one
+	Allowed string // which values are allowed, as in "between 0s and 1000h0m0s"
+}
+
+// Error returns one line that names the field.
+func (e *SettingsError) Error() string {
+	return fmt.Sprintf("settings: %s: %v is not %s", e.Field, e.Value, e.Allowed)
+}
+
+// checkRange returns a SettingsError unless least <= value <= most. It returns one for NaN.
+func checkRange[T int | float64 | time.Duration](field string, value, least, most T) error {
+	if value >= least && value <= most {
+		return nil
+	}
+	return &SettingsError{field, value, fmt.Sprintf("between %v and %v", least, most)}
+}
+
+// checkDuration returns a SettingsError unless a duration is between 0 and maxTime.
+func checkDuration(field string, d time.Duration) error { return checkRange(field, d, 0, maxTime) }
+
+// checkNumber returns a SettingsError unless a number is between 0 and maxNumber.
+func checkNumber(field string, x float64) error { return checkRange(field, x, 0, maxNumber) }
+
+// checkSettings rejects invalid settings with a SettingsError, and fills in defaults.
 func checkSettings(set *Settings) error {
 	for _, check := range []func(*Settings) error{
 		checkCounts, checkDurations, checkNumbers, checkClasses, checkTenants,
@@ -36,47 +62,33 @@
 }
 
 func checkCounts(set *Settings) error {
-	switch {
-	case set.Instances < 1 || set.Instances > maxCount:
-		return fmt.Errorf("settings: instances: %d is not between 1 and %d", set.Instances, maxCount)
-	case set.Rank < 0 || set.Rank >= set.Instances:
-		return fmt.Errorf("settings: rank: %d is not among %d instances", set.Rank, set.Instances)
-	case len(set.Classes) == 0:
-		return errors.New("settings: classes: there are none")
-	case set.MaxAttempts < 0 || set.MaxAttempts > maxCount:
-		return fmt.Errorf("settings: max attempts: %d is not between 0 and %d", set.MaxAttempts, maxCount)
+	if len(set.Classes) == 0 {
+		return &SettingsError{"Classes", "an empty list", "a list of one class or more"}
 	}
-	return nil
+	return cmp.Or(
+		checkRange("Instances", set.Instances, 1, maxCount),
+		checkRange("Rank", set.Rank, 0, set.Instances-1),
+		checkRange("MaxAttempts", set.MaxAttempts, 0, maxCount),
+	)
 }
 
 func checkDurations(set *Settings) error {
-	for _, f := range []struct {
-		name string
-		d    time.Duration
-	}{
-		{"step", set.EventInterval}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.MaxWatchGap},
-		{"warm after", set.WarmAfter}, {"fall", set.OverloadWindow}, {"drain grace", set.DrainGrace},
-	} {
-		if f.d < 0 || f.d > maxTime {
-			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.d, maxTime)
-		}
-	}
-	return nil
+	return cmp.Or(
+		checkDuration("EventInterval", set.EventInterval),
+		checkDuration("MaxRetryAfter", set.MaxRetryAfter),
+		checkDuration("MaxWatchGap", set.MaxWatchGap),
+		checkDuration("WarmAfter", set.WarmAfter),
+		checkDuration("OverloadWindow", set.OverloadWindow),
+		checkDuration("DrainGrace", set.DrainGrace),
+	)
 }
 
 func checkNumbers(set *Settings) error {
-	for _, f := range []struct {
-		name string
-		x    float64
-	}{
-		{"cold from", set.ColdCapacity}, {"overload factor", set.OverloadFactor},
-		{"over-quota worth", set.OverQuotaFactor},
-	} {
-		if !validNumber(f.x) {
-			return fmt.Errorf("settings: %s: %v is not between 0 and %v", f.name, f.x, maxNumber)
-		}
-	}
-	return nil
+	return cmp.Or(
+		checkNumber("ColdCapacity", set.ColdCapacity),
+		checkNumber("OverloadFactor", set.OverloadFactor),
+		checkNumber("OverQuotaFactor", set.OverQuotaFactor),
+	)
 }
 
 // checkClasses checks the classes and fills in their defaults, in a copy of the caller's slice.
@@ -84,7 +96,7 @@
 	set.Classes = append([]Class(nil), set.Classes...)
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		if err := checkClass(i, c); err != nil {
+		if err := checkClass(fmt.Sprintf("Classes[%d].", i), c); err != nil {
 			return err
 		}
 		if c.LatencyTarget == 0 || c.LatencyTarget > c.Deadline {
@@ -95,35 +107,32 @@
 	return nil
 }
 
-func checkClass(i int, c *Class) error {
-	switch {
-	case c.LatencyTarget < 0 || c.LatencyTarget > maxTime:
-		return fmt.Errorf("settings: class %d: latency target: %v is not between 0 and %v", i, c.LatencyTarget, maxTime)
-	case c.Deadline <= 0 || c.Deadline > maxTime:
-		return fmt.Errorf("settings: class %d: deadline: %v is not above 0 and up to %v", i, c.Deadline, maxTime)
-	case c.DedupWindow < 0 || c.DedupWindow > maxTime:
-		return fmt.Errorf("settings: class %d: window: %v is not between 0 and %v", i, c.DedupWindow, maxTime)
-	case c.Effect > AtMostOnce:
-		return fmt.Errorf("settings: class %d: unknown effect %d", i, c.Effect)
-	case c.DedupScope > DedupCell:
-		return fmt.Errorf("settings: class %d: unknown group %d", i, c.DedupScope)
-	case !validNumber(c.PriorityWeight):
-		return fmt.Errorf("settings: class %d: priority weight: %v is not between 0 and %v", i, c.PriorityWeight, maxNumber)
-	}
-	return nil
-}
-
 func checkTenants(set *Settings) error {
 	for i, t := range set.Tenants {
-		if !validNumber(t.Quota) {
-			return fmt.Errorf("settings: tenant %d: quota: %v is not between 0 and %v", i, t.Quota, maxNumber)
+		if err := checkNumber(fmt.Sprintf("Tenants[%d].Quota", i), t.Quota); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// validNumber reports whether x is within 0 and maxNumber; it is false for NaN.
-func validNumber(x float64) bool { return x >= 0 && x <= maxNumber }
+// checkClass returns a SettingsError for the first field of a class that is not allowed. path is the class in
+// Settings, with a dot at its end.
+func checkClass(path string, c *Class) error {
+	switch {
+	case c.Deadline <= 0 || c.Deadline > maxTime:
+		return &SettingsError{path + "Deadline", c.Deadline, fmt.Sprintf("above 0s and up to %v", maxTime)}
+	case c.Effect > AtMostOnce:
+		return &SettingsError{path + "Effect", c.Effect, "an effect"}
+	case c.DedupScope > DedupCell:
+		return &SettingsError{path + "DedupScope", c.DedupScope, "a deduplication scope"}
+	}
+	return cmp.Or(
+		checkDuration(path+"LatencyTarget", c.LatencyTarget),
+		checkDuration(path+"DedupWindow", c.DedupWindow),
+		checkNumber(path+"PriorityWeight", c.PriorityWeight),
+	)
+}
 
 func setDefault[T int | float64 | Time](v *T, def T) {
 	if *v == 0 {
--- a/settings_test.go
+++ b/settings_test.go
@@ -1,6 +1,7 @@
 package bramblelock
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -9,32 +10,34 @@
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	invalid := map[string]func(*Settings){
-		"instances: 0":             func(s *Settings) { s.Instances = 0 },
-		"instances: 1048577":       func(s *Settings) { s.Instances = 1<<20 + 1 },
-		"rank: 1":                  func(s *Settings) { s.Rank = 1 },
-		"rank: -1":                 func(s *Settings) { s.Rank = -1 },
-		"classes":                  func(s *Settings) { s.Classes = nil },
-		"fall: -1ns":               func(s *Settings) { s.OverloadWindow = -1 },
-		"step":                     func(s *Settings) { s.EventInterval = 2000 * time.Hour },
-		"ask within":               func(s *Settings) { s.MaxWatchGap = math.MaxInt64 },
-		"warm after":               func(s *Settings) { s.WarmAfter = -1 },
-		"max retry after":          func(s *Settings) { s.MaxRetryAfter = -1 },
-		"max attempts":             func(s *Settings) { s.MaxAttempts = -1 },
-		"class 0: deadline":        func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"class 0: latency target":  func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
-		"class 0: window":          func(s *Settings) { s.Classes[0].DedupWindow = -1 },
-		"class 1: unknown e":       func(s *Settings) { s.Classes[1].Effect = 9 },
-		"class 1: unknown g":       func(s *Settings) { s.Classes[1].DedupScope = 9 },
-		"class 2: priority weight": func(s *Settings) { s.Classes[2].PriorityWeight = math.NaN() },
-		"cold from":                func(s *Settings) { s.ColdCapacity = math.Inf(1) },
-		"overload factor":          func(s *Settings) { s.OverloadFactor = 1e300 },
-		"over-quota worth":         func(s *Settings) { s.OverQuotaFactor = math.NaN() },
-		"tenant 0: quota":          func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
+		"Instances: 0 ":                   func(s *Settings) { s.Instances = 0 },
+		"Instances: 1048577 ":             func(s *Settings) { s.Instances = 1<<20 + 1 },
+		"Rank: 1 ":                        func(s *Settings) { s.Rank = 1 },
+		"Rank: -1 ":                       func(s *Settings) { s.Rank = -1 },
+		"Classes: ":                       func(s *Settings) { s.Classes = nil },
+		"OverloadWindow: -1ns ":           func(s *Settings) { s.OverloadWindow = -1 },
+		"EventInterval: ":                 func(s *Settings) { s.EventInterval = 2000 * time.Hour },
+		"MaxWatchGap: ":                   func(s *Settings) { s.MaxWatchGap = math.MaxInt64 },
+		"WarmAfter: ":                     func(s *Settings) { s.WarmAfter = -1 },
+		"MaxRetryAfter: ":                 func(s *Settings) { s.MaxRetryAfter = -1 },
+		"MaxAttempts: ":                   func(s *Settings) { s.MaxAttempts = -1 },
+		"Classes[0].Deadline: ":           func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"Classes[0].LatencyTarget: ":      func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
+		"Classes[0].DedupWindow: ":        func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"Classes[1].Effect: 9 ":           func(s *Settings) { s.Classes[1].Effect = 9 },
+		"Classes[1].DedupScope: 9 ":       func(s *Settings) { s.Classes[1].DedupScope = 9 },
+		"Classes[2].PriorityWeight: NaN ": func(s *Settings) { s.Classes[2].PriorityWeight = math.NaN() },
+		"ColdCapacity: +Inf ":             func(s *Settings) { s.ColdCapacity = math.Inf(1) },
+		"OverloadFactor: 1e+300 ":         func(s *Settings) { s.OverloadFactor = 1e300 },
+		"OverQuotaFactor: NaN ":           func(s *Settings) { s.OverQuotaFactor = math.NaN() },
+		"Tenants[0].Quota: -1 ":           func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	}
 	for want, modify := range invalid {
 		set := basicSettings()
 		modify(&set)
-		if b, err := New(set, 1); b != nil || err == nil || !strings.Contains(err.Error(), want) {
+		b, err := New(set, 1)
+		var invalid *SettingsError
+		if b != nil || !errors.As(err, &invalid) || !strings.HasPrefix(err.Error(), "settings: "+want) {
 			t.Errorf("%s: got %v", want, err)
 		}
 	}
