--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -78,10 +78,16 @@
 	return filepath.Join(s.dir, endMarkPrefix+url.QueryEscape(id))
 }
 
-// persistStart stores that a host is in maintenance and removes its end mark. If it fails, that is not
-// stored, as far as write can ensure it.
+// persistStart stores that a host is in maintenance and removes its end mark. If it fails, it leaves
+// what was stored before the call; a failure of that is logged.
 func (s *MaintenanceStore) persistStart(id string) error {
-	if err := s.write(s.maintenanceFile(id), ""); err != nil {
+	file := s.maintenanceFile(id)
+	_, err := os.Lstat(file)
+	stored := err == nil
+	if err := s.write(file, ""); err != nil {
+		if !stored { // the file of an earlier call stays, as that maintenance goes on
+			s.removeFailed(file)
+		}
 		return err
 	}
 	if err := s.remove(s.endMarkFile(id)); err != nil {
@@ -101,6 +107,7 @@
 	// into maintenance and this one has not polled yet.
 	if s.inMaintenance[id] {
 		if err := s.write(s.endMarkFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
+			s.removeFailed(s.endMarkFile(id))
 			return err
 		}
 	}
@@ -114,8 +121,8 @@
 	return err
 }
 
-// write creates or replaces a file so that it survives a loss of power. If it fails, it removes the
-// file; a failure of that is logged.
+// write creates or replaces a file so that it survives a loss of power. If it fails, the file may be
+// there, with any part of the text.
 func (s *MaintenanceStore) write(path, text string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -123,13 +130,10 @@
 	}
 	_, err = f.WriteString(text)
 	err = errors.Join(err, f.Sync(), f.Close())
-	if err == nil {
-		err = s.sync()
-	}
 	if err != nil {
-		s.removeFailed(path)
+		return err
 	}
-	return err
+	return s.sync()
 }
 
 // remove removes a file, if it exists, in a way that survives a loss of power.
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -77,6 +77,29 @@
 	}
 }
 
+// A repeated call that fails keeps what the first one has stored.
+func TestFailedRepeatKeepsMaintenance(t *testing.T) {
+	g := startGateway(t, testConfig())
+	tmp := t.TempDir()
+	store, err := NewMaintenanceStore(tmp)
+	if err != nil {
+		t.Fatal(err)
+	}
+	// A link to a device that cannot be synced: the file is there, and a write to it fails.
+	if err := os.Symlink("/dev/full", store.maintenanceFile("s-out")); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Refresh(g.loop); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Set(g.loop, "s-out", true); err == nil {
+		t.Error("a write to a full device succeeds")
+	}
+	if !store.inMaintenance["s-out"] || !persistedMaintenance(t, g.loop, tmp)["s-out"] {
+		t.Error("the maintenance ends with a repeated call that failed")
+	}
+}
+
 // A process that starts after the wall clock was stepped must treat a host as cold whose
 // maintenance ended a moment before.
 func TestEndOfMaintenanceIsKnownAfterClockStep(t *testing.T) {
