--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 	"time"
 )
@@ -129,3 +130,46 @@
 		}
 	}
 }
+
+// An end mark from before a restart of the machine is as old as its file, and at least as old as the
+// machine's boot.
+func TestEndMarkOfEarlierBoot(t *testing.T) {
+	tmp := t.TempDir()
+	g := startGateway(t, testConfig())
+	store, err := NewMaintenanceStore(tmp)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, on := range []bool{true, false} {
+		if err := store.Set(g.loop, "s-1", on); err != nil {
+			t.Fatal(err)
+		}
+	}
+	mark := store.endMarkFile("s-1")
+	text, err := os.ReadFile(mark)
+	if err != nil {
+		t.Fatal(err)
+	}
+	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	if err != nil {
+		t.Fatal(err)
+	}
+	earlier := strings.ReplaceAll(string(text), strings.TrimSpace(string(boot)), "9f0c2c4e-0000-4000-8000-000000000000")
+	if err := os.WriteFile(mark, []byte(earlier), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	fileAge := sinceBoot() + time.Hour
+	for _, tt := range []struct{ age, want time.Duration }{{fileAge, fileAge}, {0, sinceBoot()}, {-time.Hour, sinceBoot()}} {
+		written := time.Now().Add(-tt.age)
+		if err := os.Chtimes(mark, written, written); err != nil {
+			t.Fatal(err)
+		}
+		info, err := os.Stat(mark)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if age := time.Since(maintenanceEndedAt(mark, info)); age < tt.want || age > tt.want+waitTimeout {
+			t.Errorf("file %v old: the maintenance ended %v ago, want %v", tt.age, age, tt.want)
+		}
+	}
+}
