--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -199,7 +199,7 @@
 		defer c.SetWriteDeadline(time.Time{}) // runs before the deferred put above
 	}
 	head, stated := x.encodeHead()
-	p.audit.checkSent(c.host, x, time.Now(), stated, p.drainGrace)
+	p.audit.checkSent(c.host, x, time.Now(), stated, time.Duration(p.drainGrace.Load()))
 	early, err := c.writeRequest(x, head)
 	if err != nil {
 		switch {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -174,6 +174,7 @@
 			return
 		}
 		l.rules.Store(rules)
+		l.pool.setDrainGrace(rules.Settings.DrainGrace)
 	})
 }
 
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -29,8 +29,8 @@
 	maxConns     int // limit on the connections to all hosts together
 	memory       *memoryBudget
 	audit        *Audit
-	drainGrace   time.Duration // an attempt that is sent to a host after it has been unusable for longer counts as a violation in the audit
-	updateSource UpdateSource  // source of changes of the list of hosts; may be nil
+	drainGrace   atomic.Int64 // a time.Duration: an attempt that is sent to a host after it has been unusable for longer counts as a violation in the audit
+	updateSource UpdateSource // source of changes of the list of hosts; may be nil
 
 	mu         sync.Mutex
 	openConns  int               // connections in use, idle connections and dials in progress
@@ -70,7 +70,7 @@
 	acquiredAt time.Time // when the present attempt got the connection
 }
 
-// NewPool returns a Pool with the limits of cfg. Without a drain grace in cfg, it is 1 s.
+// NewPool returns a Pool with the limits of cfg.
 func NewPool(cfg *Config) *Pool {
 	p := &Pool{
 		dialer:      net.Dialer{Timeout: cfg.DialTimeout},
@@ -80,15 +80,21 @@
 		idle:        map[*host][]*conn{},
 		memory:      newMemoryBudget(cfg),
 		audit:       &Audit{},
-		drainGrace:  cfg.Settings.DrainGrace,
-	}
-	if p.drainGrace == 0 {
-		p.drainGrace = time.Second
 	}
+	p.setDrainGrace(cfg.Settings.DrainGrace)
 	p.dial = p.dialer.DialContext
 	return p
 }
 
+// setDrainGrace sets the drain grace by which the audit judges attempts from now on. If grace is 0, it
+// is 1 s.
+func (p *Pool) setDrainGrace(grace time.Duration) {
+	if grace == 0 {
+		grace = time.Second
+	}
+	p.drainGrace.Store(int64(grace))
+}
+
 // DialFunc connects to a host.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
