--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -31,6 +31,7 @@
 	ln := listen(g.T, "127.0.0.1:0", nil)
 	go o.Serve(ln)
 	g.Cleanup(func() { o.http.Close() })
+	until(g.T, "the gateway accepts clients", g.server.accepting.Load)
 	return ln.Addr().String()
 }
 
