--- a/internal/gateway/bans.go
+++ b/internal/gateway/bans.go
@@ -58,19 +58,29 @@
 func (s *MaintenanceStore) Set(loop *Loop, id string, on bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dir != "" {
-		persist := s.persistStart
-		if !on {
-			persist = s.persistEnd
-		}
-		if err := persist(id); err != nil {
-			return err
-		}
+	if err := s.persist(loop, id, on); err != nil {
+		return err
 	}
 	s.apply(loop, id, on)
 	return nil
 }
 
+// persist stores a change, unless maintenance ends with the process.
+func (s *MaintenanceStore) persist(loop *Loop, id string, on bool) error {
+	switch {
+	case s.dir == "":
+		return nil
+	case on:
+		return s.persistStart(id)
+	}
+	if !s.inMaintenance[id] && s.stored(id) {
+		// Another process has put the host into maintenance since this one last read the directory. It
+		// must know that before the end, which makes the host cold.
+		s.apply(loop, id, true)
+	}
+	return s.persistEnd(id)
+}
+
 func (s *MaintenanceStore) maintenanceFile(id string) string {
 	return filepath.Join(s.dir, maintenancePrefix+url.QueryEscape(id))
 }
@@ -78,12 +88,16 @@
 	return filepath.Join(s.dir, endMarkPrefix+url.QueryEscape(id))
 }
 
+// stored returns whether the directory says that a host is in maintenance.
+func (s *MaintenanceStore) stored(id string) bool {
+	_, err := os.Lstat(s.maintenanceFile(id))
+	return err == nil
+}
+
 // persistStart stores that a host is in maintenance and removes its end mark. If it fails, it leaves
 // what was stored before the call; a failure of that is logged.
 func (s *MaintenanceStore) persistStart(id string) error {
-	file := s.maintenanceFile(id)
-	_, err := os.Lstat(file)
-	stored := err == nil
+	file, stored := s.maintenanceFile(id), s.stored(id)
 	if err := s.write(file, ""); err != nil {
 		if !stored { // the file of an earlier call stays, as that maintenance goes on
 			s.removeFailed(file)
@@ -102,9 +116,8 @@
 // in maintenance, it restores what was stored, as well as it can: the restored file is not synced, and
 // a failure to restore is logged.
 func (s *MaintenanceStore) persistEnd(id string) error {
-	// No end mark is written for a host that is not in maintenance as far as this process knows, so
-	// that a repeated call does not make it cold again. That is also so if another process has put it
-	// into maintenance and this one has not polled yet.
+	// No end mark is written for a host that is not in maintenance, so that a repeated call does not make
+	// it cold again.
 	if s.inMaintenance[id] {
 		if err := s.write(s.endMarkFile(id), newEndMark().String()); err != nil {
 			s.removeFailed(s.endMarkFile(id))
--- a/internal/gateway/bans_test.go
+++ b/internal/gateway/bans_test.go
@@ -101,6 +101,30 @@
 	}
 }
 
+// A process ends a maintenance that another one has begun since it last read the directory as any other:
+// the host is cold from then on.
+func TestEndOfMaintenanceOfOtherProcess(t *testing.T) {
+	tmp := t.TempDir()
+	first, second := startGateway(t, testConfig()), startGateway(t, testConfig())
+	stores := map[*testGateway]*MaintenanceStore{}
+	for _, g := range []*testGateway{first, second} {
+		store, err := NewMaintenanceStore(tmp)
+		if err != nil {
+			t.Fatal(err)
+		}
+		stores[g] = store
+	}
+	if err := stores[first].Set(first.loop, "s-1", true); err != nil {
+		t.Fatal(err)
+	}
+	if err := stores[second].Set(second.loop, "s-1", false); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := os.Stat(stores[second].endMarkFile("s-1")); err != nil {
+		t.Errorf("the end of the maintenance has left no mark: %v", err)
+	}
+}
+
 // A process that starts after the wall clock was stepped must treat a host as cold whose
 // maintenance ended a moment before.
 func TestEndOfMaintenanceIsKnownAfterClockStep(t *testing.T) {
