--- a/internal/gateway/host_test.go
+++ b/internal/gateway/host_test.go
@@ -532,6 +532,24 @@
 	}
 }
 
+// Idle connections end with a change of maintenance, and not with a call that changes nothing.
+func TestRepeatedMaintenanceCallKeepsConnections(t *testing.T) {
+	p, host := newTestPool(), newHost(t, answerWith(okAnswer))
+	h := newPoolHost(p, host.addr())
+	for _, tt := range []struct {
+		on   bool
+		idle int
+	}{{false, 1}, {true, 0}, {true, 0}, {false, 0}, {false, 1}} {
+		if !h.inMaintenance {
+			attemptOnce(t, p, h, newExchange("b"))
+		}
+		p.setMaintenance(h, tt.on)
+		if _, idle := p.counts(h); idle != tt.idle {
+			t.Errorf("maintenance set to %t: %d idle connections, want %d", tt.on, idle, tt.idle)
+		}
+	}
+}
+
 // Giving up an attempt closes its connection, so that the host can stop working on it, and nothing
 // else is sent on it.
 func TestUnansweredAttemptIsGivenUp(t *testing.T) {
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -180,13 +180,16 @@
 }
 
 // setMaintenance puts a host into maintenance or ends its maintenance. The host is restarted during
-// maintenance, so its idle connections are of no more use.
+// maintenance, so its idle connections are of no more use then. A repeated call changes nothing.
 func (p *Pool) setMaintenance(h *host, on bool) {
 	p.mu.Lock()
+	changed := h.inMaintenance != on
 	h.inMaintenance = on
 	h.setUsable(h.listedReady && !on)
 	p.mu.Unlock()
-	p.closeIdle(h)
+	if changed {
+		p.closeIdle(h)
+	}
 }
 
 // closeIdleIfSilent is called after an attempt was given up that had written its request at wrote.
