--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -262,7 +262,11 @@
 		} else {
 			delete(l.inMaintenance, id)
 		}
-		if h := l.hosts[hostID(id)]; h != nil && h.id == id { // the hash of another id may be the same
+		h := l.hosts[hostID(id)]
+		if h != nil && h.id != id {
+			return // the hash is the same, but the host is another
+		}
+		if h != nil {
 			l.pool.setMaintenance(h, on)
 		}
 		l.balancer.SetMaintenance(now, hostID(id), on)
@@ -296,6 +300,8 @@
 				h = &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
 				l.hosts[e.ID] = h
 				l.everListed[m.ID] = true
+				// The maintenance that the Balancer knows may be that of another id with the same hash.
+				l.balancer.SetMaintenance(now, e.ID, h.inMaintenance)
 				// The Balancer's log lines name a host by its number, so the number of each host is
 				// logged. One line per host is not too many.
 				slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(e.ID), 16), "addr", m.Addr)
