--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -18,16 +18,16 @@
 // startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
-	bans, err := NewMaintenanceStore(dir)
+	store, err := NewMaintenanceStore(dir)
 	if err != nil {
 		g.Fatal(err)
 	}
-	return g.startOperatorWith(bans, shared)
+	return g.startOperatorWith(store, shared)
 }
 
-func (g *testGateway) startOperatorWith(bans *MaintenanceStore, shared bool) string {
+func (g *testGateway) startOperatorWith(store *MaintenanceStore, shared bool) string {
 	g.Helper()
-	o := NewOperator(g.loop, g.server, bans, shared)
+	o := NewOperator(g.loop, g.server, store, shared)
 	ln := listen(g.T, "127.0.0.1:0", nil)
 	go o.Serve(ln)
 	g.Cleanup(func() { o.http.Close() })
@@ -104,8 +104,8 @@
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
-	bans, _ := NewMaintenanceStore("")
-	o := NewOperator(g.loop, g.server, bans, false)
+	store, _ := NewMaintenanceStore("")
+	o := NewOperator(g.loop, g.server, store, false)
 	o.http.ReadTimeout = time.Hour // silent callers stay connected, so no answer has waited for their end
 	ln := listen(t, "127.0.0.1:0", nil)
 	go o.Serve(ln)
@@ -173,18 +173,18 @@
 		cfg := testConfig()
 		cfg.Known.Servers = []Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
-		bans, err := NewMaintenanceStore(dir)
+		store, err := NewMaintenanceStore(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := bans.Refresh(g.loop); err != nil {
+		if err := store.Refresh(g.loop); err != nil {
 			t.Fatal(err)
 		}
 		g.loop.Sync()
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
-		go bans.Watch(g.loop, ctx.Done())
-		return g, g.startOperatorWith(bans, true)
+		go store.Watch(g.loop, ctx.Done())
+		return g, g.startOperatorWith(store, true)
 	}
 	old, oldAddr := start()
 	path := "/hosts/..%2Fs%2F0%25/"
