--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -110,6 +110,7 @@
 	ln := listen(t, "127.0.0.1:0", nil)
 	go o.Serve(ln)
 	defer o.http.Close()
+	until(t, "the gateway accepts clients", g.server.accepting.Load)
 	addr := ln.Addr().String()
 	for i := range 3 * maxOperatorConns {
 		c, err := net.Dial("tcp", addr)
