--- /dev/null
+++ b/internal/gateway/loop_hosts.go
@@ -0,0 +1,142 @@
+package gateway
+
+import (
+	"hash/fnv"
+	"log/slog"
+	"strconv"
+	"time"
+
+	"bramblelock"
+)
+
+// hostKnown returns whether a host was ever listed, or is in maintenance. It returns false if Run has
+// returned.
+func (l *Loop) hostKnown(id string) (known bool) {
+	answer := make(chan bool, 1)
+	l.post(func(bramblelock.Time) { answer <- l.everListed[id] || l.inMaintenance[id] })
+	select {
+	case known = <-answer:
+	case <-l.done:
+	}
+	return known
+}
+
+// setMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
+// so the change is not in force on return, but once a later Sync has returned. Attempts that wait for a connection
+// to a host in maintenance are not sent: Pool.permit stops them before their first byte. The id is
+// stored even if the host is not listed, as it may be listed later.
+func (l *Loop) setMaintenance(id string, on bool) {
+	l.post(func(now bramblelock.Time) {
+		if on {
+			l.inMaintenance[id] = true
+		} else {
+			delete(l.inMaintenance, id)
+		}
+		h := l.hosts[hostID(id)]
+		if h != nil && h.id != id {
+			return // the hash is the same, but the host is another
+		}
+		if h != nil {
+			l.pool.setMaintenance(h, on)
+		}
+		l.balancer.SetMaintenance(now, hostID(id), on)
+		l.updateReady()
+	})
+}
+
+// maintenanceEnded reports to the Balancer that the maintenance of a host ended at the given time, by
+// an operator's call to another process of this instance.
+func (l *Loop) maintenanceEnded(id string, at time.Time) {
+	l.post(func(now bramblelock.Time) { l.balancer.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
+}
+
+// applyList updates the hosts from a list, or from changes of it, and passes them to the Balancer. For
+// a loss of discovery there are no entries, and only the kind is passed.
+func (l *Loop) applyList(now bramblelock.Time, kind bramblelock.ListKind, list MemberList) {
+	if !kind.IsLoss() {
+		listed := map[bramblelock.HostID]bool{}
+		entries := make([]bramblelock.Host, 0, len(list.Servers))
+		var gone []bramblelock.HostID
+		for i := range list.Servers {
+			m := &list.Servers[i]
+			e := bramblelock.Host{
+				ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
+				State: m.hostState(),
+			}
+			h := l.hosts[e.ID]
+			if h == nil && e.State == bramblelock.Removed {
+				continue // the host was removed before this process knew it
+			} else if h == nil {
+				h = &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
+				l.hosts[e.ID] = h
+				l.everListed[m.ID] = true
+				// The maintenance that the Balancer knows may be that of another id with the same hash.
+				l.balancer.SetMaintenance(now, e.ID, h.inMaintenance)
+				// The Balancer's log lines name a host by its number, so the number of each host is
+				// logged. One line per host is not too many.
+				slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(e.ID), 16), "addr", m.Addr)
+			} else if h.id != m.ID {
+				// Two names with one HostID would be taken for one host.
+				slog.Error("host ignored: the hash of its id collides with another host's", "host", m.ID, "other", h.id)
+				continue
+			}
+			if h.startedMS != m.StartedMS { // most lists state the same start time again
+				h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
+			}
+			e.Started = h.startedAt
+			listed[e.ID] = true
+			entries = append(entries, e)
+			l.pool.updateHost(h, m.Addr, m.StartedMS, e.State == bramblelock.Ready)
+			if e.State == bramblelock.Removed {
+				gone = append(gone, e.ID)
+			}
+		}
+		if kind != bramblelock.ListChanges {
+			for id, h := range l.hosts {
+				if !listed[id] {
+					gone = append(gone, id)
+					l.pool.updateHost(h, "", 0, false)
+				}
+			}
+		}
+		l.balancer.UpdateHosts(now, kind, entries)
+		for _, id := range gone {
+			delete(l.hosts, id) // attempts in flight keep a reference to it
+		}
+	} else {
+		l.balancer.UpdateHosts(now, kind, nil)
+		return
+	}
+	l.updateReady()
+	if kind == bramblelock.ListFull || kind == bramblelock.ListChanges {
+		l.firstListOnce.Do(func() { close(l.firstList) })
+	}
+}
+
+// updateReady sets l.ready to whether any host is usable.
+func (l *Loop) updateReady() {
+	ready := false
+	for _, h := range l.hosts {
+		ready = ready || h.usable.Load()
+	}
+	l.ready.Store(ready)
+}
+
+// hostID returns the number by which the Balancer knows a host: a hash of its id, so that the number
+// is the same at every gateway and after a restart.
+func hostID(id string) bramblelock.HostID {
+	h := fnv.New64a()
+	h.Write([]byte(id))
+	return bramblelock.HostID(h.Sum64())
+}
+
+// nameIndex returns the index of the name of a zone or a kind. A name that is not in the settings is
+// added with the next free index, so that two unknown zones do not count as one.
+func nameIndex(index map[string]int, name string) int {
+	n, ok := index[name]
+	if !ok {
+		n = len(index)
+		index[name] = n
+	}
+	return n
+}
