--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -22,9 +22,9 @@
 }
 
 // setMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
-// so the change is not in force on return, but once a later Sync has returned. Attempts that wait for a connection
-// to a host in maintenance are not sent: Pool.permit stops them before their first byte. The id is
-// stored even if the host is not listed, as it may be listed later.
+// so the change is not in force on return, but once a later Sync has returned. Attempts that wait for a
+// connection to a host in maintenance are not sent: Pool.permit stops them before their first byte. The
+// id is stored even if the host is not listed, as it may be listed later.
 func (l *Loop) setMaintenance(id string, on bool) {
 	l.post(func(now bramblelock.Time) {
 		if on {
@@ -53,66 +53,94 @@
 // applyList updates the hosts from a list, or from changes of it, and passes them to the Balancer. For
 // a loss of discovery there are no entries, and only the kind is passed.
 func (l *Loop) applyList(now bramblelock.Time, kind bramblelock.ListKind, list MemberList) {
-	if !kind.IsLoss() {
-		listed := map[bramblelock.HostID]bool{}
-		entries := make([]bramblelock.Host, 0, len(list.Servers))
-		var gone []bramblelock.HostID
-		for i := range list.Servers {
-			m := &list.Servers[i]
-			e := bramblelock.Host{
-				ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
-				State: m.hostState(),
-			}
-			h := l.hosts[e.ID]
-			if h == nil && e.State == bramblelock.Removed {
-				continue // the host was removed before this process knew it
-			} else if h == nil {
-				h = &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
-				l.hosts[e.ID] = h
-				l.everListed[m.ID] = true
-				// The maintenance that the Balancer knows may be that of another id with the same hash.
-				l.balancer.SetMaintenance(now, e.ID, h.inMaintenance)
-				// The Balancer's log lines name a host by its number, so the number of each host is
-				// logged. One line per host is not too many.
-				slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(e.ID), 16), "addr", m.Addr)
-			} else if h.id != m.ID {
-				// Two names with one HostID would be taken for one host.
-				slog.Error("host ignored: the hash of its id collides with another host's", "host", m.ID, "other", h.id)
-				continue
-			}
-			if h.startedMS != m.StartedMS { // most lists state the same start time again
-				h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
-			}
-			e.Started = h.startedAt
-			listed[e.ID] = true
-			entries = append(entries, e)
-			l.pool.updateHost(h, m.Addr, m.StartedMS, e.State == bramblelock.Ready)
-			if e.State == bramblelock.Removed {
-				gone = append(gone, e.ID)
-			}
-		}
-		if kind != bramblelock.ListChanges {
-			for id, h := range l.hosts {
-				if !listed[id] {
-					gone = append(gone, id)
-					l.pool.updateHost(h, "", 0, false)
-				}
-			}
-		}
-		l.balancer.UpdateHosts(now, kind, entries)
-		for _, id := range gone {
-			delete(l.hosts, id) // attempts in flight keep a reference to it
-		}
-	} else {
+	if kind.IsLoss() {
 		l.balancer.UpdateHosts(now, kind, nil)
 		return
 	}
+	entries := make([]bramblelock.Host, 0, len(list.Servers))
+	for i := range list.Servers {
+		if entry, ok := l.applyMember(now, &list.Servers[i]); ok {
+			entries = append(entries, entry)
+		}
+	}
+	gone := removedHosts(entries)
+	if kind != bramblelock.ListChanges { // the list is whole
+		gone = append(gone, l.takeOutUnlisted(entries)...)
+	}
+	l.balancer.UpdateHosts(now, kind, entries)
+	for _, id := range gone {
+		delete(l.hosts, id) // attempts in flight keep a reference to it
+	}
 	l.updateReady()
 	if kind == bramblelock.ListFull || kind == bramblelock.ListChanges {
 		l.firstListOnce.Do(func() { close(l.firstList) })
 	}
 }
 
+// applyMember updates one host from its entry in a list and returns the entry for the Balancer. ok is
+// false if the entry does not count.
+func (l *Loop) applyMember(now bramblelock.Time, m *Member) (entry bramblelock.Host, ok bool) {
+	entry = bramblelock.Host{
+		ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
+		State: m.hostState(),
+	}
+	h := l.hosts[entry.ID]
+	switch {
+	case h == nil && entry.State == bramblelock.Removed:
+		return entry, false // the host was removed before this process knew it
+	case h == nil:
+		h = l.addHost(now, entry.ID, m)
+	case h.id != m.ID:
+		// Two names with one HostID would be taken for one host.
+		slog.Error("host ignored: the hash of its id collides with another host's", "host", m.ID, "other", h.id)
+		return entry, false
+	}
+	if h.startedMS != m.StartedMS { // most lists state the same start time again
+		h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
+	}
+	entry.Started = h.startedAt
+	l.pool.updateHost(h, m.Addr, m.StartedMS, entry.State == bramblelock.Ready)
+	return entry, true
+}
+
+// addHost adds a host that a list names and that is not known.
+func (l *Loop) addHost(now bramblelock.Time, id bramblelock.HostID, m *Member) *host {
+	h := &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
+	l.hosts[id] = h
+	l.everListed[m.ID] = true
+	// The maintenance that the Balancer knows may be that of another id with the same hash.
+	l.balancer.SetMaintenance(now, id, h.inMaintenance)
+	// The Balancer's log lines name a host by its number, so the number of each host is logged. One line
+	// per host is not too many.
+	slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(id), 16), "addr", m.Addr)
+	return h
+}
+
+// removedHosts returns the hosts that entries of a list remove.
+func removedHosts(entries []bramblelock.Host) (ids []bramblelock.HostID) {
+	for i := range entries {
+		if entries[i].State == bramblelock.Removed {
+			ids = append(ids, entries[i].ID)
+		}
+	}
+	return ids
+}
+
+// takeOutUnlisted takes the hosts without an entry in a whole list out of use and returns them.
+func (l *Loop) takeOutUnlisted(entries []bramblelock.Host) (ids []bramblelock.HostID) {
+	listed := make(map[bramblelock.HostID]bool, len(entries))
+	for i := range entries {
+		listed[entries[i].ID] = true
+	}
+	for id, h := range l.hosts {
+		if !listed[id] {
+			ids = append(ids, id)
+			l.pool.updateHost(h, "", 0, false)
+		}
+	}
+	return ids
+}
+
 // updateReady sets l.ready to whether any host is usable.
 func (l *Loop) updateReady() {
 	ready := false
