--- a/internal/gateway/maintenance_test.go
+++ b/internal/gateway/maintenance_test.go
@@ -11,18 +11,25 @@
 	"bramblelock"
 )
 
-// persistedMaintenance returns the ids of the hosts that a process that starts now takes to be in
-// maintenance.
-func persistedMaintenance(t *testing.T, loop *Loop, tmp string) map[string]bool {
+// newMaintenanceStore returns a store in a directory, as a process that starts now has it.
+func newMaintenanceStore(t *testing.T, tmp string) *MaintenanceStore {
 	t.Helper()
-	b, err := NewMaintenanceStore(tmp)
+	store, err := NewMaintenanceStore(tmp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Refresh(loop); err != nil {
+	return store
+}
+
+// persistedMaintenance returns the ids of the hosts that a process that starts now takes to be in
+// maintenance.
+func persistedMaintenance(t *testing.T, loop *Loop, tmp string) map[string]bool {
+	t.Helper()
+	store := newMaintenanceStore(t, tmp)
+	if err := store.Refresh(loop); err != nil {
 		t.Fatal(err)
 	}
-	return b.inMaintenance
+	return store.inMaintenance
 }
 
 // An operator's call that fails because the directory cannot be written must change nothing,
@@ -30,10 +37,7 @@
 func TestFailedMaintenanceChangesNothing(t *testing.T) {
 	g := startGateway(t, testConfig())
 	tmp := t.TempDir()
-	store, err := NewMaintenanceStore(tmp)
-	if err != nil {
-		t.Fatal(err)
-	}
+	store := newMaintenanceStore(t, tmp)
 	if err := store.Set(g.loop, "s-out", true); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +78,7 @@
 	clear(maintenancePrefix + "s-new")
 
 	block(endMarkPrefix + "s-other") // the earlier mark cannot be removed: the maintenance is stored all the same
-	err = store.Set(g.loop, "s-other", true)
+	err := store.Set(g.loop, "s-other", true)
 	if stored := persistedMaintenance(t, g.loop, tmp)["s-other"]; stored != (err == nil) || store.inMaintenance["s-other"] != stored {
 		t.Errorf("the call returns %v, the maintenance is stored: %t, and in force: %t", err, stored, store.inMaintenance["s-other"])
 	}
@@ -84,10 +88,7 @@
 func TestFailedRepeatKeepsMaintenance(t *testing.T) {
 	g := startGateway(t, testConfig())
 	tmp := t.TempDir()
-	store, err := NewMaintenanceStore(tmp)
-	if err != nil {
-		t.Fatal(err)
-	}
+	store := newMaintenanceStore(t, tmp)
 	// A link to a device that cannot be synced: the file is there, and a write to it fails.
 	if err := os.Symlink("/dev/full", store.maintenanceFile("s-out")); err != nil {
 		t.Fatal(err)
@@ -108,21 +109,14 @@
 func TestEndOfMaintenanceOfOtherProcess(t *testing.T) {
 	tmp := t.TempDir()
 	first, second := startGateway(t, testConfig()), startGateway(t, testConfig())
-	stores := map[*testGateway]*MaintenanceStore{}
-	for _, g := range []*testGateway{first, second} {
-		store, err := NewMaintenanceStore(tmp)
-		if err != nil {
-			t.Fatal(err)
-		}
-		stores[g] = store
-	}
-	if err := stores[first].Set(first.loop, "s-1", true); err != nil {
+	if err := newMaintenanceStore(t, tmp).Set(first.loop, "s-1", true); err != nil {
 		t.Fatal(err)
 	}
-	if err := stores[second].Set(second.loop, "s-1", false); err != nil {
+	store := newMaintenanceStore(t, tmp)
+	if err := store.Set(second.loop, "s-1", false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(stores[second].endMarkFile("s-1")); err != nil {
+	if _, err := os.Stat(store.endMarkFile("s-1")); err != nil {
 		t.Errorf("the end of the maintenance has left no mark: %v", err)
 	}
 }
@@ -132,10 +126,7 @@
 func TestEndOfMaintenanceIsKnownAfterClockStep(t *testing.T) {
 	tmp := t.TempDir()
 	g := startGateway(t, testConfig())
-	store, err := NewMaintenanceStore(tmp)
-	if err != nil {
-		t.Fatal(err)
-	}
+	store := newMaintenanceStore(t, tmp)
 	for _, on := range []bool{true, false} {
 		if err := store.Set(g.loop, "s-1", on); err != nil {
 			t.Fatal(err)
@@ -162,10 +153,7 @@
 func TestEndMarkOfEarlierBoot(t *testing.T) {
 	tmp := t.TempDir()
 	g := startGateway(t, testConfig())
-	store, err := NewMaintenanceStore(tmp)
-	if err != nil {
-		t.Fatal(err)
-	}
+	store := newMaintenanceStore(t, tmp)
 	for _, on := range []bool{true, false} {
 		if err := store.Set(g.loop, "s-1", on); err != nil {
 			t.Fatal(err)
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -18,11 +18,7 @@
 // startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
-	store, err := NewMaintenanceStore(dir)
-	if err != nil {
-		g.Fatal(err)
-	}
-	return g.startOperatorWith(store, shared)
+	return g.startOperatorWith(newMaintenanceStore(g.T, dir), shared)
 }
 
 func (g *testGateway) startOperatorWith(store *MaintenanceStore, shared bool) string {
@@ -104,7 +100,7 @@
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
-	store, _ := NewMaintenanceStore("")
+	store := newMaintenanceStore(t, "")
 	o := NewOperator(g.loop, g.server, store, false)
 	o.http.ReadTimeout = time.Hour // silent callers stay connected, so no answer has waited for their end
 	ln := listen(t, "127.0.0.1:0", nil)
@@ -174,10 +170,7 @@
 		cfg := testConfig()
 		cfg.Known.Servers = []Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
-		store, err := NewMaintenanceStore(dir)
-		if err != nil {
-			t.Fatal(err)
-		}
+		store := newMaintenanceStore(t, dir)
 		if err := store.Refresh(g.loop); err != nil {
 			t.Fatal(err)
 		}
