--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -32,35 +32,61 @@
 // after its head. Any other answer that cannot be verified to be complete is an error and is not
 // served.
 func (c *conn) readAnswer(method string, memory *memoryBudget) (status int, a answer, keep bool, err error) {
+	resp, err := c.readAnswerHead(method)
+	if err != nil {
+		return 0, answer{}, false, err
+	}
+	a = answer{kind: answerServed, header: resp.Header}
+	if resp.StatusCode == http.StatusOK {
+		err = c.readAnswerBody(resp, &a, memory)
+	} else {
+		err = c.skipAnswerBody(resp)
+	}
+	if err != nil {
+		return 0, answer{}, false, err
+	}
+	return resp.StatusCode, a, !resp.Close, nil
+}
+
+// readAnswerHead reads the head of an answer. It skips informational responses, which precede the
+// answer.
+func (c *conn) readAnswerHead(method string) (*http.Response, error) {
 	c.limited.N = maxHeadBytes
-	var resp *http.Response
 	for {
 		badFraming := c.http10TransferEncoding()
-		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
-		if err != nil && c.limited.N <= 0 {
-			return 0, a, false, errBadAnswer // the head is too long
-		} else if err != nil {
-			return 0, a, false, err
-		} else if resp.ProtoMajor != 1 || badFraming {
-			return 0, a, false, errBadAnswer // its body is not framed as its head says
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		switch {
+		case err != nil && c.limited.N <= 0:
+			return nil, errBadAnswer // the head is too long
+		case err != nil:
+			return nil, err
+		case resp.ProtoMajor != 1 || badFraming:
+			return nil, errBadAnswer // its body is not framed as its head says
 		}
 		if resp.StatusCode >= 200 {
-			break // informational responses precede the answer
+			c.limited.N = math.MaxInt64
+			return resp, nil
 		}
 	}
-	c.limited.N = math.MaxInt64
-	a = answer{kind: answerServed, header: resp.Header}
-	if resp.StatusCode != http.StatusOK {
-		// Only the head is used. The body is read so that the connection can carry the next
-		// request.
-		switch n, err := io.CopyN(io.Discard, resp.Body, maxBufferedBytes+1); {
-		case n > maxBufferedBytes || err == io.EOF && c.reader.Buffered() > 0:
-			return 0, answer{}, false, errBadAnswer // too long, or longer than announced
-		case err != io.EOF:
-			return 0, answer{}, false, err
-		}
-		return resp.StatusCode, a, !resp.Close, nil
+}
+
+// skipAnswerBody reads the body of an answer of which only the head is used, so that the connection can
+// carry the next request.
+func (c *conn) skipAnswerBody(resp *http.Response) error {
+	n, err := io.CopyN(io.Discard, resp.Body, maxBufferedBytes+1)
+	switch {
+	case n > maxBufferedBytes:
+		return errBadAnswer // too long
+	case err == io.EOF && c.reader.Buffered() > 0:
+		return errBadAnswer // longer than announced
+	case err != io.EOF:
+		return err
 	}
+	return nil
+}
+
+// readAnswerBody sets the body or the stream of an answer. If it fails, it sets neither.
+func (c *conn) readAnswerBody(resp *http.Response, a *answer, memory *memoryBudget) error {
 	st := &stream{conn: c, body: resp.Body, length: resp.ContentLength, done: make(chan error, 1)}
 	size := maxBufferedBytes
 	if st.length >= 0 && st.length < maxBufferedBytes {
@@ -70,50 +96,52 @@
 		// The first byte of the body must have arrived before the stream begins: until then the
 		// request can be retried.
 		if _, err := c.reader.Peek(1); err != nil {
-			return 0, a, false, err
+			return err
 		}
 		a.stream = st
-		return resp.StatusCode, a, !resp.Close, nil
+		return nil
+	}
+	body, whole, err := c.bufferAnswerBody(resp, size)
+	if err != nil {
+		memory.release(size)
+		return err
 	}
 	a.release = func() { memory.release(size) }
-	defer func() {
-		if err != nil {
-			a.discard()
-			a = answer{}
-		}
-	}()
+	if whole {
+		a.body = body
+	} else {
+		st.prefix, a.stream = body, st
+	}
+	return nil
+}
+
+// bufferAnswerBody reads the body of an answer until it is complete, too long to be buffered or, if its
+// length is unknown, incomplete streamDelay after its head. whole says whether it is complete. size is
+// the expected length.
+func (c *conn) bufferAnswerBody(resp *http.Response, size int) (body []byte, whole bool, err error) {
 	streamAt := time.Now().Add(streamDelay)
-	buf := make([]byte, 0, min(size+1, 4<<10))
-	for {
-		if st.length < 0 && len(buf) > 0 {
-			more, err := c.waitForMore(streamAt)
-			if err != nil {
-				return 0, a, false, err
-			}
-			if !more {
-				break
+	body = make([]byte, 0, min(size+1, 4<<10))
+	for len(body) <= maxBufferedBytes {
+		if resp.ContentLength < 0 && len(body) > 0 {
+			if more, err := c.waitForMore(streamAt); err != nil || !more {
+				return body, false, err
 			}
 		}
-		if len(buf) == cap(buf) {
-			buf = slices.Grow(buf, len(buf))
+		if len(body) == cap(body) {
+			body = slices.Grow(body, len(body))
 		}
-		n, err := resp.Body.Read(buf[len(buf):min(cap(buf), maxBufferedBytes+1)])
-		buf = buf[:len(buf)+n]
+		n, err := resp.Body.Read(body[len(body):min(cap(body), maxBufferedBytes+1)])
+		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF && c.reader.Buffered() > 0:
-			return 0, a, false, errBadAnswer // longer than announced
+			return nil, false, errBadAnswer // longer than announced
 		case err == io.EOF:
-			a.body = buf
-			return resp.StatusCode, a, !resp.Close, nil
+			return body, true, nil
 		case err != nil:
-			return 0, a, false, err
-		}
-		if len(buf) > maxBufferedBytes {
-			break
+			return nil, false, err
 		}
 	}
-	st.prefix, a.stream = buf, st
-	return resp.StatusCode, a, !resp.Close, nil
+	return body, false, nil
 }
 
 // http10TransferEncoding returns whether the next answer is an HTTP/1.0 one with a
