--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -22,6 +22,9 @@
 	pathAudit       = "/audit"
 	pathHosts       = "/hosts/" // followed by ID/maint or ID/ready
 
+	actionMaintenance = "maint" // puts a host into maintenance
+	actionReady       = "ready" // ends the maintenance
+
 	// An answer is due within 1 s of a call. A peer that sends no call holds a connection for
 	// operatorReadTimeout at most, and only while there are no more than maxOperatorConns.
 	operatorReadTimeout  = 1500 * time.Millisecond
@@ -96,67 +99,117 @@
 	}
 }
 
+// The reasons for which calls are refused.
+var (
+	errCallIncomplete = errors.New("the call did not come whole")
+	errNoSuchCall     = errors.New("there is no such call")
+	errMembershipOff  = errors.New("membership is off")
+	errHostNotListed  = errors.New("no such host was ever listed")
+)
+
 // serve answers one call.
 func (o *Operator) serve(w http.ResponseWriter, r *http.Request) {
-	refuse := func(status int, err error) {
-		o.rejectLog.warn("operator's call refused", "method", r.Method, "path", r.URL.Path, "status", status, "err", err)
-		http.Error(w, err.Error(), status)
-	}
 	if _, unambiguous := takeRequestHead(r); !unambiguous {
-		refuse(http.StatusBadRequest, errAmbiguous)
+		o.refuse(w, r, http.StatusBadRequest, errAmbiguous)
 		return
 	}
 	// A call that does not arrive whole, or has a long body, is refused.
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxOperatorBodyBytes)); err != nil {
-		refuse(http.StatusBadRequest, errors.New("the call did not come whole"))
+		o.refuse(w, r, http.StatusBadRequest, errCallIncomplete)
 		return
 	}
 	path := r.URL.EscapedPath()
-	method := http.MethodPut
+	switch path {
+	case pathHealthcheck:
+		o.serveGet(w, r, o.serveHealthcheck)
+	case pathAudit:
+		o.serveGet(w, r, o.serveAudit)
+	case pathMembership:
+		o.serveGet(w, r, o.serveMembers)
+	default:
+		o.serveHostCall(w, r, path)
+	}
+}
+
+// refuse answers a call that is not carried out.
+func (o *Operator) refuse(w http.ResponseWriter, r *http.Request, status int, err error) {
+	o.rejectLog.warn("operator's call refused", "method", r.Method, "path", r.URL.Path, "status", status, "err", err)
+	http.Error(w, err.Error(), status)
+}
+
+// allow returns whether a call has the method that it takes. If not, allow refuses the call.
+func (o *Operator) allow(w http.ResponseWriter, r *http.Request, method string) bool {
+	if r.Method == method {
+		return true
+	}
+	w.Header().Set("Allow", method)
+	o.refuse(w, r, http.StatusMethodNotAllowed, fmt.Errorf("the call takes %s", method))
+	return false
+}
+
+// serveGet answers a call with the method GET by handler.
+func (o *Operator) serveGet(w http.ResponseWriter, r *http.Request, handler http.HandlerFunc) {
+	if o.allow(w, r, http.MethodGet) {
+		handler(w, r)
+	}
+}
+
+// serveHealthcheck reports whether this process is ready to serve.
+func (o *Operator) serveHealthcheck(w http.ResponseWriter, _ *http.Request) {
+	if err := o.server.Healthy(); err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	io.WriteString(w, "ok\n")
+}
+
+// serveAudit answers with the counters of the audit.
+func (o *Operator) serveAudit(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, o.loop.Audit.Counters())
+}
+
+// serveMembers answers with the membership view.
+func (o *Operator) serveMembers(w http.ResponseWriter, r *http.Request) {
+	if o.Members == nil {
+		o.refuse(w, r, http.StatusNotFound, errMembershipOff)
+		return
+	}
+	writeJSON(w, o.Members())
+}
+
+// serveHostCall puts a host into maintenance or ends its maintenance.
+func (o *Operator) serveHostCall(w http.ResponseWriter, r *http.Request, path string) {
 	id, action, ok := parseHostCall(path)
-	if path == pathHealthcheck || path == pathMembership || path == pathAudit {
-		method, ok = http.MethodGet, true
+	if !ok {
+		o.refuse(w, r, http.StatusNotFound, errNoSuchCall)
+		return
 	}
-	switch {
-	case !ok:
-		refuse(http.StatusNotFound, errors.New("there is no such call"))
-	case r.Method != method:
-		w.Header().Set("Allow", method)
-		refuse(http.StatusMethodNotAllowed, fmt.Errorf("the call takes %s", method))
-	case path == pathHealthcheck:
-		if err := o.server.Healthy(); err != nil {
-			http.Error(w, err.Error(), http.StatusServiceUnavailable)
-			return
-		}
-		io.WriteString(w, "ok\n")
-	case path == pathAudit:
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(o.loop.Audit.Counters())
-	case path == pathMembership:
-		if o.Members == nil {
-			refuse(http.StatusNotFound, errors.New("membership is off"))
-			return
-		}
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(o.Members())
-	case !o.loop.hostKnown(id):
-		refuse(http.StatusNotFound, errors.New("no such host was ever listed"))
-	default:
-		if err := o.maintenance.Set(o.loop, id, action == "maint"); err != nil {
-			slog.Error("failed to change the maintenance of a host", "host", id, "call", action, "err", err)
-			http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
-			return
-		}
-		// The loop handles its events in order, so the change is in force once Sync returns.
-		o.loop.Sync()
-		time.Sleep(o.propagationDelay)
-		slog.Info("maintenance of a host", "host", id, "call", action)
-		io.WriteString(w, "ok\n")
+	if !o.allow(w, r, http.MethodPut) {
+		return
+	}
+	if !o.loop.hostKnown(id) {
+		o.refuse(w, r, http.StatusNotFound, errHostNotListed)
+		return
 	}
+	if err := o.maintenance.Set(o.loop, id, action == actionMaintenance); err != nil {
+		slog.Error("failed to change the maintenance of a host", "host", id, "call", action, "err", err)
+		http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
+		return
+	}
+	// The loop handles its events in order, so the change is in force once Sync returns.
+	o.loop.Sync()
+	time.Sleep(o.propagationDelay)
+	slog.Info("maintenance of a host", "host", id, "call", action)
+	io.WriteString(w, "ok\n")
+}
+
+func writeJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	json.NewEncoder(w).Encode(value)
 }
 
 // parseHostCall parses the path of a call that concerns a host: pathHosts, the escaped id of the
-// host, a slash, and the action "maint" or "ready".
+// host, a slash, and the action.
 func parseHostCall(path string) (id, action string, ok bool) {
 	rest, ok := strings.CutPrefix(path, pathHosts)
 	if !ok {
@@ -164,5 +217,5 @@
 	}
 	id, action, _ = strings.Cut(rest, "/")
 	id, err := url.PathUnescape(id)
-	return id, action, err == nil && id != "" && (action == "maint" || action == "ready")
+	return id, action, err == nil && id != "" && (action == actionMaintenance || action == actionReady)
 }
