--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -3,11 +3,8 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -96,7 +93,7 @@
 				return bramblelock.ConnectFailed, answer{}
 			}
 			return unsentResult(ctx), answer{}
-		case err == errTooManyConns || isLocalFailure(err):
+		case errors.Is(err, errTooManyConns) || isLocalFailure(err):
 			return bramblelock.NotSent, answer{} // this machine lacks resources; it says nothing of the host
 		case err != nil:
 			return bramblelock.ConnectFailed, answer{}
@@ -202,21 +199,7 @@
 	p.audit.checkSent(c.host, x, time.Now(), stated, time.Duration(p.drainGrace.Load()))
 	early, err := c.writeRequest(x, head)
 	if err != nil {
-		switch {
-		case errors.Is(err, errClientBody):
-			// Nothing ran, and the host is not to blame.
-			x.finish(answer{kind: answerRejected, err: err})
-			return bramblelock.NotSent, answer{}
-		case ctx.Err() != nil:
-			return unsentResult(ctx), answer{}
-		}
-		if isLocalFailure(err) {
-			return bramblelock.NotSent, answer{}
-		}
-		if x.upload != nil {
-			att.chargedTime = max(1, c.acquiredAt.Sub(att.chargedFrom)) // the time since then was the client's, whose body was being sent
-		}
-		return bramblelock.ConnectFailed, answer{}
+		return c.writeFailure(ctx, x, att, err), answer{}
 	}
 	wrote := time.Now()
 	att.conn, att.writtenAt = c, wrote
@@ -226,32 +209,18 @@
 		att.onUploadComplete()
 	}
 	status, a, keep, err := c.readAnswer(x.method, p.memory)
-	if early {
-		keep = false // the host would take the next request for the missing part of this one
+	if err != nil {
+		if ctx.Err() != nil {
+			p.closeIdleIfSilent(c.host, wrote)
+		}
+		return readFailure(ctx, early, err), answer{}
 	}
-	if err == nil && a.stream == nil {
+	if a.stream == nil {
 		att.chargedTime = c.answerDuration(att.chargedFrom, wrote)
 	}
-	if err != nil && ctx.Err() != nil {
-		p.closeIdleIfSilent(c.host, wrote)
-	}
-	switch {
-	case err == nil:
-		p.mu.Lock()
-		c.host.lastAnswerAt = time.Now()
-		p.mu.Unlock()
-	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		return bramblelock.TimedOut, answer{}
-	case ctx.Err() != nil:
-		return bramblelock.Canceled, answer{}
-	case isLocalFailure(err):
-		return bramblelock.Canceled, answer{} // it may have run, and the failure says nothing of the host
-	case early && isConnError(err):
-		return bramblelock.ConnectFailed, answer{}
-	case isConnError(err):
-		return bramblelock.Reset, answer{}
-	default:
-		return bramblelock.Failed, answer{} // the host sent an invalid answer
+	p.recordAnswer(c.host)
+	if early {
+		keep = false // the host would take the next request for the missing part of this one
 	}
 	switch {
 	case status == http.StatusOK && early:
@@ -265,14 +234,63 @@
 		return bramblelock.OK, a
 	}
 	a.discard()
+	return errorResult(status, a.header), answer{}
+}
+
+// writeFailure returns the result of an attempt whose request was not written whole.
+func (c *conn) writeFailure(ctx context.Context, x *exchange, att *attempt, err error) bramblelock.Result {
 	switch {
-	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
-		a.header.Get(notProcessedHeader) == "1":
-		return bramblelock.Full, answer{}
-	case status == http.StatusBadRequest || status == http.StatusNotFound:
-		return bramblelock.Rejected, answer{} // the only statuses with which hosts reject an invalid request
+	case errors.Is(err, errClientBody):
+		// Nothing ran, and the host is not to blame.
+		x.finish(answer{kind: answerRejected, err: err})
+		return bramblelock.NotSent
+	case ctx.Err() != nil:
+		return unsentResult(ctx)
+	case isLocalFailure(err):
+		return bramblelock.NotSent
+	}
+	if x.upload != nil {
+		att.chargedTime = max(1, c.acquiredAt.Sub(att.chargedFrom)) // the time since then was the client's, whose body was being sent
 	}
-	return bramblelock.Failed, answer{}
+	return bramblelock.ConnectFailed
+}
+
+// readFailure returns the result of an attempt whose answer was not read whole. early means that the
+// request was not written whole.
+func readFailure(ctx context.Context, early bool, err error) bramblelock.Result {
+	switch {
+	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
+		return bramblelock.TimedOut
+	case ctx.Err() != nil:
+		return bramblelock.Canceled
+	case isLocalFailure(err):
+		return bramblelock.Canceled // it may have run, and the failure says nothing of the host
+	case early && isConnError(err):
+		return bramblelock.ConnectFailed
+	case isConnError(err):
+		return bramblelock.Reset
+	}
+	return bramblelock.Failed // the host sent an invalid answer
+}
+
+// errorResult returns the result of an attempt whose answer has another status than 200.
+func errorResult(status int, header http.Header) bramblelock.Result {
+	switch status {
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if header.Get(notProcessedHeader) == "1" {
+			return bramblelock.Full
+		}
+	case http.StatusBadRequest, http.StatusNotFound: // the only statuses with which hosts reject an invalid request
+		return bramblelock.Rejected
+	}
+	return bramblelock.Failed
+}
+
+// recordAnswer records that a host has answered.
+func (p *Pool) recordAnswer(h *host) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	h.lastAnswerAt = time.Now()
 }
 
 // streamToClient streams an answer to the client and waits for its end. It returns the result of the
@@ -287,7 +305,7 @@
 	switch {
 	case err == nil:
 		return bramblelock.OK, keep && c.reader.Buffered() == 0
-	case err == errClientGone:
+	case errors.Is(err, errClientGone):
 		return bramblelock.Canceled, false
 	case isConnError(err):
 		return bramblelock.Reset, false
@@ -295,74 +313,16 @@
 	return bramblelock.Failed, false
 }
 
-// errClientBody marks a failure to read the body from the client while it was streamed to a host.
-var errClientBody = errors.New("the body did not arrive")
-
-// writeRequest writes the request, the last byte last. It streams a body that is too long to be
-// buffered, and sets the deadline of the request once that body has arrived whole. early means that the
-// host sent something or closed the connection before the request was written whole.
+// writeRequest writes the request, the last byte last. early means that the host sent something or
+// closed the connection before the request was written whole.
 func (c *conn) writeRequest(x *exchange, head []byte) (early bool, err error) {
-	pending := net.Buffers{head}
-	upload := x.upload
-	if upload == nil {
-		if len(x.body) > 0 {
-			pending = append(pending, x.body)
-		}
-		_, err := pending.WriteTo(c.Conn)
-		return false, err
+	if x.upload != nil {
+		return c.streamRequest(x, head)
 	}
-	writePiece := func(p []byte) error {
-		if len(p) > 0 && upload.length < 0 {
-			pending = append(pending, strconv.AppendInt(nil, int64(len(p)), 16), crlf, p, crlf)
-		} else if len(p) > 0 {
-			pending = append(pending, p)
-		}
-		c.SetWriteDeadline(time.Now().Add(hostStallTimeout))
-		defer c.SetWriteDeadline(time.Time{})
-		_, err := pending.WriteTo(c.Conn)
-		pending = nil
-		return err
-	}
-	if err := writePiece(x.body); err != nil {
-		return false, err
-	}
-	buf := streamBuffers.Get().(*[streamBufferBytes]byte)
-	defer streamBuffers.Put(buf)
-	for {
-		if !c.quiet() {
-			return true, nil
-		}
-		upload.consumed = true
-		n, err := upload.Read(buf[:])
-		if err == nil && upload.received == upload.length {
-			err = io.EOF // the host does not need the end of the body to be signalled
-		}
-		if err != nil && err != io.EOF {
-			return false, fmt.Errorf("%w: %w", errClientBody, err)
-		}
-		if err == io.EOF {
-			// The whole body has been read. It may have arrived long before, if the host read it
-			// slowly; the deadline counts from its arrival.
-			x.deadline = x.capDeadline(x.clientDeadline())
-		}
-		if err == io.EOF && upload.length < 0 {
-			if err := writePiece(buf[:n]); err != nil {
-				return false, err
-			}
-			pending = net.Buffers{lastChunk}
-			n = 0
-		}
-		if err := writePiece(buf[:n]); err != nil {
-			return false, err
-		}
-		if err == io.EOF {
-			close(upload.sent)
-			return false, nil
-		}
+	request := net.Buffers{head}
+	if len(x.body) > 0 {
+		request = append(request, x.body)
 	}
+	_, err = request.WriteTo(c.Conn)
+	return false, err
 }
-
-var (
-	crlf      = []byte("\r\n")
-	lastChunk = []byte("0\r\n\r\n")
-)
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -146,14 +146,6 @@
 	return b.ended
 }
 
-// upload is a body that is too long to be buffered and is streamed to a host.
-type upload struct {
-	*clientBody
-	length   int64         // of the whole body; -1 if unknown
-	sent     chan struct{} // closed when a host has been sent the last byte, or never
-	consumed bool          // part of it has been read; owned by the attempt
-}
-
 // stream is an answer that is streamed to the client. The goroutine that serves the client calls copyTo
 // and sends its result on done. The attempt, which owns conn, waits for that.
 type stream struct {
