--- a/cmd/gateway/log_test.go
+++ b/cmd/gateway/log_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 	"os"
 	"strings"
 	"syscall"
@@ -38,7 +39,7 @@
 			t.Fatal(err)
 		}
 		_, err := sendRequest(p.url)
-		if err != nil && strings.Contains(err.Error(), "answer 400") {
+		if answeredWith(err, http.StatusBadRequest) {
 			break
 		}
 		if time.Now().After(end) {
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -115,7 +115,7 @@
 		_, err := sendRequest(p.url)
 		if err == nil {
 			n--
-		} else if !strings.Contains(err.Error(), "answer 503") || time.Now().After(end) {
+		} else if !answeredWith(err, http.StatusServiceUnavailable) || time.Now().After(end) {
 			t.Fatalf("%v\n%s", err, p.output.String())
 		}
 	}
@@ -182,6 +182,23 @@
 	return string(text)
 }
 
+// unexpectedAnswer is the error of a request whose answer is not the hosts' answer.
+type unexpectedAnswer struct {
+	status int
+	body   string
+	err    error // of reading the body
+}
+
+func (e *unexpectedAnswer) Error() string {
+	return fmt.Sprintf("answer %d %q, %v", e.status, e.body, e.err)
+}
+
+// answeredWith returns whether err says that a request was answered with a status.
+func answeredWith(err error, status int) bool {
+	var answer *unexpectedAnswer
+	return errors.As(err, &answer) && answer.status == status
+}
+
 // sendRequest sends a request on a new connection and reports whether the connection was established.
 // If it was not, the program has not accepted the request.
 func sendRequest(url string) (connected bool, err error) {
@@ -205,7 +222,7 @@
 	}
 	defer resp.Body.Close()
 	if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(text) != "done" {
-		return true, fmt.Errorf("answer %d %q, %v", resp.StatusCode, text, err)
+		return true, &unexpectedAnswer{resp.StatusCode, string(text), err}
 	}
 	return true, nil
 }
