--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -59,7 +59,7 @@
 	}
 	entries := make([]bramblelock.Host, 0, len(list.Servers))
 	for i := range list.Servers {
-		if entry, ok := l.applyMember(now, &list.Servers[i]); ok {
+		if entry, ok := l.applyMember(&list.Servers[i]); ok {
 			entries = append(entries, entry)
 		}
 	}
@@ -68,6 +68,11 @@
 		gone = append(gone, l.takeOutUnlisted(entries)...)
 	}
 	l.balancer.UpdateHosts(now, kind, entries)
+	for i := range entries {
+		// The maintenance that the Balancer knows may be that of another id with the same hash.
+		id := entries[i].ID
+		l.balancer.SetMaintenance(now, id, l.hosts[id].inMaintenance)
+	}
 	for _, id := range gone {
 		delete(l.hosts, id) // attempts in flight keep a reference to it
 	}
@@ -79,7 +84,7 @@
 
 // applyMember updates one host from its entry in a list and returns the entry for the Balancer. ok is
 // false if the entry does not count.
-func (l *Loop) applyMember(now bramblelock.Time, m *Member) (entry bramblelock.Host, ok bool) {
+func (l *Loop) applyMember(m *Member) (entry bramblelock.Host, ok bool) {
 	entry = bramblelock.Host{
 		ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
 		State: m.hostState(),
@@ -89,7 +94,7 @@
 	case h == nil && entry.State == bramblelock.Removed:
 		return entry, false // the host was removed before this process knew it
 	case h == nil:
-		h = l.addHost(now, entry.ID, m)
+		h = l.addHost(entry.ID, m)
 	case h.id != m.ID:
 		// Two names with one HostID would be taken for one host.
 		slog.Error("host ignored: the hash of its id collides with another host's", "host", m.ID, "other", h.id)
@@ -104,12 +109,10 @@
 }
 
 // addHost adds a host that a list names and that is not known.
-func (l *Loop) addHost(now bramblelock.Time, id bramblelock.HostID, m *Member) *host {
+func (l *Loop) addHost(id bramblelock.HostID, m *Member) *host {
 	h := &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
 	l.hosts[id] = h
 	l.everListed[m.ID] = true
-	// The maintenance that the Balancer knows may be that of another id with the same hash.
-	l.balancer.SetMaintenance(now, id, h.inMaintenance)
 	// The Balancer's log lines name a host by its number, so the number of each host is logged. One line
 	// per host is not too many.
 	slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(id), 16), "addr", m.Addr)
