--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -40,8 +40,12 @@
 // Counters returns the present values of the counters.
 func (a *Audit) Counters() AuditCounters {
 	return AuditCounters{
-		SentAfterNotification: a.sentAfterNotification.Load(), SentForGoneClients: a.sentForGoneClients.Load(), SecondRuns: a.secondRuns.Load(),
-		TimeoutsOverLeft: a.timeoutsOverLeft.Load(), ClosedOwingAnswer: a.closedOwingAnswer.Load(), SlowStartOverBudget: a.slowStartOverBudget.Load(),
+		SentAfterNotification: a.sentAfterNotification.Load(),
+		SentForGoneClients:    a.sentForGoneClients.Load(),
+		SecondRuns:            a.secondRuns.Load(),
+		TimeoutsOverLeft:      a.timeoutsOverLeft.Load(),
+		ClosedOwingAnswer:     a.closedOwingAnswer.Load(),
+		SlowStartOverBudget:   a.slowStartOverBudget.Load(),
 	}
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -10,6 +10,9 @@
 	"bramblelock"
 )
 
+// eventQueueLength is how many events may wait for the loop. A goroutine that posts one more waits.
+const eventQueueLength = 1024
+
 // Loop owns the Balancer, which is the decision module (package bramblelock). Other goroutines post
 // events to the Loop. It handles them one at a time and performs the actions that the Balancer
 // decides on. It never blocks: work that takes time runs in its own goroutine and posts its result
@@ -51,11 +54,20 @@
 		return nil, err
 	}
 	l := &Loop{
-		events: make(chan func(bramblelock.Time), 1024), done: make(chan struct{}),
-		clock: clock{time.Now()}, wallClock: time.Now, balancer: balancer, pool: pool, requestWatch: requestWatch,
-		hosts: map[bramblelock.HostID]*host{}, openRequests: map[bramblelock.RequestID]*exchange{},
-		zones: cfg.Zones, kinds: cfg.Kinds, everListed: map[string]bool{}, inMaintenance: map[string]bool{},
-		firstList: make(chan struct{}),
+		events:        make(chan func(bramblelock.Time), eventQueueLength),
+		done:          make(chan struct{}),
+		clock:         clock{time.Now()},
+		wallClock:     time.Now,
+		balancer:      balancer,
+		pool:          pool,
+		requestWatch:  requestWatch,
+		hosts:         map[bramblelock.HostID]*host{},
+		openRequests:  map[bramblelock.RequestID]*exchange{},
+		zones:         cfg.Zones,
+		kinds:         cfg.Kinds,
+		everListed:    map[string]bool{},
+		inMaintenance: map[string]bool{},
+		firstList:     make(chan struct{}),
 	}
 	pool.audit = &l.Audit
 	l.rules.Store(&cfg.Rules)
@@ -113,14 +125,15 @@
 		l.lastID++
 		x.id = l.lastID
 		l.openRequests[x.id] = x
-		left, waited := x.timeout, time.Duration(0)
+		request := bramblelock.Request{
+			ID: x.id, Class: x.class, Tenant: x.tenant, ClientRetry: x.clientRetry,
+			Remaining: x.timeout, Upload: x.upload != nil,
+		}
 		if x.upload == nil {
-			left = max(0, l.clock.at(x.deadline)-now)
-			waited = max(0, now-l.clock.at(x.receivedAt()))
+			request.Remaining = max(0, l.clock.at(x.deadline)-now)
+			request.Age = max(0, now-l.clock.at(x.receivedAt()))
 		}
-		l.balancer.Request(now, bramblelock.Request{
-			ID: x.id, Class: x.class, Tenant: x.tenant, ClientRetry: x.clientRetry, Remaining: left, Age: waited, Upload: x.upload != nil,
-		})
+		l.balancer.Request(now, request)
 	})
 }
 
--- a/internal/gateway/loop_actions.go
+++ b/internal/gateway/loop_actions.go
@@ -58,10 +58,6 @@
 		// each request for at least as long as the Balancer does.
 		panic("gateway: attempt of an unknown request or host")
 	}
-	until := x.deadline
-	if at := l.clock.timeOf(a.At); a.At > 0 && at.Before(until) {
-		until = at
-	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	att := &attempt{cancel: cancel, chargedFrom: time.Now()}
 	if a.WriteBy > 0 {
@@ -74,8 +70,8 @@
 	x.inFlight++
 	timeOut := func() { att.abort(context.DeadlineExceeded) }
 	var timer *time.Timer
-	if x.upload == nil {
-		timer = time.AfterFunc(time.Until(until), timeOut)
+	if x.upload == nil { // the time of an upload runs from its last byte
+		timer = time.AfterFunc(time.Until(l.attemptDeadline(x, a)), timeOut)
 	}
 	att.onUploadComplete = func() {
 		timer = time.AfterFunc(time.Until(x.deadline), timeOut)
@@ -94,16 +90,26 @@
 	}()
 }
 
+// attemptDeadline returns when an attempt is given up: at the time that the Balancer states or at the
+// deadline of the request, whichever is earlier.
+func (l *Loop) attemptDeadline(x *exchange, a *bramblelock.Action) time.Time {
+	if at := l.clock.timeOf(a.At); a.At > 0 && at.Before(x.deadline) {
+		return at
+	}
+	return x.deadline
+}
+
 // attemptEnded handles the end of an attempt and reports its outcome to the Balancer. The first
 // attempt with the result OK gives the final answer of the request.
 func (l *Loop) attemptEnded(now bramblelock.Time, x *exchange, n int, result bramblelock.Result, good answer) {
 	x.inFlight--
-	x.attempts[n].ended, x.attempts[n].result = true, result
+	att := x.attempts[n]
+	att.ended = true
+	att.result = result
 	slog.Debug("attempt ended", "id", x.requestID(), "attempt", n, "result", result.String())
 	if result == bramblelock.OK {
 		x.finish(good)
 	}
-	att := x.attempts[n]
 	took := att.chargedTime
 	if took == 0 {
 		took = max(0, now-l.clock.at(att.chargedFrom))
