--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -78,33 +78,12 @@
 	for {
 		dialStart := time.Now()
 		c, err := p.getWithDeadline(ctx, h, att.writeBy)
-		switch {
-		case att.writeDeadlinePassed():
-			if err == nil {
-				p.put(c) // nothing was written to it
-			}
-			return bramblelock.NotSent, answer{}
-		case ctx.Err() != nil:
-			if err == nil {
-				p.put(c) // nothing was written to it
-			} else if context.Cause(ctx) == context.DeadlineExceeded && time.Since(dialStart) > x.timeout/2 {
-				// The dial used most of the time available: the host could not be connected to,
-				// although the dial's own time-out is longer.
-				return bramblelock.ConnectFailed, answer{}
-			}
-			return unsentResult(ctx), answer{}
-		case errors.Is(err, errTooManyConns) || isLocalFailure(err):
-			return bramblelock.NotSent, answer{} // this machine lacks resources; it says nothing of the host
-		case err != nil:
-			return bramblelock.ConnectFailed, answer{}
+		if err != nil {
+			return dialFailure(ctx, x, att, time.Since(dialStart), err), answer{}
 		}
-		// The dial may have taken long, so check again whether the request may be sent. The host
-		// may have begun to drain, the request may have been answered, or its client may have left,
-		// which the HTTP server does not notice while bytes from the client are unread.
-		p.awaitOverdueUpdate(ctx)
-		if !p.permit(h, x) || att.writeDeadlinePassed() {
-			p.put(c)
-			return bramblelock.NotSent, answer{}
+		if result, sendable := p.checkSendable(ctx, h, x, att); !sendable {
+			p.put(c) // nothing was written to it
+			return result, answer{}
 		}
 		reused := c.reused
 		result, a := p.roundTrip(ctx, c, x, att)
@@ -118,6 +97,40 @@
 	}
 }
 
+// dialFailure returns the result of an attempt that got no connection.
+func dialFailure(ctx context.Context, x *exchange, att *attempt, took time.Duration, err error) bramblelock.Result {
+	switch {
+	case att.writeDeadlinePassed():
+		return bramblelock.NotSent
+	case errors.Is(context.Cause(ctx), context.DeadlineExceeded) && took > x.timeout/2:
+		// The dial used most of the time available: the host could not be connected to, although the
+		// dial's own time-out is longer.
+		return bramblelock.ConnectFailed
+	case ctx.Err() != nil:
+		return unsentResult(ctx)
+	case errors.Is(err, errTooManyConns) || isLocalFailure(err):
+		return bramblelock.NotSent // this machine lacks resources; it says nothing of the host
+	}
+	return bramblelock.ConnectFailed
+}
+
+// checkSendable returns whether the request may be sent and, if not, the result of the attempt. The dial
+// may have taken long: the host may have begun to drain, the request may have been answered, or its
+// client may have left, which the HTTP server does not notice while bytes from the client are unread.
+func (p *Pool) checkSendable(ctx context.Context, h *host, x *exchange, att *attempt) (result bramblelock.Result, sendable bool) {
+	switch {
+	case att.writeDeadlinePassed():
+		return bramblelock.NotSent, false
+	case ctx.Err() != nil:
+		return unsentResult(ctx), false
+	}
+	p.awaitOverdueUpdate(ctx)
+	if !p.permit(h, x) || att.writeDeadlinePassed() {
+		return bramblelock.NotSent, false
+	}
+	return 0, true
+}
+
 // permit is the last check before the first byte of an attempt. It returns whether the host still
 // takes requests, the request still needs an answer and its client is still there. If the client has
 // left, permit records that and finishes the request.
