--- a/internal/gateway/bans.go
+++ b/internal/gateway/maintenance.go
@@ -8,18 +8,15 @@
 	"net/url"
 	"os"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
 	maintenanceDir    = "maintenance" // in $TMPDIR
 	maintenancePrefix = "host-"       // keeps an id from forming a special name such as ".."
-	endMarkPrefix     = "back-"       // end mark: maintenance of this host ended at the time that the file holds; the host is cold (in slow start) from then on
+	endMarkPrefix     = "back-"       // end mark: maintenance of this host ended at the time that the file holds (see endMark); the host is cold (in slow start) from then on
 
 	// While two processes overlap, each polls at this interval what the other has changed. An
 	// operator's call is answered after maintenancePropagationTime, within which the other process
@@ -58,19 +55,29 @@
 func (s *MaintenanceStore) Set(loop *Loop, id string, on bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dir != "" {
-		persist := s.persistStart
-		if !on {
-			persist = s.persistEnd
-		}
-		if err := persist(id); err != nil {
-			return err
-		}
+	if err := s.persist(loop, id, on); err != nil {
+		return err
 	}
 	s.apply(loop, id, on)
 	return nil
 }
 
+// persist stores a change, unless maintenance ends with the process.
+func (s *MaintenanceStore) persist(loop *Loop, id string, on bool) error {
+	switch {
+	case s.dir == "":
+		return nil
+	case on:
+		return s.persistStart(id)
+	}
+	if !s.inMaintenance[id] && s.stored(id) {
+		// Another process has put the host into maintenance since this one last read the directory. It
+		// must know that before the end, which makes the host cold.
+		s.apply(loop, id, true)
+	}
+	return s.persistEnd(id)
+}
+
 func (s *MaintenanceStore) maintenanceFile(id string) string {
 	return filepath.Join(s.dir, maintenancePrefix+url.QueryEscape(id))
 }
@@ -78,10 +85,20 @@
 	return filepath.Join(s.dir, endMarkPrefix+url.QueryEscape(id))
 }
 
-// persistStart stores that a host is in maintenance and removes its end mark. If it fails, that is not
-// stored, as far as write can ensure it.
+// stored returns whether the directory says that a host is in maintenance.
+func (s *MaintenanceStore) stored(id string) bool {
+	_, err := os.Lstat(s.maintenanceFile(id))
+	return err == nil
+}
+
+// persistStart stores that a host is in maintenance and removes its end mark. If it fails, it leaves
+// what was stored before the call; a failure of that is logged.
 func (s *MaintenanceStore) persistStart(id string) error {
-	if err := s.write(s.maintenanceFile(id), ""); err != nil {
+	file, stored := s.maintenanceFile(id), s.stored(id)
+	if err := s.write(file, ""); err != nil {
+		if !stored { // the file of an earlier call stays, as that maintenance goes on
+			s.removeFailed(file)
+		}
 		return err
 	}
 	if err := s.remove(s.endMarkFile(id)); err != nil {
@@ -96,11 +113,11 @@
 // in maintenance, it restores what was stored, as well as it can: the restored file is not synced, and
 // a failure to restore is logged.
 func (s *MaintenanceStore) persistEnd(id string) error {
-	// No end mark is written for a host that is not in maintenance as far as this process knows, so
-	// that a repeated call does not make it cold again. That is also so if another process has put it
-	// into maintenance and this one has not polled yet.
+	// No end mark is written for a host that is not in maintenance, so that a repeated call does not make
+	// it cold again.
 	if s.inMaintenance[id] {
-		if err := s.write(s.endMarkFile(id), strconv.FormatInt(int64(sinceBoot()), 10)); err != nil {
+		if err := s.write(s.endMarkFile(id), newEndMark().String()); err != nil {
+			s.removeFailed(s.endMarkFile(id))
 			return err
 		}
 	}
@@ -114,8 +131,8 @@
 	return err
 }
 
-// write creates or replaces a file so that it survives a loss of power. If it fails, it removes the
-// file; a failure of that is logged.
+// write creates or replaces a file so that it survives a loss of power. If it fails, the file may be
+// there, with any part of the text.
 func (s *MaintenanceStore) write(path, text string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -123,13 +140,10 @@
 	}
 	_, err = f.WriteString(text)
 	err = errors.Join(err, f.Sync(), f.Close())
-	if err == nil {
-		err = s.sync()
-	}
 	if err != nil {
-		s.removeFailed(path)
+		return err
 	}
-	return err
+	return s.sync()
 }
 
 // remove removes a file, if it exists, in a way that survives a loss of power.
@@ -160,17 +174,6 @@
 	}
 }
 
-// sinceBoot returns the time since the machine started. End marks hold it in place of a wall-clock time,
-// because it does not change when the wall clock is stepped, and it is the same for all processes. It
-// returns 0 if the time cannot be read.
-func sinceBoot() time.Duration {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		return 0
-	}
-	return time.Duration(at.Nano())
-}
-
 // apply records a change and notifies the loop. The caller holds s.mu, so that the loop receives
 // changes in order.
 func (s *MaintenanceStore) apply(loop *Loop, id string, on bool) {
@@ -222,21 +225,6 @@
 	return nil
 }
 
-// maintenanceEndedAt returns when the end mark at path was written. The mark holds that time as
-// nanoseconds since boot. If it cannot be read, or is later than the present time since boot,
-// the modification time of the file is used.
-func maintenanceEndedAt(path string, mark fs.FileInfo) time.Time {
-	now := time.Now()
-	if text, err := os.ReadFile(path); err == nil {
-		written, err := strconv.ParseInt(string(text), 10, 64)
-		age := sinceBoot() - time.Duration(written)
-		if err == nil && age >= 0 {
-			return now.Add(-age)
-		}
-	}
-	return now.Add(-max(0, now.Sub(mark.ModTime())))
-}
-
 // Watch calls Refresh every maintenancePollInterval until done is closed. It logs the first of several
 // errors in a row.
 func (s *MaintenanceStore) Watch(loop *Loop, done <-chan struct{}) {
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -19,19 +19,16 @@
 // startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
-	bans, err := NewMaintenanceStore(dir)
-	if err != nil {
-		g.Fatal(err)
-	}
-	return g.startOperatorWith(bans, shared)
+	return g.startOperatorWith(newMaintenanceStore(g.T, dir), shared)
 }
 
-func (g *testGateway) startOperatorWith(bans *MaintenanceStore, shared bool) string {
+func (g *testGateway) startOperatorWith(store *MaintenanceStore, shared bool) string {
 	g.Helper()
-	o := NewOperator(g.loop, g.server, bans, shared)
+	o := NewOperator(g.loop, g.server, store, shared)
 	ln := listen(g.T, "127.0.0.1:0", nil)
 	go o.Serve(ln)
 	g.Cleanup(func() { o.http.Close() })
+	until(g.T, "the gateway accepts clients", g.server.accepting.Load)
 	return ln.Addr().String()
 }
 
@@ -104,12 +101,13 @@
 func TestSilentOperatorsDoNotDelayOthers(t *testing.T) {
 	g := startGateway(t, testConfig(newHost(t, answerWith(okAnswer))))
 	g.loop.Sync()
-	bans, _ := NewMaintenanceStore("")
-	o := NewOperator(g.loop, g.server, bans, false)
+	store := newMaintenanceStore(t, "")
+	o := NewOperator(g.loop, g.server, store, false)
 	o.http.ReadTimeout = time.Hour // silent callers stay connected, so no answer has waited for their end
 	ln := listen(t, "127.0.0.1:0", nil)
 	go o.Serve(ln)
 	defer o.http.Close()
+	until(t, "the gateway accepts clients", g.server.accepting.Load)
 	addr := ln.Addr().String()
 	for i := range 3 * maxOperatorConns {
 		c, err := net.Dial("tcp", addr)
@@ -173,18 +171,15 @@
 		cfg := testConfig()
 		cfg.Known.Servers = []hostlist.Member{{ID: unusualID, Addr: "127.0.0.1:1", State: "ready"}}
 		g := startGateway(t, cfg)
-		bans, err := NewMaintenanceStore(dir)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := bans.Refresh(g.loop); err != nil {
+		store := newMaintenanceStore(t, dir)
+		if err := store.Refresh(g.loop); err != nil {
 			t.Fatal(err)
 		}
 		g.loop.Sync()
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
-		go bans.Watch(g.loop, ctx.Done())
-		return g, g.startOperatorWith(bans, true)
+		go store.Watch(g.loop, ctx.Done())
+		return g, g.startOperatorWith(store, true)
 	}
 	old, oldAddr := start()
 	path := "/hosts/..%2Fs%2F0%25/"
