--- a/cmd/gateway/process.go
+++ b/cmd/gateway/process.go
@@ -159,6 +159,7 @@
 	}()
 	p.server.Shutdown()
 	<-leaveDone
+	slog.Info("event loop", "longest_hold_ms", p.loop.Status().LongestHoldMS)
 	p.loop.Audit.Log("stopped")
 }
 
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -26,6 +26,8 @@
 	rules  atomic.Pointer[config.Rules]
 	Audit  Audit
 
+	longestHold atomic.Int64 // longest time in ns for which one event or timer has kept others waiting
+
 	// The fields below are owned by the goroutine of Run.
 	clock         clock
 	wallClock     func() time.Time // returns the wall-clock time, which may be stepped; time.Now except in tests
@@ -89,8 +91,10 @@
 		case <-ctx.Done():
 			return
 		case handle := <-l.events:
-			handle(l.clock.now())
+			now := l.clock.now()
+			handle(now)
 			l.performActions()
+			l.recordHold(now)
 		case <-timer.C:
 			l.runTimers()
 		}
@@ -100,6 +104,23 @@
 	}
 }
 
+// recordHold records how long an event or timer has kept others waiting that was taken at began.
+func (l *Loop) recordHold(began bramblelock.Time) {
+	if hold := int64(l.clock.now() - began); hold > l.longestHold.Load() {
+		l.longestHold.Store(hold) // only the goroutine of Run stores it
+	}
+}
+
+// LoopStatus describes how the event loop has kept up.
+type LoopStatus struct {
+	LongestHoldMS float64 `json:"longest_hold_ms"` // longest time for which one event or timer has kept others waiting, since the start
+}
+
+// Status returns how the event loop has kept up.
+func (l *Loop) Status() LoopStatus {
+	return LoopStatus{LongestHoldMS: time.Duration(l.longestHold.Load()).Seconds() * 1000}
+}
+
 // post passes an event to the goroutine of Run, which calls handle. After Run has returned, the event
 // is dropped.
 func (l *Loop) post(handle func(now bramblelock.Time)) {
--- /dev/null
+++ b/internal/gateway/loop_test.go
@@ -0,0 +1,62 @@
+package gateway
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"bramblelock"
+	"bramblelock/internal/gateway/hostlist"
+)
+
+// largeList returns a list of n hosts that are ready.
+func largeList(n int) hostlist.List {
+	var list hostlist.List
+	for i := range n {
+		list.Servers = append(list.Servers, hostlist.Member{ID: fmt.Sprintf("s-%04d", i), Addr: "127.0.0.1:1", State: "ready"})
+	}
+	return list
+}
+
+// BenchmarkFirstList measures how long the first list of a process keeps the loop, by the number of hosts.
+func BenchmarkFirstList(b *testing.B) {
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
+	for _, hosts := range []int{200, 3200, 10_000} {
+		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
+			cfg, list := testConfig(), largeList(hosts)
+			b.ReportAllocs()
+			for b.Loop() {
+				l, err := NewLoop(cfg, NewPool(cfg), func() {})
+				if err != nil {
+					b.Fatal(err)
+				}
+				l.applyList(l.clock.now(), bramblelock.ListFull, list)
+			}
+		})
+	}
+}
+
+// The longest hold of the loop is at the operators' address.
+func TestLongestHoldIsReported(t *testing.T) {
+	const hold = 30 * time.Millisecond
+	g := startGateway(t, testConfig())
+	g.loop.post(func(bramblelock.Time) { time.Sleep(hold) })
+	g.loop.Sync()
+	resp, err := http.Get("http://" + g.startOperator(t.TempDir(), false) + pathLoop)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	var held float64
+	if _, scanErr := fmt.Sscanf(strings.TrimSpace(string(body)), `{"longest_hold_ms":%f}`, &held); err != nil || scanErr != nil {
+		t.Fatalf("answer %q: %v, %v", body, err, scanErr)
+	}
+	if held < hold.Seconds()*1000 {
+		t.Errorf("longest hold %v ms, want at least %v", held, hold)
+	}
+}
--- a/internal/gateway/loop_timers.go
+++ b/internal/gateway/loop_timers.go
@@ -17,8 +17,10 @@
 	}
 	for n := len(l.timers); n > 0 && len(l.timers) > 0 && l.timers[0].at <= now; n-- {
 		w := heap.Pop(&l.timers).(balancerTimer)
+		began := l.clock.now()
 		l.balancer.Timer(now, w.token)
 		l.performActions()
+		l.recordHold(began)
 	}
 }
 
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -20,6 +20,7 @@
 	pathHealthcheck = "/healthcheck"
 	pathMembership  = "/members"
 	pathAudit       = "/audit"
+	pathLoop        = "/loop"
 	pathHosts       = "/hosts/" // followed by ID/maint or ID/ready
 
 	actionMaintenance = "maint" // puts a host into maintenance
@@ -124,6 +125,8 @@
 		o.serveGet(w, r, o.serveHealthcheck)
 	case pathAudit:
 		o.serveGet(w, r, o.serveAudit)
+	case pathLoop:
+		o.serveGet(w, r, o.serveLoop)
 	case pathMembership:
 		o.serveGet(w, r, o.serveMembers)
 	default:
@@ -168,6 +171,11 @@
 	writeJSON(w, o.loop.Audit.Counters())
 }
 
+// serveLoop answers with the status of the event loop.
+func (o *Operator) serveLoop(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, o.loop.Status())
+}
+
 // serveMembers answers with the membership view.
 func (o *Operator) serveMembers(w http.ResponseWriter, r *http.Request) {
 	if o.Members == nil {
