--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -41,6 +41,7 @@
 	lastID        bramblelock.RequestID               // of the request submitted last
 	zones         map[string]int                      // indices of the zones by name; see nameIndex
 	kinds         map[string]int                      // indices of the kinds of hosts by name; see nameIndex
+	added         []addedHost                         // hosts that the list being applied has added
 	everListed    map[string]bool                     // ids of hosts that were ever listed
 	inMaintenance map[string]bool                     // ids of hosts in maintenance
 	ctx           context.Context                     // context of all attempts
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -68,6 +68,10 @@
 	if kind != bramblelock.ListChanges { // the list is whole
 		gone = append(gone, l.takeOutUnlisted(entries)...)
 	}
+	if len(l.added) > 0 {
+		go logAdded(l.added) // thousands of lines would keep the loop for milliseconds
+		l.added = nil
+	}
 	l.balancer.UpdateHosts(now, kind, entries)
 	for i := range entries {
 		// The maintenance that the Balancer knows may be that of another id with the same hash.
@@ -114,12 +118,25 @@
 	h := &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
 	l.hosts[id] = h
 	l.everListed[m.ID] = true
-	// The Balancer's log lines name a host by its number, so the number of each host is logged. One line
-	// per host is not too many.
-	slog.Info("host listed", "host", m.ID, "number", strconv.FormatUint(uint64(id), 16), "addr", m.Addr)
+	l.added = append(l.added, addedHost{id, m.ID, m.Addr})
 	return h
 }
 
+// addedHost is a host that a list has named for the first time.
+type addedHost struct {
+	number bramblelock.HostID
+	id     string
+	addr   string
+}
+
+// logAdded logs hosts. The Balancer's log lines name a host by its number, so the number of each host is
+// logged. One line per host is not too many.
+func logAdded(hosts []addedHost) {
+	for _, h := range hosts {
+		slog.Info("host listed", "host", h.id, "number", strconv.FormatUint(uint64(h.number), 16), "addr", h.addr)
+	}
+}
+
 // removedHosts returns the hosts that entries of a list remove.
 func removedHosts(entries []bramblelock.Host) (ids []bramblelock.HostID) {
 	for i := range entries {
