--- a/cmd/gateway/bank.go
+++ b/cmd/gateway/fleet.go
@@ -67,7 +67,7 @@
 	if previous != nil && previous.Live == status.Live && previous.SubsetHosts == status.SubsetHosts && previous.Rank == rank {
 		current.ChangedAt, current.Reason = previous.ChangedAt, previous.Reason
 	} else {
-		slog.Info("place in the bank", "rank", rank, "live", status.Live, "caps_shared_by", status.EffectiveInstances,
+		slog.Info("place in the fleet", "rank", rank, "live", status.Live, "caps_shared_by", status.EffectiveInstances,
 			"draws", status.SubsetHosts, "why", current.Reason)
 	}
 	f.status.Store(current)
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -78,7 +78,7 @@
 		recordViolation(&a.sentForGoneClients, "sent for a client that has gone", "id", x.requestID(), "after", began.Sub(*goneAt))
 	}
 	if remaining := x.clientDeadline().Add(answerMargin).Sub(began); statedTimeout > remaining+timeoutSlack {
-		recordViolation(&a.timeoutsOverLeft, "server told more time than is left", "id", x.requestID(), "told", statedTimeout, "left", remaining)
+		recordViolation(&a.timeoutsOverLeft, "host given more time than is left", "id", x.requestID(), "given", statedTimeout, "left", remaining)
 	}
 }
 
--- a/internal/gateway/loop_actions.go
+++ b/internal/gateway/loop_actions.go
@@ -36,7 +36,7 @@
 		case bramblelock.Log:
 			slog.Info(a.Text)
 		case bramblelock.ColdOver:
-			recordViolation(&l.Audit.slowStartOverBudget, "cold server sent more than its budget", "host", l.nameOf(a.Host))
+			recordViolation(&l.Audit.slowStartOverBudget, "cold host sent more than its budget", "host", l.nameOf(a.Host))
 		}
 	}
 }
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -201,7 +201,7 @@
 	}
 	if err := o.maintenance.Set(o.loop, id, action == actionMaintenance); err != nil {
 		slog.Error("failed to change the maintenance of a host", "host", id, "call", action, "err", err)
-		http.Error(w, "the ban cannot be kept", http.StatusInternalServerError)
+		http.Error(w, "the change of maintenance cannot be stored", http.StatusInternalServerError)
 		return
 	}
 	// The loop handles its events in order, so the change is in force once Sync returns.
