--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -192,6 +192,9 @@
 	var seeds int
 	cmd := &cobra.Command{Use: "soak", Short: "Run real processes under overlapping faults and check the rules", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := checkSoakSizes(seeds, opt); err != nil {
+				return err
+			}
 			violations := 0
 			for first := opt.Seed; opt.Seed < first+uint64(seeds); opt.Seed++ {
 				report, err := fleetlab.Soak(cmd.Context(), opt)
@@ -220,6 +223,23 @@
 	return cmd
 }
 
+// checkSoakSizes returns an error for a number that is not above 0. A soak without seeds or load would
+// check nothing and report no violation.
+func checkSoakSizes(seeds int, opt fleetlab.SoakOptions) error {
+	for _, size := range []struct {
+		flag  string
+		value float64
+	}{
+		{"seeds", float64(seeds)}, {"length", opt.Length.Seconds()}, {"gateways", float64(opt.Gateways)},
+		{"servers", float64(opt.Hosts)}, {"catalogs", float64(opt.Catalogs)}, {"rate", opt.Rate},
+	} {
+		if !(size.value > 0) { // written so that it holds for NaN too
+			return fmt.Errorf("--%s: %v is not above 0", size.flag, size.value)
+		}
+	}
+	return nil
+}
+
 // executableDir returns the folder of this program, in which the other binaries are expected by
 // default, or "." if it is not known.
 func executableDir() string {
