--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -47,14 +48,44 @@
 	sharedSocket             *os.File // listening socket that its processes inherit; nil: each opens its own
 
 	mu              sync.Mutex
-	proc            *faultnet.Proc // the present process; nil: none
-	generation      int            // number of the latest process, from 1
-	startedAt       time.Time      // start of the latest process
-	readyAt         time.Time      // when the latest process was ready; zero: not yet
-	firstReadyAt    time.Time      // when any process was first ready; zero: none yet
-	termAt          time.Time      // when the soak began to terminate or kill the latest process; zero: it has not
-	retired         bool           // no process is to be started any more
-	settingsVersion int            // number of changes of the settings
+	proc            *soakProcess // the present process; nil: none
+	generation      int          // number of the latest process, from 1
+	startedAt       time.Time    // start of the latest process
+	readyAt         time.Time    // when the latest process was ready; zero: not yet
+	firstReadyAt    time.Time    // when any process was first ready; zero: none yet
+	termAt          time.Time    // when the soak began to terminate or kill the latest process; zero: it has not
+	retired         bool         // no process is to be started any more
+	settingsVersion int          // number of changes of the settings
+}
+
+// soakProcess is one process of a gateway.
+type soakProcess struct {
+	*faultnet.Proc
+	exitedAt atomic.Pointer[time.Time] // set by watchExit; nil: not yet
+}
+
+// exitCheckInterval is how exact the recorded time of a crash is.
+const exitCheckInterval = 10 * time.Millisecond
+
+// watchExit waits until the process exits and notes the time. A crash is recorded only when the soak ends
+// the process, which may be much later.
+func (p *soakProcess) watchExit() {
+	for {
+		if exited, _ := p.Exited(); exited {
+			now := time.Now()
+			p.exitedAt.Store(&now)
+			return
+		}
+		time.Sleep(exitCheckInterval)
+	}
+}
+
+// exitTime returns when the process exited. The caller has seen that it did.
+func (p *soakProcess) exitTime() time.Time {
+	if at := p.exitedAt.Load(); at != nil {
+		return *at
+	}
+	return time.Now() // watchExit is about to note it
 }
 
 // newSoakGateway returns the gateway of an index, which has no process yet.
@@ -143,7 +174,8 @@
 	if err != nil {
 		return err
 	}
-	g.proc, g.startedAt, g.readyAt, g.termAt = proc, startedAt, time.Time{}, time.Time{}
+	g.proc, g.startedAt, g.readyAt, g.termAt = &soakProcess{Proc: proc}, startedAt, time.Time{}, time.Time{}
+	go g.proc.watchExit()
 	go g.awaitHealth(g.generation)
 	return nil
 }
@@ -275,10 +307,10 @@
 
 // stopProcess ends a process, waits for its exit and records it. The record of a process that had exited
 // by itself has no time of a signal.
-func (g *soakGateway) stopProcess(proc *faultnet.Proc, generation int, graceful bool, alongside []func(ended <-chan struct{})) {
+func (g *soakGateway) stopProcess(proc *soakProcess, generation int, graceful bool, alongside []func(ended <-chan struct{})) {
 	exit := processExit{gateway: g.name, generation: generation, logPath: proc.Log}
 	if ended, err := proc.Exited(); ended {
-		exit.endedAt, exit.exitCode = time.Now(), exitCode(err)
+		exit.endedAt, exit.exitCode = proc.exitTime(), exitCode(err)
 	} else if !graceful {
 		exit.killAt = time.Now()
 		proc.Kill()
--- a/internal/fleetlab/soak_judge.go
+++ b/internal/fleetlab/soak_judge.go
@@ -141,12 +141,21 @@
 	}
 }
 
-// killedBeforeAnswer says whether the process that held a request was killed with SIGKILL alone before
-// the request ended, or exited by itself at any time, which is a violation of its own. A graceful
-// termination exempts nothing: requests read after SIGTERM are owed an answer too.
+// killedBeforeAnswer says whether a request has no answer because the process that held it was killed with
+// SIGKILL alone or exited by itself, which is a violation of its own. The exit explains only a request whose
+// connection was open and whose answer was not overdue then. A graceful termination exempts nothing:
+// requests read after SIGTERM are owed an answer too.
 func (s *soak) killedBeforeAnswer(req *soakRequest) bool {
 	for _, exit := range s.ledger.exits {
-		if exit.gateway == req.gateway && exit.generation == req.generation && exit.termAt.IsZero() && !req.endedAt.Before(exit.killAt.Add(-judgeSlack)) {
+		if exit.gateway != req.gateway || exit.generation != req.generation || !exit.termAt.IsZero() {
+			continue
+		}
+		exitAt := exit.killAt
+		if exitAt.IsZero() {
+			exitAt = exit.endedAt
+		}
+		overdue := !req.sentAt.IsZero() && exitAt.Sub(req.sentAt) > req.class.deadline+answerGrace+judgeSlack
+		if !overdue && !req.endedAt.Before(exitAt.Add(-judgeSlack)) {
 			return true
 		}
 	}
--- a/internal/fleetlab/soak_test.go
+++ b/internal/fleetlab/soak_test.go
@@ -57,8 +57,8 @@
 		return soakAttempt{host: "s-00", firstByteAt: at(first), receivedAt: at(first), timeout: time.Second}
 	}
 	for _, c := range []struct {
-		name, rule string
-		record     func(l *ledger, req *soakRequest)
+		name, rules string // the broken rules in alphabetical order, separated by spaces
+		record      func(l *ledger, req *soakRequest)
 	}{
 		{"no violation", "", func(*ledger, *soakRequest) {}},
 		{"no answer", "lost", func(_ *ledger, req *soakRequest) { req.status, req.err = 0, errors.New("end") }},
@@ -66,6 +66,22 @@
 			req.status = 0
 			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, killAt: at(20.05), endedAt: at(20.1)})
 		}},
+		{"no answer, overdue before its process was killed", "lost", func(l *ledger, req *soakRequest) {
+			req.status, req.endedAt = 0, at(23)
+			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, killAt: at(22.9), endedAt: at(23)})
+		}},
+		{"no answer, its process crashed", "crash", func(l *ledger, req *soakRequest) {
+			req.status = 0
+			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, endedAt: at(20.1)})
+		}},
+		{"no answer, overdue before its process crashed", "crash lost", func(l *ledger, req *soakRequest) {
+			req.status, req.endedAt = 0, at(23)
+			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, endedAt: at(23)})
+		}},
+		{"no answer, its connection ended before its process crashed", "crash lost", func(l *ledger, req *soakRequest) {
+			req.status = 0
+			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, endedAt: at(20.5)})
+		}},
 		{"no answer, its process was terminated", "lost", func(l *ledger, req *soakRequest) {
 			req.status = 0
 			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, termAt: at(19.9), endedAt: at(21)})
@@ -182,8 +198,41 @@
 		for _, v := range r.Violations {
 			rules[v.Rule] = true
 		}
-		if c.rule == "" && len(rules) > 0 || c.rule != "" && (!rules[c.rule] || len(rules) != 1) {
-			t.Errorf("%s: the judge found violations of %v, want %q", c.name, slices.Sorted(maps.Keys(rules)), c.rule)
+		if found := strings.Join(slices.Sorted(maps.Keys(rules)), " "); found != c.rules {
+			t.Errorf("%s: the judge found violations of %q, want %q", c.name, found, c.rules)
 		}
 	}
 }
+
+// startScript starts a shell script as the process of a gateway of a soak that has no other parts. The
+// script file is named gateway and is in the folder s.opt.Bin.
+func startScript(t *testing.T, script string) *soakGateway {
+	t.Helper()
+	bin := t.TempDir()
+	if err := os.WriteFile(filepath.Join(bin, "gateway"), []byte("#!/bin/sh\n"+script+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	s := &soak{opt: SoakOptions{RealOptions: RealOptions{Bin: bin}}, dir: t.TempDir(), netPrefix: "127.63.", starter: newStarter(),
+		ledger: newLedger(), catalogs: &soakCatalogs{}}
+	g := newSoakGateway(s, 0)
+	s.gateways = []*soakGateway{g}
+	t.Cleanup(func() { s.close(); s.starter.end() })
+	if err := g.startProcess(); err != nil {
+		t.Fatal(err)
+	}
+	return g
+}
+
+// The record of a process that crashes has the time of the crash, not that at which the soak ends the process.
+func TestCrashIsRecordedAtItsTime(t *testing.T) {
+	g := startScript(t, "exit 3")
+	for ended := false; !ended; ended, _ = g.proc.Exited() {
+		time.Sleep(time.Millisecond)
+	}
+	seenAt := time.Now()
+	time.Sleep(judgeSlack)
+	g.terminate()
+	if exit := g.s.ledger.exits[0]; exit.endedAt.Sub(seenAt) >= judgeSlack || exit.exitCode != 3 {
+		t.Errorf("recorded %v after the crash, with code %d", exit.endedAt.Sub(seenAt), exit.exitCode)
+	}
+}
