--- a/internal/fleetlab/soak.go
+++ b/internal/fleetlab/soak.go
@@ -70,6 +70,8 @@
 	starter   *starter
 	ctx       context.Context
 
+	startLimit time.Duration // time within which a gateway process has to be ready
+
 	ledger     *ledger
 	clients    *soakClients
 	gateways   []*soakGateway
@@ -78,6 +80,10 @@
 	background sync.WaitGroup // disruptions and everything that they run in the background
 }
 
+// processStartLimit is the time within which a gateway process has to be ready, which covers the outages of
+// discovery that a plan draws.
+const processStartLimit = 30 * time.Second
+
 // Soak runs one seed. An error means that the soak could not run or was cancelled, not that rules were
 // broken.
 func Soak(ctx context.Context, opt SoakOptions) (*SoakReport, error) {
@@ -104,7 +110,7 @@
 	}
 	defer reserved.Close()
 	s := &soak{opt: opt, dir: dir, ctx: ctx, netPrefix: addresses,
-		planRand: rand.New(rand.NewPCG(opt.Seed, 1)), starter: newStarter(), ledger: newLedger()}
+		planRand: rand.New(rand.NewPCG(opt.Seed, 1)), starter: newStarter(), startLimit: processStartLimit, ledger: newLedger()}
 	s.clients = newClients(s)
 	defer s.starter.end()
 	defer s.close()
@@ -197,8 +203,8 @@
 		}
 	}
 	for _, g := range s.gateways {
-		if !g.awaitServing(30 * time.Second) {
-			return fmt.Errorf("%s is not ready after 30 s", g.name)
+		if !g.awaitServing(s.startLimit) {
+			return fmt.Errorf("%s is not ready after %v", g.name, s.startLimit)
 		}
 	}
 	s.loadStart = time.Now()
--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -54,7 +54,6 @@
 	readyAt         time.Time    // when the latest process was ready; zero: not yet
 	firstReadyAt    time.Time    // when any process was first ready; zero: none yet
 	termAt          time.Time    // when the soak began to terminate or kill the latest process; zero: it has not
-	retired         bool         // no process is to be started any more
 	settingsVersion int          // number of changes of the settings
 }
 
@@ -151,7 +150,7 @@
 func (g *soakGateway) startProcess() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.proc != nil || g.retired {
+	if g.proc != nil {
 		return nil
 	}
 	g.generation++
@@ -339,16 +338,13 @@
 func (g *soakGateway) upgrade(alongside ...func(ended <-chan struct{})) {
 	g.mu.Lock()
 	old, generation := g.proc, g.generation
-	if old == nil || g.readyAt.IsZero() || g.retired {
+	if old == nil || g.readyAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
 	g.proc = nil
 	g.mu.Unlock()
-	if err := g.startProcess(); err != nil || !g.awaitProcessReady(30*time.Second) {
-		g.s.ledger.update(func() {
-			g.s.ledger.startFailures = append(g.s.ledger.startFailures, fmt.Sprintf("%s (process %d) is not ready 30 s after its start: %v", g.name, generation+1, err))
-		})
+	if !g.restart() {
 		return // the old process goes on serving
 	}
 	g.s.background.Add(1)
@@ -358,10 +354,28 @@
 	}()
 }
 
-// awaitProcessReady waits until the latest process is ready. It returns false when the limit has passed
-// before.
+// restart starts a process of the gateway, unless one is present, and waits until the present one is ready.
+// It records a process that cannot be started or is not ready within the start limit, as clients send
+// nothing to a gateway without a ready process, so that no request would show it.
+func (g *soakGateway) restart() bool {
+	err := g.startProcess()
+	if err == nil && g.awaitProcessReady(g.s.startLimit) {
+		return true
+	}
+	g.mu.Lock()
+	generation := g.generation
+	g.mu.Unlock()
+	g.s.ledger.update(func() {
+		g.s.ledger.startFailures = append(g.s.ledger.startFailures,
+			fmt.Sprintf("%s (process %d) is not ready %v after its start: %v", g.name, generation, g.s.startLimit, err))
+	})
+	return false
+}
+
+// awaitProcessReady waits until the latest process is ready. It returns false when the limit has passed or
+// the run was cancelled before.
 func (g *soakGateway) awaitProcessReady(limit time.Duration) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(limit); time.Now().Before(end) && g.s.ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		g.mu.Lock()
 		ready := !g.readyAt.IsZero()
 		g.mu.Unlock()
--- a/internal/fleetlab/soak_plan.go
+++ b/internal/fleetlab/soak_plan.go
@@ -60,17 +60,17 @@
 	}
 	switch kind {
 	case 0:
-		return disruption{name: "end in order", target: g.name, run: func(d *disruption) { s.terminateUnderLoad(g); g.startProcess() }}
+		return disruption{name: "end in order", target: g.name, run: func(d *disruption) { s.terminateUnderLoad(g); g.restart() }}
 	case 1:
 		return disruption{name: "end among signals", target: g.name, run: func(d *disruption) {
 			g.reloadInBurst()
 			s.terminateUnderLoad(g, g.signalRepeatedly)
-			g.startProcess()
+			g.restart()
 		}}
 	case 16:
 		return disruption{name: "end while held up", target: g.name, run: func(d *disruption) {
 			s.terminateUnderLoad(g, g.pauseWhileStopping)
-			g.startProcess()
+			g.restart()
 		}}
 	case 17:
 		return disruption{name: "crowd", target: g.name, run: func(d *disruption) { s.floodConns(g, d) }}
@@ -84,7 +84,7 @@
 	case 19:
 		return s.hostDisruption("stall", h, hostStalls)
 	case 2:
-		return disruption{name: "kill", target: g.name, run: func(d *disruption) { g.kill(); s.sleepUntil(s.elapsed() + time.Second); g.startProcess() }}
+		return disruption{name: "kill", target: g.name, run: func(d *disruption) { g.kill(); s.sleepUntil(s.elapsed() + time.Second); g.restart() }}
 	case 3:
 		return disruption{name: "hold up", target: g.name, run: func(d *disruption) { s.pauseRepeatedly(g, d) }}
 	case 4:
--- a/internal/fleetlab/soak_test.go
+++ b/internal/fleetlab/soak_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"maps"
+	"math/rand/v2"
 	"net/http"
 	"os"
 	"os/exec"
@@ -213,7 +214,8 @@
 		t.Fatal(err)
 	}
 	s := &soak{opt: SoakOptions{RealOptions: RealOptions{Bin: bin}}, dir: t.TempDir(), netPrefix: "127.63.", starter: newStarter(),
-		ledger: newLedger(), catalogs: &soakCatalogs{}}
+		startLimit: 100 * time.Millisecond, ctx: t.Context(), ledger: newLedger(), catalogs: &soakCatalogs{}, hosts: []*soakHost{{}},
+		loadStart: time.Now(), planRand: rand.New(rand.NewPCG(1, 1))}
 	g := newSoakGateway(s, 0)
 	s.gateways = []*soakGateway{g}
 	t.Cleanup(func() { s.close(); s.starter.end() })
@@ -236,3 +238,26 @@
 		t.Errorf("recorded %v after the crash, with code %d", exit.endedAt.Sub(seenAt), exit.exitCode)
 	}
 }
+
+// A process that a disruption starts and that does not become ready, or cannot be started, is reported.
+func TestFailedRestartIsReported(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		spoil   func(*soakGateway)
+		wantEnd string
+	}{
+		{"not ready", func(*soakGateway) {}, "<nil>"},
+		{"cannot be started", func(g *soakGateway) { g.s.opt.Bin = "" }, "executable file not found in $PATH"},
+	} {
+		g := startScript(t, "exec sleep 60")
+		c.spoil(g)
+		var kill disruption
+		for kill.name != "kill" {
+			kill = g.s.drawDisruption()
+		}
+		kill.run(&kill)
+		if failures := g.s.ledger.startFailures; len(failures) != 1 || !strings.HasSuffix(failures[0], c.wantEnd) {
+			t.Errorf("%s: reported %q", c.name, failures)
+		}
+	}
+}
