--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/fleetlab/soak_fleet.go
@@ -50,17 +50,20 @@
 	mu              sync.Mutex
 	proc            *soakProcess // the present process; nil: none
 	generation      int          // number of the latest process, from 1
-	startedAt       time.Time    // start of the latest process
-	readyAt         time.Time    // when the latest process was ready; zero: not yet
 	firstReadyAt    time.Time    // when any process was first ready; zero: none yet
-	termAt          time.Time    // when the soak began to terminate or kill the latest process; zero: it has not
 	settingsVersion int          // number of changes of the settings
 }
 
 // soakProcess is one process of a gateway.
 type soakProcess struct {
 	*faultnet.Proc
-	exitedAt atomic.Pointer[time.Time] // set by watchExit; nil: not yet
+	generation int
+	startedAt  time.Time
+	exitedAt   atomic.Pointer[time.Time] // set by watchExit; nil: not yet
+
+	// Guarded by the lock of the gateway.
+	readyAt time.Time // zero: not yet
+	termAt  time.Time // when the soak began to terminate or kill it; zero: it has not
 }
 
 // exitCheckInterval is how exact the recorded time of a crash is.
@@ -173,9 +176,9 @@
 	if err != nil {
 		return err
 	}
-	g.proc, g.startedAt, g.readyAt, g.termAt = &soakProcess{Proc: proc}, startedAt, time.Time{}, time.Time{}
+	g.proc = &soakProcess{Proc: proc, generation: g.generation, startedAt: startedAt}
 	go g.proc.watchExit()
-	go g.awaitHealth(g.generation)
+	go g.awaitHealth(g.proc)
 	return nil
 }
 
@@ -192,8 +195,8 @@
 	return err == nil
 }
 
-// awaitHealth checks the health of the process of a generation until it is ready or has been replaced.
-func (g *soakGateway) awaitHealth(generation int) {
+// awaitHealth checks the health of a process until it is ready or is no longer the present one.
+func (g *soakGateway) awaitHealth(proc *soakProcess) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + g.addr + "/_health"
 	if g.sharedSocket != nil { // another process may answer on the shared socket
@@ -205,14 +208,14 @@
 			resp.Body.Close()
 		}
 		g.mu.Lock()
-		if g.generation != generation || g.proc == nil {
+		if g.proc != proc {
 			g.mu.Unlock()
 			return
 		}
 		if err == nil && resp.StatusCode == http.StatusOK {
-			g.readyAt = time.Now()
+			proc.readyAt = time.Now()
 			if g.firstReadyAt.IsZero() {
-				g.firstReadyAt = g.readyAt
+				g.firstReadyAt = proc.readyAt
 			}
 			g.mu.Unlock()
 			return
@@ -239,7 +242,7 @@
 	if g.sharedSocket != nil {
 		return g.proc != nil && !g.firstReadyAt.IsZero(), sharedGeneration
 	}
-	return g.proc != nil && !g.readyAt.IsZero() && g.termAt.IsZero(), g.generation
+	return g.proc != nil && !g.proc.readyAt.IsZero() && g.proc.termAt.IsZero(), g.generation
 }
 
 // signal sends a signal to the process, if there is one.
@@ -270,7 +273,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// A process is not reloaded in its first second, nor before it is ready.
-	if g.proc == nil || g.readyAt.IsZero() || time.Since(g.startedAt) < 1100*time.Millisecond || !g.termAt.IsZero() {
+	if g.proc == nil || g.proc.readyAt.IsZero() || time.Since(g.proc.startedAt) < 1100*time.Millisecond || !g.proc.termAt.IsZero() {
 		return
 	}
 	g.settingsVersion++
@@ -291,14 +294,14 @@
 // stopped.
 func (g *soakGateway) stop(graceful bool, alongside []func(ended <-chan struct{})) {
 	g.mu.Lock()
-	proc, generation := g.proc, g.generation
-	if proc == nil || !g.termAt.IsZero() {
+	proc := g.proc
+	if proc == nil || !proc.termAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
-	g.termAt = time.Now()
+	proc.termAt = time.Now()
 	g.mu.Unlock()
-	g.stopProcess(proc, generation, graceful, alongside)
+	g.stopProcess(proc, graceful, alongside)
 	g.mu.Lock()
 	g.proc = nil
 	g.mu.Unlock()
@@ -306,8 +309,8 @@
 
 // stopProcess ends a process, waits for its exit and records it. The record of a process that had exited
 // by itself has no time of a signal.
-func (g *soakGateway) stopProcess(proc *soakProcess, generation int, graceful bool, alongside []func(ended <-chan struct{})) {
-	exit := processExit{gateway: g.name, generation: generation, logPath: proc.Log}
+func (g *soakGateway) stopProcess(proc *soakProcess, graceful bool, alongside []func(ended <-chan struct{})) {
+	exit := processExit{gateway: g.name, generation: proc.generation, logPath: proc.Log}
 	if ended, err := proc.Exited(); ended {
 		exit.endedAt, exit.exitCode = proc.exitTime(), exitCode(err)
 	} else if !graceful {
@@ -334,23 +337,32 @@
 }
 
 // upgrade starts a new process on the same socket and, once that is ready, terminates the old one in the
-// background. Another upgrade may start while the old process is still terminating.
+// background. Another upgrade may start while the old process is still terminating. If the new process does
+// not become ready, it is terminated and the old one remains the present process, so that the soak goes on
+// using it and judges its end.
 func (g *soakGateway) upgrade(alongside ...func(ended <-chan struct{})) {
 	g.mu.Lock()
-	old, generation := g.proc, g.generation
-	if old == nil || g.readyAt.IsZero() {
+	old := g.proc
+	if old == nil || old.readyAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
 	g.proc = nil
 	g.mu.Unlock()
 	if !g.restart() {
-		return // the old process goes on serving
+		g.mu.Lock()
+		failed := g.proc
+		g.proc = old
+		g.mu.Unlock()
+		if failed != nil {
+			g.stopProcess(failed, true, nil)
+		}
+		return
 	}
 	g.s.background.Add(1)
 	go func() {
 		defer g.s.background.Done()
-		g.stopProcess(old, generation, true, alongside)
+		g.stopProcess(old, true, alongside)
 	}()
 }
 
@@ -377,7 +389,7 @@
 func (g *soakGateway) awaitProcessReady(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end) && g.s.ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		g.mu.Lock()
-		ready := !g.readyAt.IsZero()
+		ready := g.proc != nil && !g.proc.readyAt.IsZero()
 		g.mu.Unlock()
 		if ready {
 			return true
--- a/internal/fleetlab/soak_test.go
+++ b/internal/fleetlab/soak_test.go
@@ -239,16 +239,19 @@
 	}
 }
 
+// failedStarts are the ways in which a start of a process fails, with the end of the report.
+var failedStarts = []struct {
+	name    string
+	spoil   func(*soakGateway)
+	wantEnd string
+}{
+	{"not ready", func(*soakGateway) {}, "<nil>"},
+	{"cannot be started", func(g *soakGateway) { g.s.opt.Bin = "" }, "executable file not found in $PATH"},
+}
+
 // A process that a disruption starts and that does not become ready, or cannot be started, is reported.
 func TestFailedRestartIsReported(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		spoil   func(*soakGateway)
-		wantEnd string
-	}{
-		{"not ready", func(*soakGateway) {}, "<nil>"},
-		{"cannot be started", func(g *soakGateway) { g.s.opt.Bin = "" }, "executable file not found in $PATH"},
-	} {
+	for _, c := range failedStarts {
 		g := startScript(t, "exec sleep 60")
 		c.spoil(g)
 		var kill disruption
@@ -261,3 +264,26 @@
 		}
 	}
 }
+
+// After a failed upgrade the old process is the present one again and its end is judged, and so is that of
+// the new process if it was started.
+func TestFailedUpgradeKeepsOldProcess(t *testing.T) {
+	for _, c := range failedStarts {
+		g := startScript(t, "exec sleep 60")
+		old := g.proc
+		old.readyAt = time.Now()
+		c.spoil(g)
+		g.upgrade()
+		if exited, _ := old.Exited(); exited || g.proc != old {
+			t.Errorf("%s: the old process exited (%t) or is not the present one", c.name, exited)
+		}
+		g.terminate()
+		generations := map[int]bool{}
+		for _, exit := range g.s.ledger.exits {
+			generations[exit.generation] = true
+		}
+		if started := c.wantEnd == "<nil>"; !generations[1] || generations[2] != started || len(g.s.ledger.startFailures) != 1 {
+			t.Errorf("%s: exits of processes %v, reported %q", c.name, generations, g.s.ledger.startFailures)
+		}
+	}
+}
