--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -185,3 +185,31 @@
 		t.Error("Release succeeded for a cancelled job, or failed for a completed one")
 	}
 }
+
+// runEvents runs all events of a world that has no load.
+func runEvents(w *world) {
+	for len(w.queue) > 0 {
+		e := w.queue.pop()
+		w.now = e.at
+		e.run()
+	}
+}
+
+// A fault of a host that has restarted since it failed by overload ends as that of any other host does. A
+// host that is still down from an overload stays down.
+func TestFaultEndsAfterAnEarlierOverload(t *testing.T) {
+	for _, restarted := range []bool{true, false} {
+		s := parse(t, smallScenario)
+		w := &world{scenario: s, now: time.Second}
+		h := w.addHost(&s.Hosts[1])
+		h.overload()
+		if restarted {
+			w.applyHostFault(&Fault{Action: "cold"}, h)
+		}
+		w.applyHostFault(&Fault{Action: "kill", Length: Duration(time.Second)}, h)
+		runEvents(w)
+		if (h.Condition == Serving) != restarted || !h.Overloaded {
+			t.Errorf("restarted %t: condition %d, recorded as overloaded %t", restarted, h.Condition, h.Overloaded)
+		}
+	}
+}
--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -47,7 +47,8 @@
 	Incarnation   int  // raised at each start; connections do not outlive an incarnation
 	Condition     Condition
 	SlowFactor    float64 // factor on the time that work takes; 1: normal
-	Overloaded    bool    // the host has failed by overload; stays set after a restart
+	Overloaded    bool    // the host has failed by overload; stays set after a restart, for the figures
+	overloadDown  bool    // the host has failed by overload and not restarted since
 	NotifiedShare float64 // share of the work of the overload that came from gateways whose list had the present start of the host
 
 	rules      *Rules
@@ -207,7 +208,7 @@
 			notified += p.work
 		}
 	}
-	h.Overloaded, h.NotifiedShare = true, notified/total
+	h.Overloaded, h.overloadDown, h.NotifiedShare = true, true, notified/total
 	h.Kill()
 }
 
@@ -223,7 +224,7 @@
 // Restart restarts the process. The host is cold then.
 func (h *Host) Restart(now Time) {
 	h.Kill()
-	h.Condition, h.Started, h.SlowFactor = Serving, now, 1
+	h.Condition, h.Started, h.SlowFactor, h.overloadDown = Serving, now, 1, false
 	h.Incarnation++
 }
 
--- a/internal/fleetlab/standin.go
+++ b/internal/fleetlab/standin.go
@@ -184,7 +184,7 @@
 	h.advanceLocked()
 	verdict := h.model.Arrive(h.run.now(), job)
 	h.advanceLocked()
-	overloaded := h.model.Overloaded
+	overloaded := h.model.overloadDown
 	h.mu.Unlock()
 	switch verdict {
 	case Rejected:
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/vfaults.go
@@ -183,13 +183,13 @@
 }
 
 // applyHostFault starts a fault of a host and schedules its end, which has no effect if the host has
-// restarted meanwhile or has ever failed by overload.
+// restarted meanwhile or is down from an overload.
 func (w *world) applyHostFault(f *Fault, h *Host) {
 	index, incarnation := h.Index, h.Incarnation
 	atEnd := func(do func()) {
 		if f.Length > 0 {
 			w.after(f.Length.std(), func() {
-				if h.Incarnation == incarnation && !h.Overloaded {
+				if h.Incarnation == incarnation && !h.overloadDown {
 					do()
 				}
 			})
