--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -186,15 +186,6 @@
 	}
 }
 
-// runEvents runs all events of a world that has no load.
-func runEvents(w *world) {
-	for len(w.queue) > 0 {
-		e := w.queue.pop()
-		w.now = e.at
-		e.run()
-	}
-}
-
 // A fault of a host that has restarted since it failed by overload ends as that of any other host does. A
 // host that is still down from an overload stays down.
 func TestFaultEndsAfterAnEarlierOverload(t *testing.T) {
@@ -207,7 +198,7 @@
 			w.applyHostFault(&Fault{Action: "cold"}, h)
 		}
 		w.applyHostFault(&Fault{Action: "kill", Length: Duration(time.Second)}, h)
-		runEvents(w)
+		w.runUntil(time.Minute)
 		if (h.Condition == Serving) != restarted || !h.Overloaded {
 			t.Errorf("restarted %t: condition %d, recorded as overloaded %t", restarted, h.Condition, h.Overloaded)
 		}
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -139,12 +139,7 @@
 		run.gateways = append(run.gateways, &realGateway{run: run, rank: i, configured: s.Gateways.Configured,
 			addr: fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 1+i/250, 1+i%250)})
 	}
-	hasSavedList := map[int]bool{}
-	if s.Gateways.SavedListShare > 0 {
-		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
-			hasSavedList[i] = true
-		}
-	}
+	hasSavedList := s.ranksWithSavedList()
 	for i, g := range run.gateways {
 		if err := g.configure(hasSavedList[i]); err != nil {
 			return err
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -102,7 +102,28 @@
 
 // runVirtual runs a scenario in the virtual engine, with the oracle in place of the gateways if oracle is set.
 func runVirtual(s *Scenario, oracle bool) *Result {
-	w := &world{scenario: s, recorder: NewRecorder(s), netRand: s.newRand(streamNet), seedRand: s.newRand(streamSeeds), retryRand: s.newRand(streamWeights + 100), oracle: oracle, oracleRequests: map[*Job]Time{}}
+	w := newWorld(s, oracle)
+	w.runUntil(s.Length.std() + s.longestDeadline() + 100*time.Millisecond)
+	w.endOpenRequests()
+	engine := "virtual"
+	if oracle {
+		engine = "oracle"
+	}
+	return w.recorder.Result(engine, w.hosts)
+}
+
+// newWorld returns the state at the start of a run, with the events that the scenario gives.
+func newWorld(s *Scenario, oracle bool) *world {
+	w := &world{
+		scenario:       s,
+		recorder:       NewRecorder(s),
+		netRand:        s.newRand(streamNet),
+		seedRand:       s.newRand(streamSeeds),
+		retryRand:      s.newRand(streamWeights + 100),
+		edgeBalancer:   newEdgeBalancer(s),
+		oracle:         oracle,
+		oracleRequests: map[*Job]Time{},
+	}
 	for i := range s.Hosts {
 		group := &s.Hosts[i]
 		w.zones, w.kinds = appendUnique(w.zones, group.Zone), appendUnique(w.kinds, group.Kind)
@@ -113,27 +134,45 @@
 	for i := range s.Catalog.Instances {
 		w.catalogs = append(w.catalogs, newListService(w, i))
 	}
-	present := s.PresentRanks()
-	w.edgeBalancer = newEdgeBalancer(s)
+	w.addGateways()
+	w.scheduleFaults()
+	w.scheduleArrivals()
+	w.at(binWidth, w.samplePending)
+	return w
+}
+
+// addGateways adds the gateways and schedules the starts of the present ones, unless the oracle takes their
+// place.
+func (w *world) addGateways() {
+	s := w.scenario
+	present, hasSavedList := s.PresentRanks(), s.ranksWithSavedList()
 	startRand := s.newRand(streamSeeds + 100)
-	hasSavedList := map[int]bool{}
-	if s.Gateways.SavedListShare > 0 {
-		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
-			hasSavedList[i] = true
-		}
-	}
 	for i := range s.Gateways.Count {
 		g := &gateway{world: w, rank: i, zone: i * len(w.zones) / s.Gateways.Count, configured: s.Gateways.Configured, hasSavedList: hasSavedList[i]}
 		w.gateways = append(w.gateways, g)
 		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
-		if present[i] && !oracle {
+		if present[i] && !w.oracle {
 			w.at(at, g.start)
 		}
 	}
-	w.scheduleFaults()
-	arrivals := newArrivals(s)
-	var arrive func()
+}
+
+// ranksWithSavedList returns the ranks of the gateways that start with a saved host list.
+func (s *Scenario) ranksWithSavedList() map[int]bool {
+	ranks := map[int]bool{}
+	if s.Gateways.SavedListShare > 0 {
+		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
+			ranks[i] = true
+		}
+	}
+	return ranks
+}
+
+// scheduleArrivals schedules the first arrival. Each arrival schedules the next one.
+func (w *world) scheduleArrivals() {
+	arrivals := newArrivals(w.scenario)
 	next, more := arrivals.draw()
+	var arrive func()
 	arrive = func() {
 		w.handleArrival(next)
 		if next, more = arrivals.draw(); more {
@@ -143,13 +182,20 @@
 	if more {
 		w.at(next.At, arrive)
 	}
-	w.at(binWidth, w.samplePending)
-	end := s.Length.std() + s.longestDeadline() + 100*time.Millisecond
+}
+
+// runUntil runs the events up to a time.
+func (w *world) runUntil(end Time) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		e := w.queue.pop()
 		w.now = e.at
 		e.run()
 	}
+}
+
+// endOpenRequests ends the requests that are open at the end of the run, and counts the gateways that are
+// not ready then.
+func (w *world) endOpenRequests() {
 	for _, g := range w.gateways {
 		if g.up && !g.ready {
 			w.recorder.neverReady++
@@ -159,11 +205,6 @@
 	for _, at := range w.oracleRequests { // lost by failed hosts; the order does not matter, as only sums are recorded
 		w.recorder.RecordEnd(at, Failed, 0)
 	}
-	engine := "virtual"
-	if oracle {
-		engine = "oracle"
-	}
-	return w.recorder.Result(engine, w.hosts)
 }
 
 // longestDeadline returns the longest deadline of all classes.
