--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -204,3 +204,52 @@
 		}
 	}
 }
+
+// A gateway that is stopped beyond the deadline of an attempt keeps the connection, and so the host's work
+// on it, until it continues. Only then does it call the list service after the loss of its watch.
+func TestStoppedGatewayDoesNothing(t *testing.T) {
+	s := parse(t, `name = "stopped"
+length = "4s"
+[catalog]
+push = true
+[gateways]
+count = 1
+[[hosts]]
+count = 1
+[load]
+rate = 50
+[[class]]
+name = "hang"
+share = 1
+work = "1ms"
+waits = "10s"
+aim = "1s"
+deadline = "1s"
+effect = "idempotent"
+[[fault]]
+at = "2s"
+for = "5s"
+on = "gateways"
+do = "stop"
+[[fault]]
+at = "3s"
+for = "1s"
+on = "catalog"
+do = "reset"
+`)
+	w := newWorld(s, false)
+	observe := func(at Time) (pending, calls int) {
+		w.runUntil(at)
+		for _, n := range w.recorder.callsByCatalog[0] {
+			calls += n
+		}
+		return w.hosts[0].Pending(), calls
+	}
+	pending, calls := observe(2 * time.Second)
+	if p, c := observe(6 * time.Second); pending == 0 || p < pending || c > calls {
+		t.Errorf("%d requests at the host when the gateway was stopped, %d before it continued; %d calls, then %d", pending, p, calls, c)
+	}
+	if p, c := observe(8 * time.Second); p > 0 || c <= calls {
+		t.Errorf("after the gateway continued: %d requests at the host, %d calls", p, c)
+	}
+}
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/vattempt.go
@@ -142,11 +142,16 @@
 }
 
 // abandon ends an attempt on the gateway's side, at its deadline or on a Cancel action, unless it has ended.
-// Its connection is closed, and the host stops its work on the attempt when the close arrives.
+// Its connection is closed, and the host stops its work on the attempt when the close arrives. A paused
+// process does this when it continues.
 func (g *gateway) abandon(a *attempt, result bramblelock.Result) {
 	if a.ended {
 		return
 	}
+	if g.paused {
+		g.whenRunning(func() { g.abandon(a, result) })
+		return
+	}
 	a.ended = true
 	a.closeConnection()
 	g.world.after(0, func() { // reported in an event of its own, not within the event that cancelled the attempt
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/vgateway.go
@@ -78,12 +78,20 @@
 // handle processes an event at the gateway and performs the resulting actions. It defers the event while
 // the process is paused.
 func (g *gateway) handle(do func()) {
+	g.whenRunning(func() {
+		do()
+		g.performActions()
+	})
+}
+
+// whenRunning does something that only a running process can do: at once or, while the process is paused,
+// when it continues.
+func (g *gateway) whenRunning(do func()) {
 	if g.paused {
 		g.deferred = append(g.deferred, do)
 		return
 	}
 	do()
-	g.performActions()
 }
 
 // start starts the process.
@@ -223,7 +231,7 @@
 	deferred := g.deferred
 	g.deferred = nil
 	for _, do := range deferred {
-		g.handle(do)
+		g.whenRunning(do)
 	}
 }
 
@@ -236,7 +244,7 @@
 	}
 }
 
-// openWatch calls the instance of the list service at catalogIndex for a watch.
+// openWatch calls the instance of the list service at catalogIndex for a watch. The process must be running.
 func (g *gateway) openWatch() {
 	w := g.world
 	c := w.catalogs[g.catalogIndex%len(w.catalogs)]
@@ -256,6 +264,10 @@
 	if !g.up || watch.generation != g.generation || g.watch != watch {
 		return
 	}
+	if g.paused {
+		g.whenRunning(func() { g.watchLost(watch) })
+		return
+	}
 	g.watch = nil
 	g.catalogIndex++
 	if watch.retryAfter > 0 { // the real gateway computes its backoff in the same way
@@ -279,7 +291,7 @@
 	generation := g.generation
 	g.world.after(time.Duration(g.world.retryRand.Float64()*2*float64(g.pushBackoff)), func() {
 		if g.up && g.generation == generation {
-			g.openWatch()
+			g.whenRunning(g.openWatch)
 		}
 	})
 }
@@ -367,7 +379,7 @@
 	case bramblelock.Watch:
 		w.at(g.nextCallAt, func() {
 			if g.up && g.generation == generation && g.watch == nil {
-				g.openWatch()
+				g.whenRunning(g.openWatch)
 			}
 		})
 	}
