--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -1,10 +1,13 @@
 package fleetlab
 
 import (
+	"io"
 	"os"
+	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
 	"bramblelock/internal/faultnet"
 )
@@ -132,3 +135,43 @@
 		t.Errorf("the least loaded host got %d requests, the most loaded %.2f times the mean of %.0f", r.Spread.Min, r.Spread.MaxMean, r.Spread.Mean)
 	}
 }
+
+// newScriptedRun returns a run without hosts and catalogs whose gateway processes run a shell script.
+func newScriptedRun(t *testing.T, script string) *realRun {
+	t.Helper()
+	bin := t.TempDir()
+	if err := os.WriteFile(filepath.Join(bin, "gateway"), []byte("#!/bin/sh\n"+script+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	s := parse(t, smallScenario)
+	return &realRun{scenario: s, options: RealOptions{Bin: bin, Progress: io.Discard}, dir: t.TempDir(), ctx: t.Context(), startedAt: time.Now(),
+		recorder: NewRecorder(s), edge: newEdgeBalancer(s)}
+}
+
+// A restart without a length starts the new process only when the old one has exited, and so always starts
+// one. Twenty restarts, as the old process may exit in time by chance.
+func TestRealRestartAtOnce(t *testing.T) {
+	run := newScriptedRun(t, "exec sleep 60")
+	run.starter = &starter{calls: make(chan func())}
+	g := &realGateway{run: run, addr: "127.0.0.1:1"}
+	defer g.kill()
+	go g.start()
+	(<-run.starter.calls)()
+	for range 20 {
+		old := presentProcess(g)
+		go run.applyGatewayFault(&Fault{Action: "restart"}, g)
+		start := <-run.starter.calls
+		exited, _ := old.Exited()
+		if start(); !exited {
+			t.Fatal("the new process is started beside the old one")
+		}
+	}
+}
+
+// presentProcess returns the process of a gateway, which has one.
+func presentProcess(g *realGateway) (present *faultnet.Proc) {
+	for present == nil {
+		g.withProcess(func(p *faultnet.Proc) { present = p })
+	}
+	return present
+}
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -389,15 +389,16 @@
 
 // applyGatewayFault starts a fault of a gateway and schedules its end.
 func (run *realRun) applyGatewayFault(f *Fault, g *realGateway) {
+	end := run.now() + f.Length.std()
 	atEnd := func(do func()) {
 		if f.Length > 0 || f.Action == "restart" {
-			run.at(run.now()+f.Length.std(), do)
+			run.at(end, do)
 		}
 	}
 	switch f.Action {
 	case "kill", "restart":
-		atEnd(g.start)
 		g.kill()
+		atEnd(g.start) // set only now: a start has no effect, or no free address, while the old process runs
 	case "term":
 		g.setAdmitted(false)
 		g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGTERM) })
