--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -38,12 +38,14 @@
 	recorderMu sync.Mutex // guards recorder
 	recorder   *Recorder
 
-	starter      *starter
-	hosts        []*loopbackHost
-	gateways     []*realGateway
-	catalogs     []*realCatalog
+	starter    *starter
+	hosts      []*loopbackHost
+	gateways   []*realGateway
+	catalogs   []*realCatalog
+	httpClient *http.Client
+
+	busyMu       sync.Mutex   // guards busyListener, as faults at the same time run in goroutines of their own
 	busyListener net.Listener // answers 503 to everything, in place of a busy list service; nil until needed
-	httpClient   *http.Client
 
 	edgeMu sync.Mutex // guards edge
 	edge   edgeBalancer
@@ -347,9 +349,11 @@
 	for _, c := range run.catalogs {
 		c.link.Close()
 	}
+	run.busyMu.Lock()
 	if run.busyListener != nil {
 		run.busyListener.Close()
 	}
+	run.busyMu.Unlock()
 	for _, host := range run.hosts {
 		host.close()
 	}
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"io"
+	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -175,3 +176,17 @@
 	}
 	return present
 }
+
+// Faults that make catalogs busy at the same time share one server, which close finds.
+func TestRealBusyServerIsShared(t *testing.T) {
+	run := newScriptedRun(t, "")
+	addrs := make(chan string, 2)
+	for range cap(addrs) {
+		go func() { addrs <- run.busyAddr() }()
+	}
+	first, second := <-addrs, <-addrs
+	run.close()
+	if _, err := net.Dial("tcp", first); first != second || err == nil {
+		t.Errorf("servers at %s and %s; connect after close: %v", first, second, err)
+	}
+}
--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -359,6 +359,8 @@
 // busyAddr returns the address of an HTTP server that answers 503 to everything, or "" if it cannot listen.
 // The first call starts the server.
 func (run *realRun) busyAddr() string {
+	run.busyMu.Lock()
+	defer run.busyMu.Unlock()
 	if run.busyListener == nil {
 		ln, err := listenLoopback()
 		if err != nil {
