--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -26,8 +26,8 @@
 	root := &cobra.Command{Use: "fleetlab", Short: "Experiments on a fleet of gateways",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(checkCmd(), runCmd(), tableCmd(), compareCmd(), plotCmd(), catalogCmd(), soakCmd())
-	// On an interrupt, a run of the engine real or of soak stops gracefully: all processes that it started
-	// have exited when it returns. The other commands, catalog among them, ignore the context.
+	// On an interrupt, a run of the engine real, of soak or of catalog stops gracefully: all processes that it
+	// started have exited when it returns. The other commands ignore the context.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root.ExecuteContext(ctx); err != nil {
@@ -158,7 +158,7 @@
 	var bin, dir string
 	var watchers, writes, kills int
 	cmd := &cobra.Command{Use: "catalog", Short: "Measure real catalogs: fan-out latency, memory per watch and failover time", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if watchers < 1 || writes < 1 || kills < 0 {
 				return errors.New("--watchers and --writes must be at least 1, --kills at least 0")
 			}
@@ -167,7 +167,7 @@
 				return err
 			}
 			defer os.RemoveAll(dataDir)
-			result, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
+			result, err := catalogfleet.RunExperiment(cmd.Context(), filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
 			if err != nil {
 				return err
 			}
--- a/internal/catalogfleet/experiment.go
+++ b/internal/catalogfleet/experiment.go
@@ -11,12 +11,21 @@
 )
 
 // panicReporter is a FailureReporter that panics. RunExperiment recovers and returns the failure.
-type panicReporter struct{}
+type panicReporter struct{ ctx context.Context }
 
 func (panicReporter) Helper() {}
 
 func (panicReporter) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
 
+// sleep waits for d. It panics as Fatalf does, with the context's error, when the context ends before.
+func (r panicReporter) sleep(d time.Duration) {
+	select {
+	case <-r.ctx.Done():
+		panic(r.ctx.Err())
+	case <-time.After(d):
+	}
+}
+
 // ExperimentResult holds the measurements of RunExperiment.
 type ExperimentResult struct {
 	Watchers        int     `json:"watchers"`
@@ -32,8 +41,9 @@
 // RunExperiment starts clusters of the given catalog binary with data folders below dataDir. It
 // measures the fan-out of writes, the memory of watches and the failover time, the latter over the
 // given number of kills of a leader. If kills is 0, it does not measure the failover. A failure of a
-// cluster is returned as an error.
-func RunExperiment(binary, dataDir string, watchers, writes, kills int) (result ExperimentResult, err error) {
+// cluster is returned as an error, and so is the end of ctx, which ends the experiment: at once while it
+// measures, and within the 15 s of WaitForLeader while it waits for an election.
+func RunExperiment(ctx context.Context, binary, dataDir string, watchers, writes, kills int) (result ExperimentResult, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			e, ok := p.(error)
@@ -44,10 +54,11 @@
 		}
 	}()
 	result.Watchers = watchers
-	result.FanoutP50MS, result.FanoutP99MS = measureFanout(binary, filepath.Join(dataDir, "fanout"), watchers, writes)
-	result.InstanceMB, result.Descriptors, result.KBPerWatch = measureWatchMemory(binary, filepath.Join(dataDir, "memory"), watchers)
+	reporter := panicReporter{ctx}
+	result.FanoutP50MS, result.FanoutP99MS = measureFanout(reporter, binary, filepath.Join(dataDir, "fanout"), watchers, writes)
+	result.InstanceMB, result.Descriptors, result.KBPerWatch = measureWatchMemory(reporter, binary, filepath.Join(dataDir, "memory"), watchers)
 	if kills > 0 {
-		result.LeaderKillP50MS, result.LeaderKillP99MS = measureFailover(binary, filepath.Join(dataDir, "failover"), kills)
+		result.LeaderKillP50MS, result.LeaderKillP99MS = measureFailover(reporter, binary, filepath.Join(dataDir, "failover"), kills)
 	}
 	return result, nil
 }
@@ -55,8 +66,8 @@
 // measureFanout measures how long after the answer that confirms it a write reaches the last of
 // watcherCount watchers, which are spread over 3 instances. If the last watcher receives it before the
 // answer, the time is 0. It returns p50 and p99 over the writes in ms.
-func measureFanout(binary, dataDir string, watcherCount, writes int) (float64, float64) {
-	c := NewCluster(panicReporter{}, binary, dataDir, 3)
+func measureFanout(reporter panicReporter, binary, dataDir string, watcherCount, writes int) (float64, float64) {
+	c := NewCluster(reporter, binary, dataDir, 3)
 	defer c.Close(nil)
 	leader := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
@@ -74,15 +85,15 @@
 		if _, ok := watchers[watcherCount-1].ReceivedAt(initialList.Version); ok {
 			break
 		}
-		time.Sleep(50 * time.Millisecond)
+		reporter.sleep(50 * time.Millisecond)
 	}
-	time.Sleep(time.Second)
+	reporter.sleep(time.Second)
 	var lags []time.Duration
 	for i := 0; i < writes; i++ {
 		version, ok := CommitMember(leader, fmt.Sprintf("s-%03d", i%100), fmt.Sprintf(`{"cell":%d}`, i+1))
 		committedAt := time.Now()
 		if !ok {
-			panicReporter{}.Fatalf("a write was not committed")
+			reporter.Fatalf("a write was not committed")
 		}
 		var lastReceivedAt time.Time
 		for _, w := range watchers {
@@ -91,23 +102,23 @@
 				if receivedAt, ok = w.ReceivedAt(version); ok {
 					break
 				}
-				time.Sleep(5 * time.Millisecond)
+				reporter.sleep(5 * time.Millisecond)
 			}
 			if !ok {
-				panicReporter{}.Fatalf("a watcher has not received version %d after 5 s", version)
+				reporter.Fatalf("a watcher has not received version %d after 5 s", version)
 			}
 			lastReceivedAt = maxTime(lastReceivedAt, receivedAt)
 		}
 		lags = append(lags, max(0, lastReceivedAt.Sub(committedAt)))
-		time.Sleep(20 * time.Millisecond)
+		reporter.sleep(20 * time.Millisecond)
 	}
 	return quantileMS(lags, 0.5), quantileMS(lags, 0.99)
 }
 
 // measureWatchMemory opens watchCount watches on one instance. It returns the instance's resident
 // memory in MB, its number of open descriptors, and the growth of its memory in kB per watch.
-func measureWatchMemory(binary, dataDir string, watchCount int) (float64, int, float64) {
-	c := NewCluster(panicReporter{}, binary, dataDir, 1)
+func measureWatchMemory(reporter panicReporter, binary, dataDir string, watchCount int) (float64, int, float64) {
+	c := NewCluster(reporter, binary, dataDir, 1)
 	defer c.Close(nil)
 	addr := c.HTTPAddr[c.WaitForLeader()]
 	for i := 0; i < 100; i++ {
@@ -124,17 +135,17 @@
 		if st, err := FetchStatus(addr); err == nil && st.Watches >= watchCount {
 			break
 		}
-		time.Sleep(50 * time.Millisecond)
+		reporter.sleep(50 * time.Millisecond)
 	}
-	time.Sleep(2 * time.Second)
+	reporter.sleep(2 * time.Second)
 	rss, fds := ProcessUsage(pid)
 	return float64(rss) / 1024, fds, float64(rss-initialRSS) / float64(watchCount)
 }
 
 // measureFailover repeatedly kills the leader of a cluster of 3 instances. It returns p50 and p99 in
 // ms of the time to the next confirmed write.
-func measureFailover(binary, dataDir string, trials int) (float64, float64) {
-	c := NewCluster(panicReporter{}, binary, dataDir, 3)
+func measureFailover(reporter panicReporter, binary, dataDir string, trials int) (float64, float64) {
+	c := NewCluster(reporter, binary, dataDir, 3)
 	defer c.Close(nil)
 	var outages []time.Duration
 	for trial := 0; trial < trials; trial++ {
@@ -147,9 +158,9 @@
 				break
 			}
 			if i > 2000 {
-				panicReporter{}.Fatalf("no write committed 20 s after the kill")
+				reporter.Fatalf("no write committed 20 s after the kill")
 			}
-			time.Sleep(5 * time.Millisecond)
+			reporter.sleep(5 * time.Millisecond)
 		}
 		outages = append(outages, time.Since(killedAt))
 		c.Start(oldLeader)
@@ -158,7 +169,7 @@
 			if l, code := FetchList(c.HTTPAddr[oldLeader]); code == 200 && l.Version >= want.Version {
 				break
 			}
-			time.Sleep(50 * time.Millisecond)
+			reporter.sleep(50 * time.Millisecond)
 		}
 	}
 	return quantileMS(outages, 0.5), quantileMS(outages, 0.99)
