--- a/internal/fleetlab/realparts.go
+++ b/internal/fleetlab/realparts.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"io"
 	"math"
+	"net"
 	"net/http"
 	"path/filepath"
 	"strings"
@@ -13,6 +15,7 @@
 	"time"
 
 	"bramblelock/internal/faultnet"
+	"bramblelock/internal/loopback"
 )
 
 // realGateway is a gateway process, with the health checks of the edge balancer.
@@ -67,7 +70,7 @@
 		config["membership"] = object{"bind": g.memberAddr(), "peers": peers, "local": true}
 	}
 	g.configPath = filepath.Join(run.dir, fmt.Sprintf("g%04d.json", g.rank))
-	return writeJSON(g.configPath, config)
+	return loopback.WriteJSON(g.configPath, config)
 }
 
 // memberAddr returns the address for the membership protocol.
@@ -81,7 +84,7 @@
 	if g.proc != nil {
 		return
 	}
-	proc, startedAt, err := g.run.starter.start(g.run.dir, name, filepath.Join(g.run.options.Bin, "gateway"), nil,
+	proc, startedAt, err := g.run.starter.Start(g.run.dir, name, filepath.Join(g.run.options.Bin, "gateway"), nil,
 		"GW_CONFIG="+g.configPath, "GW_NAME="+name, "GW_LISTEN="+g.addr, "TMPDIR="+g.run.dir)
 	if err != nil {
 		fmt.Fprintf(g.run.options.Progress, "%s: %v\n", name, err)
@@ -188,7 +191,7 @@
 		return nil
 	}
 	var err error
-	c.proc, _, err = c.run.starter.start(c.run.dir, c.id, filepath.Join(c.run.options.Bin, "catalog"), c.args)
+	c.proc, _, err = c.run.starter.Start(c.run.dir, c.id, filepath.Join(c.run.options.Bin, "catalog"), c.args)
 	return err
 }
 
@@ -268,7 +271,7 @@
 		c := run.catalogs[attempt%len(run.catalogs)]
 		var requestBody io.Reader
 		if body != nil {
-			b, err := encodeJSON(body)
+			b, err := json.Marshal(body)
 			if err != nil {
 				return err
 			}
@@ -362,7 +365,7 @@
 	run.busyMu.Lock()
 	defer run.busyMu.Unlock()
 	if run.busyListener == nil {
-		ln, err := listenLoopback()
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return ""
 		}
--- a/internal/fleetlab/soak_list.go
+++ b/internal/soak/catalogs.go
@@ -1,7 +1,8 @@
-package fleetlab
+package soak
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,8 +15,8 @@
 	"bramblelock/internal/faultnet"
 )
 
-// soakCatalogs runs the catalogs and the links through which gateways reach them.
-type soakCatalogs struct {
+// catalogs runs the catalogs and the links through which gateways reach them.
+type catalogs struct {
 	s         *soak
 	httpAddrs []string         // addresses of the catalogs, without links
 	links     []*faultnet.Link // one to each catalog
@@ -26,10 +27,10 @@
 	listed    map[string]map[string]any // latest entry of each host, by name
 }
 
-// startSoakCatalogs starts all catalogs. With an error it returns those that were started, for the caller to
+// startCatalogs starts all catalogs. With an error it returns those that were started, for the caller to
 // close.
-func startSoakCatalogs(s *soak) (*soakCatalogs, error) {
-	l := &soakCatalogs{s: s, listed: map[string]map[string]any{}}
+func startCatalogs(s *soak) (*catalogs, error) {
+	l := &catalogs{s: s, listed: map[string]map[string]any{}}
 	var peers []string
 	for i := range s.opt.Catalogs {
 		addr := fmt.Sprintf("%s199.%d:8500", s.netPrefix, i+1)
@@ -56,18 +57,18 @@
 	return l, nil
 }
 
-func (l *soakCatalogs) startCatalog(i int) error {
+func (l *catalogs) startCatalog(i int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.procs[i] != nil {
 		return nil
 	}
-	proc, _, err := l.s.starter.start(l.s.dir, fmt.Sprintf("c%d", i+1), filepath.Join(l.s.opt.Bin, "catalog"), l.args[i])
+	proc, _, err := l.s.starter.Start(l.s.dir, fmt.Sprintf("c%d", i+1), filepath.Join(l.s.opt.Bin, "catalog"), l.args[i])
 	l.procs[i] = proc
 	return err
 }
 
-func (l *soakCatalogs) killCatalog(i int) {
+func (l *catalogs) killCatalog(i int) {
 	l.mu.Lock()
 	proc := l.procs[i]
 	l.procs[i] = nil
@@ -79,7 +80,7 @@
 
 // discoveryAddrs returns the discovery addresses for the configuration of a gateway. first selects the
 // catalog that they begin with.
-func (l *soakCatalogs) discoveryAddrs(first int) string {
+func (l *catalogs) discoveryAddrs(first int) string {
 	var addrs []string
 	for i := range l.links {
 		addrs = append(addrs, l.links[(first+i)%len(l.links)].Addr)
@@ -88,7 +89,7 @@
 }
 
 // put lists a host in a state, at whichever catalog accepts the entry, and returns once one has.
-func (l *soakCatalogs) put(h *soakHost, state string) error {
+func (l *catalogs) put(h *host, state string) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	entry := map[string]any{"addr": h.addr, "zone": "a", "state": state, "started_ms": 0}
@@ -105,8 +106,8 @@
 
 // writeEntry sends an entry to one catalog after another until one accepts it. It gives up after 150 attempts,
 // which are 100 ms apart.
-func (l *soakCatalogs) writeEntry(id string, entry map[string]any) error {
-	text, err := encodeJSON(entry)
+func (l *catalogs) writeEntry(id string, entry map[string]any) error {
+	text, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
@@ -136,7 +137,7 @@
 
 // restartEmpty kills all catalogs, starts them with empty data folders, so that their versions start
 // again, and writes the list as it was.
-func (l *soakCatalogs) restartEmpty() {
+func (l *catalogs) restartEmpty() {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	for i := range l.procs {
@@ -157,7 +158,7 @@
 	}
 }
 
-func (l *soakCatalogs) close() {
+func (l *catalogs) close() {
 	for i := range l.procs {
 		l.killCatalog(i)
 	}
--- a/internal/fleetlab/soak_client.go
+++ b/internal/soak/clients.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import (
 	"bufio"
@@ -45,19 +45,19 @@
 	return requestPlain
 }
 
-// soakConn is a client connection that may be kept alive.
-type soakConn struct {
+// clientConn is a client connection that may be kept alive.
+type clientConn struct {
 	net.Conn
 	reader     *bufio.Reader
 	generation int // of the gateway's process when the connection was opened
 }
 
-// soakClients sends requests and keeps the idle connections to each gateway.
-type soakClients struct {
+// clients sends requests and keeps the idle connections to each gateway.
+type clients struct {
 	s         *soak
 	nextID    atomic.Int64 // number in the id of the latest request
 	mu        sync.Mutex   // guards idleConns
-	idleConns map[*soakGateway][]*soakConn
+	idleConns map[*gateway][]*clientConn
 }
 
 // runClients sends requests at the configured rate for the length of the run, waits for their ends and
@@ -90,18 +90,18 @@
 }
 
 // classAt returns the class for a random number between 0 and 1.
-func classAt(x float64) *soakClass {
-	for i := range soakClasses {
-		if x -= soakClasses[i].share; x < 0 {
-			return &soakClasses[i]
+func classAt(x float64) *requestClass {
+	for i := range requestClasses {
+		if x -= requestClasses[i].share; x < 0 {
+			return &requestClasses[i]
 		}
 	}
-	return &soakClasses[0]
+	return &requestClasses[0]
 }
 
 // requestOptions says how a client sends a request.
 type requestOptions struct {
-	class     *soakClass
+	class     *requestClass
 	kind      requestKind
 	keepAlive bool
 	patience  time.Duration // time until the client abandons the request; the pipelined one is written after a tenth of it
@@ -111,7 +111,7 @@
 
 // connect takes an idle connection, or opens one if there is none or newConn is set. Without afterTerm it
 // opens connections only to a gateway that serves clients, and returns errNoReadyProcess otherwise.
-func (c *soakClients) connect(g *soakGateway, newConn, afterTerm bool) (conn *soakConn, reused bool, err error) {
+func (c *clients) connect(g *gateway, newConn, afterTerm bool) (conn *clientConn, reused bool, err error) {
 	up, generation := g.serving()
 	c.mu.Lock()
 	for list := c.idleConns[g]; len(list) > 0 && !newConn; list = c.idleConns[g] {
@@ -132,12 +132,12 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return &soakConn{Conn: nc, reader: bufio.NewReader(nc), generation: generation}, false, nil
+	return &clientConn{Conn: nc, reader: bufio.NewReader(nc), generation: generation}, false, nil
 }
 
 // servingGateway returns a gateway that serves clients, preferably the given one. It returns the given one
 // if none does.
-func (c *soakClients) servingGateway(g *soakGateway) *soakGateway {
+func (c *clients) servingGateway(g *gateway) *gateway {
 	if up, _ := g.serving(); up {
 		return g
 	}
@@ -152,13 +152,13 @@
 var errNoReadyProcess = errors.New("the gateway has no ready process")
 
 // newClients returns clients without connections.
-func newClients(s *soak) *soakClients {
-	return &soakClients{s: s, idleConns: map[*soakGateway][]*soakConn{}}
+func newClients(s *soak) *clients {
+	return &clients{s: s, idleConns: map[*gateway][]*clientConn{}}
 }
 
 // send sends one request and records its result, or does nothing if there is no connection for it. retryOf
 // is the id of the request that it replaces, which takes a new connection; empty: it replaces none.
-func (c *soakClients) send(g *soakGateway, options requestOptions, retryOf string) {
+func (c *clients) send(g *gateway, options requestOptions, retryOf string) {
 	conn, reused, err := c.connect(g, retryOf != "", options.afterTerm)
 	if err != nil {
 		return // nothing was sent
@@ -167,8 +167,8 @@
 }
 
 // newRequest records a request that is about to be sent.
-func (c *soakClients) newRequest(conn *soakConn, g *soakGateway, options requestOptions, reused bool, retryOf string) *soakRequest {
-	req := &soakRequest{id: fmt.Sprintf("q%d-%06d", c.s.opt.Seed, c.nextID.Add(1)), class: options.class, gateway: g.name, generation: conn.generation,
+func (c *clients) newRequest(conn *clientConn, g *gateway, options requestOptions, reused bool, retryOf string) *request {
+	req := &request{id: fmt.Sprintf("q%d-%06d", c.s.opt.Seed, c.nextID.Add(1)), class: options.class, gateway: g.name, generation: conn.generation,
 		newConn: !reused, slowWrite: options.kind == requestSlow, retryOf: retryOf, firstByteAt: time.Now()}
 	c.s.ledger.addRequest(req)
 	return req
@@ -176,7 +176,7 @@
 
 // sendOn sends one request on a connection, or two that are pipelined, and records how they ended. reused
 // says that the connection has carried an answer before.
-func (c *soakClients) sendOn(conn *soakConn, g *soakGateway, options requestOptions, reused bool, retryOf string) {
+func (c *clients) sendOn(conn *clientConn, g *gateway, options requestOptions, reused bool, retryOf string) {
 	req := c.newRequest(conn, g, options, reused, retryOf)
 	err := c.write(conn, req, options)
 	switch {
@@ -191,7 +191,7 @@
 
 // abandon closes the connection after options.patience. For requestAbandonedAndRetried it then sends the
 // request again, under another id.
-func (c *soakClients) abandon(conn *soakConn, g *soakGateway, options requestOptions, req *soakRequest) {
+func (c *clients) abandon(conn *clientConn, g *gateway, options requestOptions, req *request) {
 	time.Sleep(options.patience)
 	conn.Close()
 	c.s.ledger.update(func() { req.abandonedAt, req.endedAt = time.Now(), time.Now() })
@@ -204,7 +204,7 @@
 
 // pipeline writes a second request before the answer to the first and awaits both answers. If the
 // connection ends with the first answer, the second request is sent again on a new connection.
-func (c *soakClients) pipeline(conn *soakConn, g *soakGateway, options requestOptions, first *soakRequest, reused bool) {
+func (c *clients) pipeline(conn *clientConn, g *gateway, options requestOptions, first *request, reused bool) {
 	time.Sleep(options.patience / 10)
 	next := options
 	next.kind = requestPlain
@@ -227,7 +227,7 @@
 // awaitAnswer records the answer to a request, or the error err of sending it, and says whether the
 // connection stays open. If a reused connection failed before the first byte of an answer, the request is
 // sent again once on a new connection.
-func (c *soakClients) awaitAnswer(conn *soakConn, g *soakGateway, options requestOptions, req *soakRequest, reused bool, err error) bool {
+func (c *clients) awaitAnswer(conn *clientConn, g *gateway, options requestOptions, req *request, reused bool, err error) bool {
 	status, closing, started := 0, true, false
 	if err == nil {
 		conn.SetReadDeadline(time.Now().Add(options.class.deadline + 5*time.Second))
@@ -254,12 +254,12 @@
 }
 
 // finish records how a request ended.
-func (c *soakClients) finish(req *soakRequest, status int, err error) {
+func (c *clients) finish(req *request, status int, err error) {
 	c.s.ledger.update(func() { req.status, req.err, req.endedAt = status, err, time.Now() })
 }
 
 // write sends a request and records when its last byte was written.
-func (c *soakClients) write(conn *soakConn, req *soakRequest, options requestOptions) error {
+func (c *clients) write(conn *clientConn, req *request, options requestOptions) error {
 	err := conn.send(req, options)
 	if err == nil {
 		c.s.ledger.update(func() { req.sentAt = time.Now() })
@@ -271,7 +271,7 @@
 var longBodySizes = []int{80 << 10, 300 << 10, 1 << 20, 6 << 20}
 
 // send writes a request.
-func (conn *soakConn) send(req *soakRequest, options requestOptions) error {
+func (conn *clientConn) send(req *request, options requestOptions) error {
 	method, body := http.MethodPost, "body of "+req.id
 	if req.class.effect == "idempotent" {
 		method, body = http.MethodGet, ""
@@ -306,7 +306,7 @@
 
 // receive reads the complete answer to a request. started says that at least its first byte arrived,
 // closing that the connection cannot be used again.
-func (conn *soakConn) receive(req *soakRequest) (status int, closing, started bool, err error) {
+func (conn *clientConn) receive(req *request) (status int, closing, started bool, err error) {
 	if _, err := conn.reader.Peek(1); err != nil {
 		return 0, true, false, err
 	}
@@ -348,7 +348,7 @@
 
 // runBadClient acts as one bad client. It records after what time its connection was answered or
 // closed, or 0 if it was neither within 6 s.
-func (s *soak) runBadClient(g *soakGateway, kind *badClientKind) {
+func (s *soak) runBadClient(g *gateway, kind *badClientKind) {
 	up, generation := g.serving()
 	if !up {
 		return
--- a/internal/fleetlab/soak_fleet.go
+++ b/internal/soak/gateway.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import (
 	"fmt"
@@ -13,17 +13,18 @@
 	"time"
 
 	"bramblelock/internal/faultnet"
+	"bramblelock/internal/loopback"
 )
 
-// soakClass is a request class in the settings of the gateways.
-type soakClass struct {
+// requestClass is a request class in the settings of the gateways.
+type requestClass struct {
 	name, effect string
 	deadline     time.Duration
 	window       time.Duration // idempotency window; 0: the class is not deduplicated
 	share        float64       // of all requests
 }
 
-var soakClasses = []soakClass{
+var requestClasses = []requestClass{
 	{name: "look", effect: "idempotent", deadline: 1200 * time.Millisecond, share: 0.5},
 	{name: "book", effect: "at_most_once", deadline: 2 * time.Second, share: 0.3},
 	{name: "report", effect: "deduplicated", deadline: 1500 * time.Millisecond, window: 600 * time.Millisecond, share: 0.2},
@@ -31,31 +32,31 @@
 
 // Slow start, draining and termination in the settings of the soak.
 const (
-	soakColdFrom       = 0.2                    // share of its capacity that a host starts with
-	soakWarmAfter      = 8 * time.Second        // a host has its full capacity this long after its start
-	soakOverloadFactor = 2.5                    // multiple of its present capacity at which a cold host fails
-	soakOverloadPeriod = time.Second            // an overload makes a host fail when it lasts this long
-	soakWarmRate       = 60                     // requests per second that a warm host can serve
-	soakDrainGrace     = time.Second            // a gateway may send to a draining host for this long after it is notified
-	soakKillMargin     = 700 * time.Millisecond // time from the longest deadline, which counts as 3 s, to the SIGKILL
+	coldFrom       = 0.2                    // share of its capacity that a host starts with
+	warmAfter      = 8 * time.Second        // a host has its full capacity this long after its start
+	overloadFactor = 2.5                    // multiple of its present capacity at which a cold host fails
+	overloadPeriod = time.Second            // an overload makes a host fail when it lasts this long
+	warmRate       = 60                     // requests per second that a warm host can serve
+	drainGrace     = time.Second            // a gateway may send to a draining host for this long after it is notified
+	killMargin     = 700 * time.Millisecond // time from the longest deadline, which counts as 3 s, to the SIGKILL
 )
 
-// soakGateway is a gateway of one name, with one process after another.
-type soakGateway struct {
+// gateway is a gateway of one name, with one process after another.
+type gateway struct {
 	s                        *soak
 	name, addr, operatorAddr string
 	configPath, dir          string
 	sharedSocket             *os.File // listening socket that its processes inherit; nil: each opens its own
 
 	mu              sync.Mutex
-	proc            *soakProcess // the present process; nil: none
-	generation      int          // number of the latest process, from 1
-	firstReadyAt    time.Time    // when any process was first ready; zero: none yet
-	settingsVersion int          // number of changes of the settings
+	proc            *process  // the present process; nil: none
+	generation      int       // number of the latest process, from 1
+	firstReadyAt    time.Time // when any process was first ready; zero: none yet
+	settingsVersion int       // number of changes of the settings
 }
 
-// soakProcess is one process of a gateway.
-type soakProcess struct {
+// process is one process of a gateway.
+type process struct {
 	*faultnet.Proc
 	generation int
 	startedAt  time.Time
@@ -71,7 +72,7 @@
 
 // watchExit waits until the process exits and notes the time. A crash is recorded only when the soak ends
 // the process, which may be much later.
-func (p *soakProcess) watchExit() {
+func (p *process) watchExit() {
 	for {
 		if exited, _ := p.Exited(); exited {
 			now := time.Now()
@@ -83,17 +84,17 @@
 }
 
 // exitTime returns when the process exited. The caller has seen that it did.
-func (p *soakProcess) exitTime() time.Time {
+func (p *process) exitTime() time.Time {
 	if at := p.exitedAt.Load(); at != nil {
 		return *at
 	}
 	return time.Now() // watchExit is about to note it
 }
 
-// newSoakGateway returns the gateway of an index, which has no process yet.
-func newSoakGateway(s *soak, i int) *soakGateway {
+// newGateway returns the gateway of an index, which has no process yet.
+func newGateway(s *soak, i int) *gateway {
 	name := fmt.Sprintf("g%02d", i)
-	g := &soakGateway{s: s, name: name, addr: fmt.Sprintf("%s1.%d:9000", s.netPrefix, i+1), operatorAddr: fmt.Sprintf("%s1.%d:9001", s.netPrefix, i+1),
+	g := &gateway{s: s, name: name, addr: fmt.Sprintf("%s1.%d:9000", s.netPrefix, i+1), operatorAddr: fmt.Sprintf("%s1.%d:9001", s.netPrefix, i+1),
 		configPath: filepath.Join(s.dir, name+".json"), dir: filepath.Join(s.dir, name)}
 	os.MkdirAll(g.dir, 0o755)
 	return g
@@ -108,7 +109,7 @@
 func sharesSocket(i int) bool { return i%6 == 5 }
 
 // openSharedSocket opens the listening socket that the processes of the gateway inherit.
-func (g *soakGateway) openSharedSocket() error {
+func (g *gateway) openSharedSocket() error {
 	ln, err := net.Listen("tcp", g.addr)
 	if err != nil {
 		return err
@@ -120,11 +121,11 @@
 
 // configure writes the configuration file. Each settings version changes the deadline of the class look
 // and the discovery address that comes first.
-func (g *soakGateway) configure(settingsVersion int) error {
+func (g *gateway) configure(settingsVersion int) error {
 	type obj map[string]any
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var classes []obj
-	for _, c := range soakClasses {
+	for _, c := range requestClasses {
 		deadline := c.deadline
 		if c.name == "look" && settingsVersion%2 == 1 {
 			deadline += 200 * time.Millisecond
@@ -140,9 +141,9 @@
 		"classes": classes, "tenants": []obj{}, "over_share_worth": 0.05,
 		"caps": obj{"cancel": true, "max_attempts": 4, "conn_idle": 10000000, "dial_timeout": 250000, "may_duplicate": false,
 			"max_retry_after": 2000000, "retry_after": true},
-		"obligations": obj{"ask_within": 10000000, "cold_from": soakColdFrom, "warm_after": us(soakWarmAfter), "overload_factor": soakOverloadFactor,
-			"fall": us(soakOverloadPeriod), "drain_grace": us(soakDrainGrace), "grace_to_answer": 58000}}
-	return writeJSON(g.configPath, obj{"name": g.name, "listen": g.addr, "operator": g.operatorAddr, "discovery": g.s.catalogs.discoveryAddrs(rank + settingsVersion),
+		"obligations": obj{"ask_within": 10000000, "cold_from": coldFrom, "warm_after": us(warmAfter), "overload_factor": overloadFactor,
+			"fall": us(overloadPeriod), "drain_grace": us(drainGrace), "grace_to_answer": 58000}}
+	return loopback.WriteJSON(g.configPath, obj{"name": g.name, "listen": g.addr, "operator": g.operatorAddr, "discovery": g.s.catalogs.discoveryAddrs(rank + settingsVersion),
 		"seed":   fmt.Sprintf("%x", g.s.opt.Seed*1_000_003+uint64(rank*100+g.generation)+1),
 		"limits": obj{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": obj{"version": 0, "full": true, "servers": []obj{}},
 		"settings": settings})
@@ -150,7 +151,7 @@
 
 // startProcess starts a process of the gateway, unless one is present, and checks its health in the
 // background until it is ready.
-func (g *soakGateway) startProcess() error {
+func (g *gateway) startProcess() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.proc != nil {
@@ -172,11 +173,11 @@
 	if g.sharedSocket != nil {
 		files, env = []*os.File{g.sharedSocket}, append(env, "GW_ACCEPT_FD=3")
 	}
-	proc, startedAt, err := g.s.starter.startWith(files, g.s.dir, fmt.Sprintf("%s.%d", g.name, g.generation), bin, nil, env...)
+	proc, startedAt, err := g.s.starter.StartWithFiles(files, g.s.dir, fmt.Sprintf("%s.%d", g.name, g.generation), bin, nil, env...)
 	if err != nil {
 		return err
 	}
-	g.proc = &soakProcess{Proc: proc, generation: g.generation, startedAt: startedAt}
+	g.proc = &process{Proc: proc, generation: g.generation, startedAt: startedAt}
 	go g.proc.watchExit()
 	go g.awaitHealth(g.proc)
 	return nil
@@ -196,7 +197,7 @@
 }
 
 // awaitHealth checks the health of a process until it is ready or is no longer the present one.
-func (g *soakGateway) awaitHealth(proc *soakProcess) {
+func (g *gateway) awaitHealth(proc *process) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	url := "http://" + g.addr + "/_health"
 	if g.sharedSocket != nil { // another process may answer on the shared socket
@@ -226,7 +227,7 @@
 }
 
 // awaitServing waits until the gateway serves clients. It returns false when the limit has passed before.
-func (g *soakGateway) awaitServing(limit time.Duration) bool {
+func (g *gateway) awaitServing(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if up, _ := g.serving(); up {
 			return true
@@ -236,7 +237,7 @@
 }
 
 // serving says whether clients may open connections to the gateway, and the generation that serves them.
-func (g *soakGateway) serving() (bool, int) {
+func (g *gateway) serving() (bool, int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.sharedSocket != nil {
@@ -246,7 +247,7 @@
 }
 
 // signal sends a signal to the process, if there is one.
-func (g *soakGateway) signal(sig syscall.Signal) {
+func (g *gateway) signal(sig syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.proc != nil {
@@ -256,7 +257,7 @@
 
 // pause stops the present process for a time. It continues the same process even when another one has
 // been started meanwhile.
-func (g *soakGateway) pause(d time.Duration) {
+func (g *gateway) pause(d time.Duration) {
 	g.mu.Lock()
 	proc := g.proc
 	g.mu.Unlock()
@@ -269,7 +270,7 @@
 }
 
 // reload changes the settings and sends SIGHUP. It does nothing if the gateway has no ready process.
-func (g *soakGateway) reload() {
+func (g *gateway) reload() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// A process is not reloaded in its first second, nor before it is ready.
@@ -283,16 +284,16 @@
 }
 
 // kill ends the process with SIGKILL.
-func (g *soakGateway) kill() { g.stop(false, nil) }
+func (g *gateway) kill() { g.stop(false, nil) }
 
 // terminate ends the process with SIGTERM, and with SIGKILL if it runs for 3 s, which is longer than any
-// deadline, and soakKillMargin after that. The functions of alongside run meanwhile, in the background;
+// deadline, and killMargin after that. The functions of alongside run meanwhile, in the background;
 // ended is closed when the process has exited.
-func (g *soakGateway) terminate(alongside ...func(ended <-chan struct{})) { g.stop(true, alongside) }
+func (g *gateway) terminate(alongside ...func(ended <-chan struct{})) { g.stop(true, alongside) }
 
 // stop ends the present process and waits for its exit. It does nothing if the process is already being
 // stopped.
-func (g *soakGateway) stop(graceful bool, alongside []func(ended <-chan struct{})) {
+func (g *gateway) stop(graceful bool, alongside []func(ended <-chan struct{})) {
 	g.mu.Lock()
 	proc := g.proc
 	if proc == nil || !proc.termAt.IsZero() {
@@ -309,7 +310,7 @@
 
 // stopProcess ends a process, waits for its exit and records it. The record of a process that had exited
 // by itself has no time of a signal.
-func (g *soakGateway) stopProcess(proc *soakProcess, graceful bool, alongside []func(ended <-chan struct{})) {
+func (g *gateway) stopProcess(proc *process, graceful bool, alongside []func(ended <-chan struct{})) {
 	exit := processExit{gateway: g.name, generation: proc.generation, logPath: proc.Log}
 	if ended, err := proc.Exited(); ended {
 		exit.endedAt, exit.exitCode = proc.exitTime(), exitCode(err)
@@ -325,9 +326,9 @@
 			g.s.background.Add(1)
 			go func() { defer g.s.background.Done(); do(ended) }()
 		}
-		err := proc.Term(longestDeadline + soakKillMargin)
+		err := proc.Term(longestDeadline + killMargin)
 		close(ended)
-		if exit.endedAt = time.Now(); exit.endedAt.Sub(exit.termAt) >= longestDeadline+soakKillMargin {
+		if exit.endedAt = time.Now(); exit.endedAt.Sub(exit.termAt) >= longestDeadline+killMargin {
 			exit.killAt = exit.endedAt
 		} else {
 			exit.exitCode = exitCode(err)
@@ -340,7 +341,7 @@
 // background. Another upgrade may start while the old process is still terminating. If the new process does
 // not become ready, it is terminated and the old one remains the present process, so that the soak goes on
 // using it and judges its end.
-func (g *soakGateway) upgrade(alongside ...func(ended <-chan struct{})) {
+func (g *gateway) upgrade(alongside ...func(ended <-chan struct{})) {
 	g.mu.Lock()
 	old := g.proc
 	if old == nil || old.readyAt.IsZero() {
@@ -369,7 +370,7 @@
 // restart starts a process of the gateway, unless one is present, and waits until the present one is ready.
 // It records a process that cannot be started or is not ready within the start limit, as clients send
 // nothing to a gateway without a ready process, so that no request would show it.
-func (g *soakGateway) restart() bool {
+func (g *gateway) restart() bool {
 	err := g.startProcess()
 	if err == nil && g.awaitProcessReady(g.s.startLimit) {
 		return true
@@ -386,7 +387,7 @@
 
 // awaitProcessReady waits until the latest process is ready. It returns false when the limit has passed or
 // the run was cancelled before.
-func (g *soakGateway) awaitProcessReady(limit time.Duration) bool {
+func (g *gateway) awaitProcessReady(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end) && g.s.ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		g.mu.Lock()
 		ready := g.proc != nil && !g.proc.readyAt.IsZero()
--- a/internal/fleetlab/soak_server.go
+++ b/internal/soak/host.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import (
 	"bufio"
@@ -10,6 +10,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"bramblelock/internal/loopback"
 )
 
 // hostMode is how a host of a soak behaves.
@@ -36,9 +38,9 @@
 	stallTime = time.Second
 )
 
-// soakHost is a host of a soak. It answers or misbehaves as its mode says, and records the attempts that it
+// host is a host of a soak. It answers or misbehaves as its mode says, and records the attempts that it
 // receives in the ledger.
-type soakHost struct {
+type host struct {
 	s    *soak
 	name string
 	addr string
@@ -51,14 +53,14 @@
 	draining bool              // the host drains or is about to be listed as ready again
 }
 
-func startSoakHost(s *soak, i int) (*soakHost, error) {
-	h := &soakHost{s: s, name: fmt.Sprintf("s-%02d", i), addr: fmt.Sprintf("%s200.%d:9000", s.netPrefix, i+1), conns: map[net.Conn]bool{}}
+func startHost(s *soak, i int) (*host, error) {
+	h := &host{s: s, name: fmt.Sprintf("s-%02d", i), addr: fmt.Sprintf("%s200.%d:9000", s.netPrefix, i+1), conns: map[net.Conn]bool{}}
 	return h, h.listen()
 }
 
 // listen opens the listening socket of the host.
-func (h *soakHost) listen() error {
-	ln, err := listenAndServe(h.addr, h.serve)
+func (h *host) listen() error {
+	ln, err := loopback.ListenAndServe(h.addr, h.serve)
 	if err != nil {
 		return fmt.Errorf("host %s: %w", h.name, err)
 	}
@@ -70,7 +72,7 @@
 
 // setMode changes the mode. hostDown closes the listening socket and resets all connections; any other mode
 // opens the socket again.
-func (h *soakHost) setMode(mode hostMode) {
+func (h *host) setMode(mode hostMode) {
 	h.mu.Lock()
 	old := h.mode
 	h.mode = mode
@@ -93,16 +95,16 @@
 	}
 }
 
-func (h *soakHost) currentMode() hostMode {
+func (h *host) currentMode() hostMode {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.mode
 }
 
-func (h *soakHost) close() { h.setMode(hostDown) }
+func (h *host) close() { h.setMode(hostDown) }
 
 // serve handles the requests of one connection.
-func (h *soakHost) serve(c net.Conn) {
+func (h *host) serve(c net.Conn) {
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(hostReadBuffer) // the rest of a longer body arrives only as the host reads it
 	h.mu.Lock()
@@ -123,7 +125,7 @@
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		attempt := soakAttempt{host: h.name, firstByteAt: time.Now()}
+		attempt := attempt{host: h.name, firstByteAt: time.Now()}
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -147,12 +149,12 @@
 
 // answer records an attempt, answers it as the mode and the id demand, and says whether the connection
 // stays open.
-func (h *soakHost) answer(c net.Conn, id string, attempt soakAttempt) bool {
+func (h *host) answer(c net.Conn, id string, attempt attempt) bool {
 	mode, idHash := h.currentMode(), hashID(id)
 	attempt.rejected = mode == hostRejects
 	h.s.ledger.addAttempt(id, attempt)
 	if mode == hostRejects {
-		return writeResponse(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+		return loopback.WriteResponse(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
 	}
 	time.Sleep(time.Duration(5+idHash%36) * time.Millisecond)
 	switch {
@@ -160,7 +162,7 @@
 		io.Copy(io.Discard, c) // until the gateway gives up
 		return false
 	case mode == hostFails:
-		return writeResponse(c, "500 Internal Server Error", "", "")
+		return loopback.WriteResponse(c, "500 Internal Server Error", "", "")
 	case mode == hostResets && idHash%3 != 0:
 		if idHash%3 == 1 {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it")
@@ -175,7 +177,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone "+id)
 		return false
 	}
-	return writeResponse(c, "200 OK", "", "done "+id)
+	return loopback.WriteResponse(c, "200 OK", "", "done "+id)
 }
 
 // writeChunkedAnswer writes an answer in chunks, with a pause after each part, and says whether that
--- a/internal/fleetlab/soak_ledger.go
+++ b/internal/soak/ledger.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import (
 	"sync"
@@ -8,10 +8,10 @@
 // ledger records what the clients and hosts of a soak have seen, and the disruptions, process exits and
 // pauses that the judge takes into account.
 type ledger struct {
-	mu            sync.Mutex              // guards all other fields and changes of the records that they refer to
-	requests      map[string]*soakRequest // by id
-	order         []string                // ids in the order of their first record
-	resent        map[string]bool         // ids of requests that their clients sent again under another id
+	mu            sync.Mutex          // guards all other fields and changes of the records that they refer to
+	requests      map[string]*request // by id
+	order         []string            // ids in the order of their first record
+	resent        map[string]bool     // ids of requests that their clients sent again under another id
 	badClients    []badClient
 	drains        []hostDrain
 	hostStarts    []hostStart
@@ -23,7 +23,7 @@
 }
 
 func newLedger() *ledger {
-	return &ledger{requests: map[string]*soakRequest{}, resent: map[string]bool{}}
+	return &ledger{requests: map[string]*request{}, resent: map[string]bool{}}
 }
 
 // span is a period of time. A zero end means that it still lasts.
@@ -49,10 +49,10 @@
 	gateway string
 }
 
-// soakRequest is one request as its client saw it, with its attempts as the hosts saw them.
-type soakRequest struct {
+// request is one request as its client saw it, with its attempts as the hosts saw them.
+type request struct {
 	id          string
-	class       *soakClass // nil: a host received the request but no client sent it
+	class       *requestClass // nil: a host received the request but no client sent it
 	gateway     string
 	generation  int       // of the process of the gateway
 	newConn     bool      // the request is the first on its connection
@@ -64,11 +64,11 @@
 	status      int       // HTTP status; 0: no complete answer
 	err         error     // why there is no complete answer
 	retryOf     string    // id of the request that this one replaces, whose connection ended without an answer; empty: none
-	attempts    []soakAttempt
+	attempts    []attempt
 }
 
-// soakAttempt is one attempt as a host received it.
-type soakAttempt struct {
+// attempt is one attempt as a host received it.
+type attempt struct {
 	host        string
 	firstByteAt time.Time     // when the first byte was received
 	receivedAt  time.Time     // when the last byte was received
@@ -110,7 +110,7 @@
 }
 
 // addRequest records a request that a client is about to send.
-func (l *ledger) addRequest(req *soakRequest) {
+func (l *ledger) addRequest(req *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests[req.id] = req
@@ -129,12 +129,12 @@
 
 // addAttempt records an attempt that a host received. If no client has sent a request of that id, it adds a
 // request without a class.
-func (l *ledger) addAttempt(id string, attempt soakAttempt) {
+func (l *ledger) addAttempt(id string, attempt attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	req := l.requests[id]
 	if req == nil {
-		req = &soakRequest{id: id}
+		req = &request{id: id}
 		l.requests[id] = req
 		l.order = append(l.order, id)
 	}
--- a/internal/fleetlab/soak_notified.go
+++ b/internal/soak/notification.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import "time"
 
--- a/internal/fleetlab/soak_plan.go
+++ b/internal/soak/plan.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import (
 	"fmt"
@@ -119,7 +119,7 @@
 }
 
 // upgradableGateways returns the gateways whose processes share a listening socket.
-func (s *soak) upgradableGateways() (shared []*soakGateway) {
+func (s *soak) upgradableGateways() (shared []*gateway) {
 	for _, g := range s.gateways {
 		if g.sharedSocket != nil {
 			shared = append(shared, g)
@@ -129,7 +129,7 @@
 }
 
 // upgradeDisruption returns an upgrade in place of the termination or kill of the drawn kind.
-func (s *soak) upgradeDisruption(g *soakGateway, kind int) disruption {
+func (s *soak) upgradeDisruption(g *gateway, kind int) disruption {
 	load := func(ended <-chan struct{}) {
 		s.clients.sendUntilExit(g, s.clients.openIdleConns(g, idleConnsAtTerm), rand.New(rand.NewPCG(s.opt.Seed, uint64(kind))), ended)
 	}
@@ -187,7 +187,7 @@
 }
 
 // hostDisruption sets a host to a mode for the duration and then to hostHealthy.
-func (s *soak) hostDisruption(name string, h *soakHost, mode hostMode) disruption {
+func (s *soak) hostDisruption(name string, h *host, mode hostMode) disruption {
 	return disruption{name: name, target: h.name, run: func(d *disruption) {
 		h.setMode(mode)
 		s.sleepUntil(s.elapsed() + d.duration)
@@ -199,7 +199,7 @@
 const pauseTime = 140 * time.Millisecond
 
 // pauseRepeatedly stops and continues a process for the duration.
-func (s *soak) pauseRepeatedly(g *soakGateway, d *disruption) {
+func (s *soak) pauseRepeatedly(g *gateway, d *disruption) {
 	for end := s.elapsed() + d.duration; s.elapsed() < end; {
 		g.pause(pauseTime)
 		s.sleepUntil(s.elapsed() + 200*time.Millisecond)
@@ -207,7 +207,7 @@
 }
 
 // reloadRepeatedly changes the settings of a gateway several times within the duration.
-func (s *soak) reloadRepeatedly(g *soakGateway, d *disruption) {
+func (s *soak) reloadRepeatedly(g *gateway, d *disruption) {
 	for range 4 {
 		g.reload()
 		s.sleepUntil(s.elapsed() + d.duration/8)
@@ -217,7 +217,7 @@
 // drain lists a host as draining while it goes on serving. After 9 s and the duration it takes the host
 // down for 200 ms and lists it as a host that has just started. It does nothing if the host is already
 // draining.
-func (s *soak) drain(h *soakHost, d *disruption) {
+func (s *soak) drain(h *host, d *disruption) {
 	h.mu.Lock()
 	if h.draining {
 		h.mu.Unlock()
@@ -253,7 +253,7 @@
 
 // runBadClients starts one bad client of every kind every 50 ms for the duration and waits for their
 // ends.
-func (s *soak) runBadClients(g *soakGateway, d *disruption) {
+func (s *soak) runBadClients(g *gateway, d *disruption) {
 	var clients sync.WaitGroup
 	for end := s.elapsed() + d.duration; s.elapsed() < end; s.sleepUntil(s.elapsed() + 50*time.Millisecond) {
 		for i := range badClientKinds {
--- a/internal/fleetlab/soak_ends.go
+++ b/internal/soak/termination.go
@@ -1,4 +1,4 @@
-package fleetlab
+package soak
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 
 // terminateUnderLoad terminates a gateway while clients use their idle connections to it until the SIGKILL
 // and open new ones for newConnPeriod. The functions of alongside run until the process has exited.
-func (s *soak) terminateUnderLoad(g *soakGateway, alongside ...func(ended <-chan struct{})) {
+func (s *soak) terminateUnderLoad(g *gateway, alongside ...func(ended <-chan struct{})) {
 	idle := s.clients.openIdleConns(g, idleConnsAtTerm)
 	draws := rand.New(rand.NewPCG(s.opt.Seed, uint64(s.elapsed())))
 	alongside = append(alongside, func(ended <-chan struct{}) { s.clients.sendUntilExit(g, idle, draws, ended) })
@@ -30,7 +30,7 @@
 
 // openIdleConns opens up to n connections and gets the answer to a health check on each, after which they
 // are idle.
-func (c *soakClients) openIdleConns(g *soakGateway, n int) (conns []*soakConn) {
+func (c *clients) openIdleConns(g *gateway, n int) (conns []*clientConn) {
 	for range n {
 		conn, _, err := c.connect(g, true, false)
 		if err != nil {
@@ -53,8 +53,8 @@
 // sendUntilExit sends a request on each idle connection to a gateway at some time before the SIGKILL, on
 // one in three within the last lastMomentsPeriod, and opens new connections for newConnPeriod. It returns
 // when ended is closed and all requests have ended.
-func (c *soakClients) sendUntilExit(g *soakGateway, idle []*soakConn, draws *rand.Rand, ended <-chan struct{}) {
-	const untilKill = 3*time.Second + soakKillMargin
+func (c *clients) sendUntilExit(g *gateway, idle []*clientConn, draws *rand.Rand, ended <-chan struct{}) {
+	const untilKill = 3*time.Second + killMargin
 	var requests sync.WaitGroup
 	runAfter := func(after time.Duration, do func()) {
 		requests.Add(1)
@@ -88,7 +88,7 @@
 }
 
 // signalRepeatedly sends SIGHUP and SIGTERM in turns while the process terminates.
-func (g *soakGateway) signalRepeatedly(ended <-chan struct{}) {
+func (g *gateway) signalRepeatedly(ended <-chan struct{}) {
 	const apart = 40 * time.Millisecond
 	for i := range 6 {
 		select {
@@ -101,7 +101,7 @@
 }
 
 // pauseWhileStopping pauses the process several times for pauseTime while it terminates.
-func (g *soakGateway) pauseWhileStopping(ended <-chan struct{}) {
+func (g *gateway) pauseWhileStopping(ended <-chan struct{}) {
 	for range 4 {
 		g.pause(pauseTime)
 		select {
@@ -113,7 +113,7 @@
 }
 
 // reloadInBurst reloads the settings several times within milliseconds.
-func (g *soakGateway) reloadInBurst() {
+func (g *gateway) reloadInBurst() {
 	for range 3 {
 		g.reload()
 		time.Sleep(20 * time.Millisecond)
@@ -126,7 +126,7 @@
 
 // floodConns exhausts the connections of a gateway with idle clients for the duration. Half of them have
 // sent a health check.
-func (s *soak) floodConns(g *soakGateway, d *disruption) {
+func (s *soak) floodConns(g *gateway, d *disruption) {
 	if up, _ := g.serving(); !up {
 		return
 	}
