--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -4,59 +4,11 @@
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
-	"sort"
 	"time"
 
 	"bramblelock"
 )
 
-// event is a function that runs at a time. Events of the same time run in the order in which they were
-// scheduled.
-type event struct {
-	at  Time
-	seq uint64
-	run func()
-}
-
-// eventQueue is a binary heap of events, ordered by time.
-type eventQueue []event
-
-func (q eventQueue) less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-
-func (q *eventQueue) push(e event) {
-	*q = append(*q, e)
-	for i := len(*q) - 1; i > 0; {
-		parent := (i - 1) / 2
-		if !q.less(i, parent) {
-			return
-		}
-		(*q)[i], (*q)[parent] = (*q)[parent], (*q)[i]
-		i = parent
-	}
-}
-
-func (q *eventQueue) pop() event {
-	old := *q
-	top, last := old[0], len(old)-1
-	old[0], old[last] = old[last], event{}
-	*q = old[:last]
-	for i := 0; ; {
-		least := i
-		for _, child := range [2]int{2*i + 1, 2*i + 2} {
-			if child < last && q.less(child, least) {
-				least = child
-			}
-		}
-		if least == i {
-			return top
-		}
-		(*q)[i], (*q)[least] = (*q)[least], (*q)[i]
-		i = least
-	}
-}
-
 // world is the state of a run of the virtual engine, which has one thread and one clock.
 type world struct {
 	scenario       *Scenario
@@ -95,11 +47,6 @@
 // are equal to the byte.
 func Virtual(s *Scenario) *Result { return runVirtual(s, false) }
 
-// Oracle runs a scenario with one dispatcher in place of the gateways. The dispatcher knows the state of
-// every host and sends as much as the slow start of cold hosts allows, so its Result is an upper bound
-// for any fleet.
-func Oracle(s *Scenario) *Result { return runVirtual(s, true) }
-
 // runVirtual runs a scenario in the virtual engine, with the oracle in place of the gateways if oracle is set.
 func runVirtual(s *Scenario, oracle bool) *Result {
 	w := newWorld(s, oracle)
@@ -331,86 +278,3 @@
 	g := w.gateways[rank]
 	g.handle(func() { g.handleRequest(a) })
 }
-
-// edgeBalancer models the load balancer between clients and gateways: it distributes requests over the
-// admitted gateways in proportion to their weights.
-type edgeBalancer struct {
-	weights    []float64
-	admitted   []bool
-	cumulative []float64 // cumulative weights of the admitted gateways; nil when outdated
-}
-
-// newEdgeBalancer returns an edge balancer that has admitted no gateway yet.
-func newEdgeBalancer(s *Scenario) edgeBalancer {
-	return edgeBalancer{weights: s.GatewayWeights(), admitted: make([]bool, s.Gateways.Count)}
-}
-
-// setAdmitted adds the gateway of a rank to the admitted ones or removes it.
-func (balancer *edgeBalancer) setAdmitted(rank int, admitted bool) {
-	if balancer.admitted[rank] != admitted {
-		balancer.admitted[rank], balancer.cumulative = admitted, nil
-	}
-}
-
-// pick returns the rank of the gateway at a quantile, from 0 to 1, of the weights of the admitted gateways,
-// or -1 if no gateway is admitted.
-func (balancer *edgeBalancer) pick(quantile float64) int {
-	if balancer.cumulative == nil {
-		balancer.cumulative = make([]float64, len(balancer.weights))
-		sum := 0.0
-		for i, weight := range balancer.weights {
-			if balancer.admitted[i] {
-				sum += weight
-			}
-			balancer.cumulative[i] = sum
-		}
-	}
-	total := balancer.cumulative[len(balancer.cumulative)-1]
-	if total == 0 {
-		return -1
-	}
-	return min(sort.Search(len(balancer.cumulative), func(i int) bool { return balancer.cumulative[i] > quantile*total }), len(balancer.cumulative)-1)
-}
-
-// dispatchOracle sends a request of the oracle to the host that would answer first, among those that one
-// more request does not overload. If none would answer within the latency target, the request is refused.
-func (w *world) dispatchOracle(a Arrival) {
-	c := &w.scenario.Classes[a.Class]
-	work, waitTime := time.Duration(a.WorkFactor*float64(c.Work)), time.Duration(a.WaitFactor*float64(c.WaitTime))
-	var best *Host
-	soonest := c.LatencyTarget.std() - 2*w.scenario.Net.SameZone.std() - waitTime
-	for _, h := range w.hosts {
-		if h.Condition != Serving || h.pending >= h.rules.QueueLimit || h.Cold(w.now) && h.Headroom(w.now) < 1+float64(work)/float64(h.meanWork) {
-			continue
-		}
-		backlog := work
-		for _, j := range h.queue {
-			backlog += j.remaining
-		}
-		for _, j := range h.running {
-			backlog += max(0, j.remaining-time.Duration(float64(w.now-j.startedAt)*h.speed(j.startedAt)))
-		}
-		if estimate := time.Duration(float64(backlog) / h.speed(w.now) / float64(h.Spec.Cores)); estimate < soonest {
-			best, soonest = h, estimate
-		}
-	}
-	if best == nil {
-		w.recorder.RecordEnd(a.At, Refused, 0)
-		return
-	}
-	j := &Job{Work: work, WaitTime: waitTime, Notified: true}
-	j.Done = func(bool) {
-		delete(w.oracleRequests, j)
-		took := w.now - a.At + 2*w.scenario.Net.SameZone.std()
-		end := Served
-		if took > c.LatencyTarget.std() {
-			end = Late
-		}
-		w.recorder.RecordEnd(a.At, end, took)
-	}
-	w.advanceHost(best)
-	w.recorder.RecordHostRequest(best.Index, w.now)
-	w.oracleRequests[j] = a.At
-	best.Arrive(w.now, j)
-	w.advanceHost(best)
-}
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/virtual_attempt.go
@@ -191,3 +191,40 @@
 	}
 	p.idle = append(p.idle, conn{a.incarnation, a.gateway.world.now})
 }
+
+// pool holds the connections of a gateway to one host.
+type pool struct {
+	idle []conn
+	open int // number of connections, idle and in use
+}
+
+type conn struct {
+	incarnation int // of the host when the connection was opened
+	idleSince   Time
+}
+
+// attempt is one sending of a request to a host.
+type attempt struct {
+	gateway     *gateway
+	request     *request
+	index       int // number of the attempt of its request, from 0
+	host        *Host
+	sentAt      Time
+	incarnation int  // of the host when the connection was opened
+	connected   bool // it holds a connection that the host counts
+	job         *Job
+	ended       bool
+}
+
+// closeIdle closes the idle connections to the host at an index.
+func (g *gateway) closeIdle(hostIndex int) {
+	p := g.pools[hostIndex]
+	if p == nil {
+		return
+	}
+	for _, c := range p.idle {
+		g.world.hosts[hostIndex].Disconnect(c.incarnation)
+		p.open--
+	}
+	p.idle = nil
+}
--- a/internal/fleetlab/vgateway.go
+++ b/internal/fleetlab/virtual_gateway.go
@@ -40,41 +40,6 @@
 	nextCallAt     Time // earliest time of the next call, after a list service asked for a retry delay
 }
 
-// pool holds the connections of a gateway to one host.
-type pool struct {
-	idle []conn
-	open int // number of connections, idle and in use
-}
-
-type conn struct {
-	incarnation int // of the host when the connection was opened
-	idleSince   Time
-}
-
-// request is a client's request at a gateway.
-type request struct {
-	arrival   Arrival
-	id        bramblelock.RequestID
-	arrivedAt Time
-	deadline  Time
-	answered  bool // the client has its final answer
-	inFlight  int  // attempts without an outcome
-	attempts  []*attempt
-}
-
-// attempt is one sending of a request to a host.
-type attempt struct {
-	gateway     *gateway
-	request     *request
-	index       int // number of the attempt of its request, from 0
-	host        *Host
-	sentAt      Time
-	incarnation int  // of the host when the connection was opened
-	connected   bool // it holds a connection that the host counts
-	job         *Job
-	ended       bool
-}
-
 // handle processes an event at the gateway and performs the resulting actions. It defers the event while
 // the process is paused.
 func (g *gateway) handle(do func()) {
@@ -185,40 +150,6 @@
 	})
 }
 
-// catalogIndex returns the index of the instance that has the watch open, or 0 if none has.
-func (watch *watch) catalogIndex(w *world) int {
-	for i, c := range w.catalogs {
-		if c.watches[watch.gateway.rank] == watch {
-			return i
-		}
-	}
-	return 0
-}
-
-// endOpenRequests ends the open requests and their attempts, when the process exits or the run ends.
-func (g *gateway) endOpenRequests(end End) {
-	if g.balancer == nil {
-		return
-	}
-	for id := bramblelock.RequestID(1); id <= g.lastRequestID; id++ {
-		r := g.requests[id]
-		if r == nil {
-			continue
-		}
-		for _, a := range r.attempts {
-			if !a.ended {
-				a.ended = true
-				a.closeConnection()
-			}
-		}
-		if !r.answered {
-			r.answered = true
-			g.world.recorder.RecordEnd(r.arrival.At, end, 0)
-		}
-	}
-	g.requests = map[bramblelock.RequestID]*request{}
-}
-
 // pause suspends the process, as SIGSTOP does.
 func (g *gateway) pause() { g.paused = g.up }
 
@@ -244,100 +175,6 @@
 	}
 }
 
-// openWatch calls the instance of the list service at catalogIndex for a watch. The process must be running.
-func (g *gateway) openWatch() {
-	w := g.world
-	c := w.catalogs[g.catalogIndex%len(w.catalogs)]
-	x := &watch{gateway: g, generation: g.generation, listVersion: g.listVersion}
-	g.watch = x
-	w.after(w.scenario.Net.SameZone.std(), func() {
-		if !x.ended {
-			c.handleCall(x)
-		}
-	})
-}
-
-// watchLost handles the end of a watch, or the failure of a call for one. It calls the next instance at
-// once, unless every instance has failed, the watch had been open or the service asked for a retry delay.
-// Then the Balancer chooses the time of the next call or, in push mode, a backoff does.
-func (g *gateway) watchLost(watch *watch) {
-	if !g.up || watch.generation != g.generation || g.watch != watch {
-		return
-	}
-	if g.paused {
-		g.whenRunning(func() { g.watchLost(watch) })
-		return
-	}
-	g.watch = nil
-	g.catalogIndex++
-	if watch.retryAfter > 0 { // the real gateway computes its backoff in the same way
-		maxBackoff := g.world.scenario.Catalog.MaxWatchGap.std()
-		if g.listVersion > 0 {
-			maxBackoff = min(maxBackoff, bramblelock.MaxWatchBackoff)
-		}
-		g.nextCallAt = g.world.now + min(time.Duration(float64(watch.retryAfter)*(1+g.world.retryRand.Float64()/4)), maxBackoff)
-	}
-	if g.failedCatalogs++; !watch.open && g.failedCatalogs < len(g.world.catalogs) && g.world.now >= g.nextCallAt {
-		g.openWatch() // another instance may be available
-		return
-	}
-	g.failedCatalogs = 0
-	if !g.world.scenario.Catalog.Push {
-		g.handle(func() { g.balancer.UpdateHosts(g.clock(), bramblelock.ListFailed, nil) })
-		return
-	}
-	// The gateway's backoff in push mode: exponential, with full jitter over twice the interval.
-	g.pushBackoff = min(max(2*g.pushBackoff, 50*time.Millisecond), time.Second)
-	generation := g.generation
-	g.world.after(time.Duration(g.world.retryRand.Float64()*2*float64(g.pushBackoff)), func() {
-		if g.up && g.generation == generation {
-			g.whenRunning(g.openWatch)
-		}
-	})
-}
-
-// listReceived handles a list or changes from a watch.
-func (g *gateway) listReceived(watch *watch, kind bramblelock.ListKind, list []bramblelock.Host) {
-	if !g.up || watch.generation != g.generation || watch.ended {
-		return
-	}
-	g.pushBackoff, g.listVersion = 0, watch.listVersion
-	g.handle(func() { g.applyList(kind, list) })
-}
-
-// applyList passes a list to the Balancer and closes idle connections to hosts that are no longer ready
-// or have restarted. The first list that is not empty makes the gateway ready.
-func (g *gateway) applyList(kind bramblelock.ListKind, list []bramblelock.Host) {
-	w := g.world
-	if len(g.hostIndex) == 0 || len(g.hostIndex) < len(w.hosts) {
-		for i := range w.hostList {
-			g.hostIndex[w.hostList[i].host.ID] = i
-		}
-	}
-	for _, e := range list {
-		i := g.hostIndex[e.ID]
-		if g.usable[i] && (e.State != bramblelock.Ready || g.knownStart[i] != e.Started) {
-			g.closeIdle(i)
-		}
-		g.usable[i], g.knownStart[i] = e.State == bramblelock.Ready, e.Started
-	}
-	g.balancer.UpdateHosts(g.clock(), kind, list)
-	if !g.ready && len(list) > 0 {
-		g.ready = true
-		w.recorder.RecordGatewayReady(w.now - g.startedAt)
-		w.edgeBalancer.setAdmitted(g.rank, true)
-	}
-}
-
-// handleRequest handles a request of a client that has been read completely.
-func (g *gateway) handleRequest(a Arrival) {
-	c := &g.world.scenario.Classes[a.Class]
-	g.lastRequestID++
-	r := &request{arrival: a, id: g.lastRequestID, arrivedAt: g.world.now, deadline: g.world.now + c.Deadline.std()}
-	g.requests[r.id] = r
-	g.balancer.Request(g.clock(), bramblelock.Request{ID: r.id, Class: a.Class, Tenant: -1, ClientRetry: a.Retries > 0, Remaining: c.Deadline.std()})
-}
-
 // performActions performs the actions of the Balancer until there are none, as the loop of the real
 // gateway does.
 func (g *gateway) performActions() {
@@ -384,57 +221,3 @@
 		})
 	}
 }
-
-// answer sends the final answer to a request and records its end, Late in place of Served if it is after the
-// latency target. After a refusal the client may retry, and no end is recorded then.
-func (g *gateway) answer(id bramblelock.RequestID, end End) {
-	r := g.requests[id]
-	if r == nil || r.answered {
-		return
-	}
-	r.answered = true
-	w := g.world
-	elapsed := w.now - r.arrivedAt
-	if end == Served && elapsed > w.scenario.Classes[r.arrival.Class].LatencyTarget.std() {
-		end = Late
-	}
-	if end == Refused && r.arrival.Retries < w.scenario.Load.Retries {
-		a := r.arrival
-		a.Retries++
-		w.after(w.scenario.Load.RetryWait.std(), func() { w.handleArrival(a) })
-	} else {
-		w.recorder.RecordEnd(r.arrival.At, end, elapsed)
-	}
-	g.removeIfFinished(r)
-}
-
-// removeIfFinished deletes a request that has been answered and has no attempt in flight.
-func (g *gateway) removeIfFinished(r *request) {
-	if r.answered && r.inFlight == 0 {
-		delete(g.requests, r.id)
-	}
-}
-
-// reportOutcome reports the end of an attempt to the Balancer, and answers the client on success.
-func (g *gateway) reportOutcome(attempt *attempt, result bramblelock.Result) {
-	r := attempt.request
-	r.inFlight--
-	if result == bramblelock.OK {
-		g.answer(r.id, Served)
-	}
-	g.balancer.Outcome(g.clock(), bramblelock.Outcome{Request: r.id, Attempt: attempt.index, Result: result, Elapsed: g.world.now - attempt.sentAt, Answered: r.answered})
-	g.removeIfFinished(r)
-}
-
-// closeIdle closes the idle connections to the host at an index.
-func (g *gateway) closeIdle(hostIndex int) {
-	p := g.pools[hostIndex]
-	if p == nil {
-		return
-	}
-	for _, c := range p.idle {
-		g.world.hosts[hostIndex].Disconnect(c.incarnation)
-		p.open--
-	}
-	p.idle = nil
-}
--- a/internal/soak/catalogs.go
+++ b/internal/soak/catalogs.go
@@ -166,3 +166,9 @@
 		link.Close()
 	}
 }
+
+// States of hosts in the catalog.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+)
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -4,11 +4,8 @@
 	"bufio"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
-	"net/http"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -45,13 +42,6 @@
 	return requestPlain
 }
 
-// clientConn is a client connection that may be kept alive.
-type clientConn struct {
-	net.Conn
-	reader     *bufio.Reader
-	generation int // of the gateway's process when the connection was opened
-}
-
 // clients sends requests and keeps the idle connections to each gateway.
 type clients struct {
 	s         *soak
@@ -266,122 +256,3 @@
 	}
 	return err
 }
-
-// longBodySizes are the lengths of long bodies, in bytes.
-var longBodySizes = []int{80 << 10, 300 << 10, 1 << 20, 6 << 20}
-
-// send writes a request.
-func (conn *clientConn) send(req *request, options requestOptions) error {
-	method, body := http.MethodPost, "body of "+req.id
-	if req.class.effect == "idempotent" {
-		method, body = http.MethodGet, ""
-	}
-	if options.kind == requestLong && method == http.MethodPost {
-		body = strings.Repeat("long body ", longBodySizes[hashID(req.id)%uint32(len(longBodySizes))]/10)
-	}
-	head := fmt.Sprintf("%s /api/1 HTTP/1.1\r\nHost: soak\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: %.3f\r\n",
-		method, req.id, req.class.name, req.class.deadline.Seconds())
-	if req.class.effect == "deduplicated" {
-		head += "Idempotency-Key: " + req.id + "\r\n"
-	}
-	if options.retried {
-		head += "X-Retried: 1\r\n"
-	}
-	text := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
-	pieces := []string{text}
-	if options.kind == requestSlow {
-		pieces = []string{text[:10], text[10 : len(text)/2], text[len(text)/2:]}
-	}
-	conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
-	for i, piece := range pieces {
-		if i > 0 {
-			time.Sleep(60 * time.Millisecond)
-		}
-		if _, err := io.WriteString(conn, piece); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// receive reads the complete answer to a request. started says that at least its first byte arrived,
-// closing that the connection cannot be used again.
-func (conn *clientConn) receive(req *request) (status int, closing, started bool, err error) {
-	if _, err := conn.reader.Peek(1); err != nil {
-		return 0, true, false, err
-	}
-	resp, err := http.ReadResponse(conn.reader, nil)
-	if err != nil {
-		return 0, true, true, err
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return 0, true, true, err
-	}
-	if resp.StatusCode == http.StatusOK && string(text) != "done "+req.id {
-		return 0, true, true, fmt.Errorf("an answer that no host gave to this request: %q", text)
-	}
-	return resp.StatusCode, resp.Close, true, nil
-}
-
-// badClientKind is a way in which a client fails to send a valid request.
-type badClientKind struct {
-	name        string
-	afterAnswer bool   // the client first gets the answer to a valid request on the connection
-	text        string // sent at once, after which the client keeps the connection open
-}
-
-// partialHead is a request head without its end; its verb takes the request id.
-const partialHead = "POST /api/1 HTTP/1.1\r\nHost: soak\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\n"
-
-var badClientKinds = []badClientKind{
-	{name: "nothing"},
-	{name: "half a line", text: "POST /ap"},
-	{name: "three bytes on a resting connection", afterAnswer: true, text: "POS"},
-	{name: "half a head", text: partialHead},
-	{name: "half a head on a resting connection", afterAnswer: true, text: partialHead},
-	{name: "half a body", text: partialHead + "Content-Length: 60000\r\n\r\n" + strings.Repeat("b", 50_000)},
-	{name: "no HTTP", text: "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n"},
-	{name: "two lengths", text: partialHead + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbody5"},
-}
-
-// runBadClient acts as one bad client. It records after what time its connection was answered or
-// closed, or 0 if it was neither within 6 s.
-func (s *soak) runBadClient(g *gateway, kind *badClientKind) {
-	up, generation := g.serving()
-	if !up {
-		return
-	}
-	conn, err := net.DialTimeout("tcp", g.addr, time.Second)
-	if err != nil {
-		return
-	}
-	defer conn.Close()
-	in := bufio.NewReader(conn)
-	if kind.afterAnswer {
-		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: soak\r\n\r\n")
-		resp, err := http.ReadResponse(in, nil)
-		if err != nil {
-			return
-		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		if resp.Close {
-			return
-		}
-	}
-	client := badClient{kind: kind.name, gateway: g.name, generation: generation, sentAt: time.Now()}
-	text := kind.text
-	if strings.Contains(text, "%s") {
-		text = fmt.Sprintf(text, "bad-request")
-	}
-	io.WriteString(conn, text)
-	conn.SetReadDeadline(time.Now().Add(6 * time.Second))
-	_, err = in.Peek(1)
-	var network net.Error
-	if err == nil || !(errors.As(err, &network) && network.Timeout()) {
-		client.closedAfter = time.Since(client.sentAt)
-	}
-	s.ledger.update(func() { s.ledger.badClients = append(s.ledger.badClients, client) })
-}
--- a/internal/soak/gateway.go
+++ b/internal/soak/gateway.go
@@ -8,37 +8,8 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
-
-	"bramblelock/internal/faultnet"
-	"bramblelock/internal/loopback"
-)
-
-// requestClass is a request class in the settings of the gateways.
-type requestClass struct {
-	name, effect string
-	deadline     time.Duration
-	window       time.Duration // idempotency window; 0: the class is not deduplicated
-	share        float64       // of all requests
-}
-
-var requestClasses = []requestClass{
-	{name: "look", effect: "idempotent", deadline: 1200 * time.Millisecond, share: 0.5},
-	{name: "book", effect: "at_most_once", deadline: 2 * time.Second, share: 0.3},
-	{name: "report", effect: "deduplicated", deadline: 1500 * time.Millisecond, window: 600 * time.Millisecond, share: 0.2},
-}
-
-// Slow start, draining and termination in the settings of the soak.
-const (
-	coldFrom       = 0.2                    // share of its capacity that a host starts with
-	warmAfter      = 8 * time.Second        // a host has its full capacity this long after its start
-	overloadFactor = 2.5                    // multiple of its present capacity at which a cold host fails
-	overloadPeriod = time.Second            // an overload makes a host fail when it lasts this long
-	warmRate       = 60                     // requests per second that a warm host can serve
-	drainGrace     = time.Second            // a gateway may send to a draining host for this long after it is notified
-	killMargin     = 700 * time.Millisecond // time from the longest deadline, which counts as 3 s, to the SIGKILL
 )
 
 // gateway is a gateway of one name, with one process after another.
@@ -55,42 +26,6 @@
 	settingsVersion int       // number of changes of the settings
 }
 
-// process is one process of a gateway.
-type process struct {
-	*faultnet.Proc
-	generation int
-	startedAt  time.Time
-	exitedAt   atomic.Pointer[time.Time] // set by watchExit; nil: not yet
-
-	// Guarded by the lock of the gateway.
-	readyAt time.Time // zero: not yet
-	termAt  time.Time // when the soak began to terminate or kill it; zero: it has not
-}
-
-// exitCheckInterval is how exact the recorded time of a crash is.
-const exitCheckInterval = 10 * time.Millisecond
-
-// watchExit waits until the process exits and notes the time. A crash is recorded only when the soak ends
-// the process, which may be much later.
-func (p *process) watchExit() {
-	for {
-		if exited, _ := p.Exited(); exited {
-			now := time.Now()
-			p.exitedAt.Store(&now)
-			return
-		}
-		time.Sleep(exitCheckInterval)
-	}
-}
-
-// exitTime returns when the process exited. The caller has seen that it did.
-func (p *process) exitTime() time.Time {
-	if at := p.exitedAt.Load(); at != nil {
-		return *at
-	}
-	return time.Now() // watchExit is about to note it
-}
-
 // newGateway returns the gateway of an index, which has no process yet.
 func newGateway(s *soak, i int) *gateway {
 	name := fmt.Sprintf("g%02d", i)
@@ -119,36 +54,6 @@
 	return err
 }
 
-// configure writes the configuration file. Each settings version changes the deadline of the class look
-// and the discovery address that comes first.
-func (g *gateway) configure(settingsVersion int) error {
-	type obj map[string]any
-	us := func(d time.Duration) int64 { return d.Microseconds() }
-	var classes []obj
-	for _, c := range requestClasses {
-		deadline := c.deadline
-		if c.name == "look" && settingsVersion%2 == 1 {
-			deadline += 200 * time.Millisecond
-		}
-		classes = append(classes, obj{"name": c.name, "effect": c.effect, "group": "all", "hard_limit": us(deadline),
-			"promise": us(deadline / 2), "importance": 1, "window": us(max(c.window, time.Second))})
-		if c.window > 0 {
-			classes[len(classes)-1]["window"] = us(c.window)
-		}
-	}
-	rank := int(g.name[1]-'0')*10 + int(g.name[2]-'0')
-	settings := obj{"balancers": g.s.opt.Gateways, "rank": rank, "step": 2000, "discovery": "subscribe", "azs": []string{}, "kinds": []string{},
-		"classes": classes, "tenants": []obj{}, "over_share_worth": 0.05,
-		"caps": obj{"cancel": true, "max_attempts": 4, "conn_idle": 10000000, "dial_timeout": 250000, "may_duplicate": false,
-			"max_retry_after": 2000000, "retry_after": true},
-		"obligations": obj{"ask_within": 10000000, "cold_from": coldFrom, "warm_after": us(warmAfter), "overload_factor": overloadFactor,
-			"fall": us(overloadPeriod), "drain_grace": us(drainGrace), "grace_to_answer": 58000}}
-	return loopback.WriteJSON(g.configPath, obj{"name": g.name, "listen": g.addr, "operator": g.operatorAddr, "discovery": g.s.catalogs.discoveryAddrs(rank + settingsVersion),
-		"seed":   fmt.Sprintf("%x", g.s.opt.Seed*1_000_003+uint64(rank*100+g.generation)+1),
-		"limits": obj{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": obj{"version": 0, "full": true, "servers": []obj{}},
-		"settings": settings})
-}
-
 // startProcess starts a process of the gateway, unless one is present, and checks its health in the
 // background until it is ready.
 func (g *gateway) startProcess() error {
@@ -183,19 +88,6 @@
 	return nil
 }
 
-// FaultyGateway is the gateway built with the tag faultinject. Every second gateway runs it when the
-// folder of the binaries has it.
-const FaultyGateway = "gateway-faults"
-
-// systemCallFaultShare is the share of the system calls of a FaultyGateway that fail, in bursts.
-const systemCallFaultShare = 0.02
-
-// fileExists says whether a path exists.
-func fileExists(path string) bool {
-	_, err := os.Stat(path)
-	return err == nil
-}
-
 // awaitHealth checks the health of a process until it is ready or is no longer the present one.
 func (g *gateway) awaitHealth(proc *process) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -398,21 +290,3 @@
 	}
 	return false
 }
-
-// exitCode returns the exit code for the error of waiting for a process: 0 for nil and -1 for an error
-// without an exit code.
-func exitCode(err error) int {
-	if err == nil {
-		return 0
-	}
-	if e, ok := err.(interface{ ExitCode() int }); ok {
-		return e.ExitCode()
-	}
-	return -1
-}
-
-// States of hosts in the catalog.
-const (
-	stateReady    = "ready"
-	stateDraining = "draining"
-)
