--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -59,7 +59,7 @@
 			if err != nil {
 				return err
 			}
-			runScenario, err := newRunner(cmd.Context(), engine, realOptions)
+			runScenario, err := newRunner(cmd.Context(), fleetlab.Engine(engine), realOptions)
 			if err != nil {
 				return err
 			}
@@ -91,7 +91,7 @@
 			}
 			return resultFile.Table(os.Stdout)
 		}}
-	cmd.Flags().StringVar(&engine, "engine", "virtual", "engine: virtual, oracle or real")
+	cmd.Flags().StringVar(&engine, "engine", string(fleetlab.EngineVirtual), "engine: virtual, oracle or real")
 	realOptions.Progress = os.Stderr
 	cmd.Flags().StringVar(&realOptions.Bin, "bin", executableDir(), "engine real: folder with the binaries gateway and catalog")
 	cmd.Flags().StringVar(&realOptions.Dir, "dir", "", "engine real: existing folder in which to keep logs and data")
@@ -103,13 +103,13 @@
 
 // newRunner returns the function that runs a scenario with the given engine. Only the engine real uses
 // ctx and opt.
-func newRunner(ctx context.Context, engine string, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
+func newRunner(ctx context.Context, engine fleetlab.Engine, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
 	switch engine {
-	case "virtual":
+	case fleetlab.EngineVirtual:
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Virtual(s), nil }, nil
-	case "oracle":
+	case fleetlab.EngineOracle:
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Oracle(s), nil }, nil
-	case "real":
+	case fleetlab.EngineReal:
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Real(ctx, s, opt) }, nil
 	}
 	return nil, fmt.Errorf("--engine: %q is not virtual, oracle or real", engine)
--- a/internal/fleetlab/preflight.go
+++ b/internal/fleetlab/preflight.go
@@ -41,13 +41,13 @@
 		}
 	}
 	for i, f := range s.Faults {
-		if f.Target == "links" {
+		if f.Target == TargetLinks {
 			return fmt.Errorf("fault %d: faults of links need the virtual engine", i+1)
 		}
-		if f.Target == "gateways" && f.Action == "late" {
+		if f.Target == TargetGateways && f.Action == FaultLateLists {
 			return fmt.Errorf("fault %d: late lists at gateways need the virtual engine", i+1)
 		}
-		if f.Target == "hosts" && (f.Action == "replace" || f.Action == "join") {
+		if f.Target == TargetHosts && (f.Action == FaultReplace || f.Action == FaultJoin) {
 			return fmt.Errorf("fault %d: hosts that join need the virtual engine", i+1)
 		}
 	}
--- a/internal/fleetlab/random.go
+++ b/internal/fleetlab/random.go
@@ -19,25 +19,25 @@
 // newRand returns a generator for a stream.
 func (s *Scenario) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
 
-// chooseShare returns the indices of a share of n items. The selection "run" is a block of consecutive
-// indices from a random start, which wraps around to index 0, "every" is evenly spaced indices, and
-// "random" or the empty string is distinct random indices. A share of 0 selects all items, as it stands
+// chooseShare returns the indices of a share of n items. SelectRun is a block of consecutive indices
+// from a random start, which wraps around to index 0, SelectEvery is evenly spaced indices, and
+// SelectRandom or the empty string is distinct random indices. A share of 0 selects all items, as it stands
 // for a field that a scenario does not set; callers for which 0 means no items check for that first. The
 // same state of the generator gives the same indices in the same order. The order matters, as
 // faultTargets divides the indices of a fault into its steps in this order.
-func chooseShare(rng *rand.Rand, n int, share float64, selection string) []int {
+func chooseShare(rng *rand.Rand, n int, share float64, selection Selection) []int {
 	count := int(math.Round(share * float64(n)))
 	if share == 0 || count >= n {
 		count = n
 	}
 	chosen := make([]int, 0, count)
 	switch selection {
-	case "run":
+	case SelectRun:
 		first := rng.IntN(n)
 		for i := range count {
 			chosen = append(chosen, (first+i)%n)
 		}
-	case "every":
+	case SelectEvery:
 		for i := range count {
 			chosen = append(chosen, i*n/max(count, 1))
 		}
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -256,7 +256,7 @@
 		defer host.mu.Unlock()
 		hosts = append(hosts, host.model)
 	}
-	r := run.recorder.Result("real", hosts)
+	r := run.recorder.Result(EngineReal, hosts)
 	for i, c := range run.catalogs {
 		if c.proc != nil {
 			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = processUsage(c.proc.Pid())
--- a/internal/fleetlab/real_client.go
+++ b/internal/fleetlab/real_client.go
@@ -39,7 +39,7 @@
 		return NoLiveGateway, 0
 	}
 	method, body := http.MethodGet, io.Reader(nil)
-	if class.Effect == "at_most_once" {
+	if class.Effect == AtMostOnce {
 		method, body = http.MethodPost, strings.NewReader("x")
 	}
 	ctx, cancel := context.WithTimeout(run.ctx, class.Deadline.std()+500*time.Millisecond)
--- a/internal/fleetlab/real_faults.go
+++ b/internal/fleetlab/real_faults.go
@@ -15,18 +15,18 @@
 	for faultIndex := range s.Faults {
 		f := &s.Faults[faultIndex]
 		switch f.Target {
-		case "catalog":
+		case TargetCatalog:
 			run.at(f.Start.std(), func() { run.applyCatalogFault(f, true) })
 			if f.Length > 0 {
 				run.at(f.Start.std()+f.Length.std(), func() { run.applyCatalogFault(f, false) })
 			}
-		case "gateways":
+		case TargetGateways:
 			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
 				for _, i := range targets {
 					run.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { run.applyGatewayFault(f, run.gateways[i]) })
 				}
 			}
-		case "hosts":
+		case TargetHosts:
 			for step, targets := range s.faultTargets(len(run.hosts), s.zoneOfHost, f, faultIndex) {
 				for _, i := range targets {
 					run.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { run.applyHostFault(f, run.hosts[i]) })
@@ -36,6 +36,13 @@
 	}
 }
 
+// catalogLinkModes are the modes of the links to a catalog by the fault that they bring about.
+var catalogLinkModes = map[FaultAction]faultnet.Mode{
+	FaultDown:      faultnet.Refuse,
+	FaultReset:     faultnet.Reset,
+	FaultBlackHole: faultnet.Blackhole,
+}
+
 // applyCatalogFault starts a fault of the list service, or ends it if on is false. The fault affects the first
 // catalogs, as many as f.Share says, or all if that is 0; kill-leader affects only the leader.
 func (run *realRun) applyCatalogFault(f *Fault, on bool) {
@@ -44,17 +51,17 @@
 			continue
 		}
 		switch {
-		case f.Action == "kill-leader" && on:
+		case f.Action == FaultKillLeader && on:
 			run.leader().kill()
 			return
-		case f.Action == "kill-leader":
+		case f.Action == FaultKillLeader:
 			for _, c := range run.catalogs {
 				c.start()
 			}
 			return
-		case f.Action == "slow" && on:
+		case f.Action == FaultSlow && on:
 			c.link.Delay(f.Delay.std())
-		case f.Action == "busy" && on:
+		case f.Action == FaultBusy && on:
 			c.link.Retarget(run.busyAddr())
 			c.link.Set(faultnet.Reset) // closes the open connections, as a restart of the service does
 			c.link.Set(faultnet.Pass)
@@ -63,7 +70,7 @@
 			c.link.Retarget(c.httpAddr)
 			c.link.Set(faultnet.Pass)
 		default:
-			c.link.Set(map[string]faultnet.Mode{"down": faultnet.Refuse, "reset": faultnet.Reset, "black-hole": faultnet.Blackhole}[f.Action])
+			c.link.Set(catalogLinkModes[f.Action])
 		}
 	}
 }
@@ -72,23 +79,23 @@
 func (run *realRun) applyGatewayFault(f *Fault, g *realGateway) {
 	end := run.now() + f.Length.std()
 	atEnd := func(do func()) {
-		if f.Length > 0 || f.Action == "restart" {
+		if f.Length > 0 || f.Action == FaultRestart {
 			run.at(end, do)
 		}
 	}
 	switch f.Action {
-	case "kill", "restart":
+	case FaultKill, FaultRestart:
 		g.kill()
 		atEnd(g.start) // set only now: a start has no effect, or no free address, while the old process runs
-	case "term":
+	case FaultTerm:
 		g.setAdmitted(false)
 		g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGTERM) })
 		run.at(run.now()+run.scenario.longestDeadline()+700*time.Millisecond, g.kill)
 		atEnd(g.start)
-	case "stop":
+	case FaultStop:
 		g.withProcess((*faultnet.Proc).Stop)
 		atEnd(func() { g.withProcess((*faultnet.Proc).Cont) })
-	case "reconfigure":
+	case FaultReconfigure:
 		g.configured = max(1, int(f.Factor*float64(run.scenario.Gateways.Configured)))
 		if g.writeConfig() == nil {
 			g.withProcess(func(proc *faultnet.Proc) { proc.Signal(syscall.SIGHUP) })
@@ -111,7 +118,7 @@
 		}
 	}
 	switch f.Action {
-	case "kill":
+	case FaultKill:
 		host.update(func(h *Host) { h.Kill() }, true)
 		run.at(run.now()+listingDelay, func() {
 			host.mu.Lock()
@@ -122,18 +129,18 @@
 			}
 		})
 		atEnd(restart)
-	case "silence":
+	case FaultSilence:
 		host.update(func(h *Host) { h.Silence() }, false)
 		atEnd(restart)
-	case "cold":
+	case FaultColdRestart:
 		restart()
-	case "slow":
+	case FaultSlow:
 		host.update(func(h *Host) { h.SlowFactor = f.Factor }, false)
 		atEnd(func() { host.update(func(h *Host) { h.SlowFactor = 1 }, false) })
-	case "fail":
+	case FaultFail:
 		host.update(func(h *Host) { h.Condition = Failing }, false)
 		atEnd(func() { host.update(func(h *Host) { h.Condition = Serving }, false) })
-	case "refuse":
+	case FaultRefuse:
 		host.update(func(h *Host) { h.Kill(); h.Condition = Refusing }, true)
 		atEnd(func() {
 			host.update(func(h *Host) { h.Condition = Serving; h.Incarnation++ }, false)
--- a/internal/fleetlab/recorder.go
+++ b/internal/fleetlab/recorder.go
@@ -11,6 +11,16 @@
 // binWidth is the width of the time bins in which peaks are counted.
 const binWidth = 100 * time.Millisecond
 
+// Engine is what runs a scenario.
+type Engine string
+
+// Engines.
+const (
+	EngineVirtual Engine = "virtual" // Virtual
+	EngineOracle  Engine = "oracle"  // Oracle
+	EngineReal    Engine = "real"    // Real
+)
+
 // End is how the request of a client ended.
 type End uint8
 
@@ -136,7 +146,7 @@
 // between 0 and 1.
 type Result struct {
 	Scenario      string  `json:"scenario"`
-	Engine        string  `json:"engine"` // virtual, real or oracle
+	Engine        Engine  `json:"engine"`
 	Seed          uint64  `json:"seed"`
 	Gateways      int     `json:"gateways"`
 	Hosts         int     `json:"hosts"`
@@ -236,7 +246,7 @@
 }
 
 // Result computes the figures at the end of a run.
-func (r *Recorder) Result(engine string, hosts []*Host) *Result {
+func (r *Recorder) Result(engine Engine, hosts []*Host) *Result {
 	s := r.scenario
 	out := &Result{Scenario: s.Name, Engine: engine, Seed: s.Seed, Gateways: s.Gateways.Count, Hosts: len(hosts), LengthSeconds: s.Length.std().Seconds()}
 	quantile := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1e6 }
--- a/internal/fleetlab/scenario.go
+++ b/internal/fleetlab/scenario.go
@@ -50,14 +50,14 @@
 
 // Gateways describes the fleet of gateways.
 type Gateways struct {
-	Count           int      `toml:"count"`        // the ranks are 0 to Count-1
-	Configured      int      `toml:"configured"`   // number of gateways that their settings state; 0: Count
-	AbsentShare     float64  `toml:"absent"`       // share of the ranks that never start
-	AbsentSelection string   `toml:"absent_how"`   // which ranks are absent: run, random or every (see chooseShare)
-	StartSpread     Duration `toml:"start_spread"` // gateways start at random times within this period
-	SavedListShare  float64  `toml:"known"`        // share of the gateways that start with a saved host list
-	Membership      bool     `toml:"membership"`   // every gateway knows which others are alive
-	PeerDetection   Duration `toml:"detect"`       // time until the others know that a gateway has exited (virtual engine)
+	Count           int       `toml:"count"`        // the ranks are 0 to Count-1
+	Configured      int       `toml:"configured"`   // number of gateways that their settings state; 0: Count
+	AbsentShare     float64   `toml:"absent"`       // share of the ranks that never start
+	AbsentSelection Selection `toml:"absent_how"`   // which ranks are absent (see chooseShare)
+	StartSpread     Duration  `toml:"start_spread"` // gateways start at random times within this period
+	SavedListShare  float64   `toml:"known"`        // share of the gateways that start with a saved host list
+	Membership      bool      `toml:"membership"`   // every gateway knows which others are alive
+	PeerDetection   Duration  `toml:"detect"`       // time until the others know that a gateway has exited (virtual engine)
 }
 
 // HostGroup is a group of hosts of one kind in one zone.
@@ -105,8 +105,8 @@
 	WaitTime      Duration `toml:"waits"` // mean time that a host waits for other services, which uses no core
 	LatencyTarget Duration `toml:"aim"`   // an answer after this time counts as late
 	Deadline      Duration `toml:"deadline"`
-	Effect        string   `toml:"effect"` // idempotent or at_most_once
-	Importance    float64  `toml:"worth"`  // importance in the settings of the gateways
+	Effect        Effect   `toml:"effect"`
+	Importance    float64  `toml:"worth"` // importance in the settings of the gateways
 }
 
 // Catalog describes the list service.
@@ -129,35 +129,93 @@
 
 // Fault is one entry of the timeline of faults.
 type Fault struct {
-	Start        Duration `toml:"at"`
-	Length       Duration `toml:"for"`    // 0: the fault stays
-	Target       string   `toml:"on"`     // a key of faultActions
-	Action       string   `toml:"do"`     // see faultActions
-	Share        float64  `toml:"share"`  // share of the gateways or hosts; 0: all
-	Selection    string   `toml:"how"`    // how they are selected: random (default), run or every (see chooseShare)
-	Zone         string   `toml:"zone"`   // restricts the targets to this zone; for links, the hosts
-	HostShare    float64  `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
-	Factor       float64  `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
-	Delay        Duration `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
-	Steps        int      `toml:"steps"`  // the fault starts for the targets in this many groups, one after another; 0: 1
-	StepInterval Duration `toml:"step"`   // time between the groups of two steps
+	Start        Duration    `toml:"at"`
+	Length       Duration    `toml:"for"`    // 0: the fault stays
+	Target       FaultTarget `toml:"on"`     // a key of faultActions
+	Action       FaultAction `toml:"do"`     // see faultActions
+	Share        float64     `toml:"share"`  // share of the gateways or hosts; 0: all
+	Selection    Selection   `toml:"how"`    // how they are selected (see chooseShare); empty: SelectRandom
+	Zone         string      `toml:"zone"`   // restricts the targets to this zone; for links, the hosts
+	HostShare    float64     `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
+	Factor       float64     `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
+	Delay        Duration    `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
+	Steps        int         `toml:"steps"`  // the fault starts for the targets in this many groups, one after another; 0: 1
+	StepInterval Duration    `toml:"step"`   // time between the groups of two steps
 }
 
+// FaultTarget is what a fault strikes.
+type FaultTarget string
+
+// Targets of faults.
+const (
+	TargetGateways FaultTarget = "gateways"
+	TargetHosts    FaultTarget = "hosts"
+	TargetLinks    FaultTarget = "links"   // between some gateways and some hosts
+	TargetMembers  FaultTarget = "members" // the membership among gateways
+	TargetCatalog  FaultTarget = "catalog"
+)
+
+// FaultAction is what a fault does to its target.
+type FaultAction string
+
+// Actions of faults.
+const (
+	FaultKill        FaultAction = "kill"
+	FaultRestart     FaultAction = "restart"     // kills and starts again
+	FaultTerm        FaultAction = "term"        // sends SIGTERM
+	FaultStop        FaultAction = "stop"        // sends SIGSTOP
+	FaultLateLists   FaultAction = "late"        // delays the lists at gateways
+	FaultReconfigure FaultAction = "reconfigure" // settings that state another number of gateways
+	FaultSilence     FaultAction = "silence"     // hosts accept but do not answer
+	FaultSlow        FaultAction = "slow"
+	FaultFail        FaultAction = "fail" // hosts answer with errors
+	FaultRefuse      FaultAction = "refuse"
+	FaultColdRestart FaultAction = "cold"       // hosts restart
+	FaultReplace     FaultAction = "replace"    // hosts drain and leave, new ones join
+	FaultJoin        FaultAction = "join"       // new hosts join
+	FaultCut         FaultAction = "cut"        // resets connections, or parts the membership
+	FaultDelay       FaultAction = "delay"      // of messages
+	FaultBlackHole   FaultAction = "black-hole" // messages are lost silently
+	FaultDown        FaultAction = "down"       // the catalog refuses connections
+	FaultReset       FaultAction = "reset"      // the catalog resets connections
+	FaultBusy        FaultAction = "busy"       // the catalog answers 503
+	FaultKillLeader  FaultAction = "kill-leader"
+)
+
 // faultActions lists the actions on each target.
-var faultActions = map[string][]string{
-	"gateways": {"kill", "term", "stop", "restart", "late", "reconfigure"},
-	"hosts":    {"kill", "silence", "slow", "fail", "refuse", "cold", "replace", "join"},
-	"links":    {"cut", "delay", "black-hole"},
-	"members":  {"cut"},
-	"catalog":  {"down", "reset", "busy", "slow", "black-hole", "kill-leader"},
+var faultActions = map[FaultTarget][]FaultAction{
+	TargetGateways: {FaultKill, FaultTerm, FaultStop, FaultRestart, FaultLateLists, FaultReconfigure},
+	TargetHosts:    {FaultKill, FaultSilence, FaultSlow, FaultFail, FaultRefuse, FaultColdRestart, FaultReplace, FaultJoin},
+	TargetLinks:    {FaultCut, FaultDelay, FaultBlackHole},
+	TargetMembers:  {FaultCut},
+	TargetCatalog:  {FaultDown, FaultReset, FaultBusy, FaultSlow, FaultBlackHole, FaultKillLeader},
 }
 
+// Selection is a way of choosing a share of gateways or hosts (see chooseShare).
+type Selection string
+
+// Selections.
+const (
+	SelectRandom Selection = "random" // distinct random ones
+	SelectRun    Selection = "run"    // consecutive ones from a random start
+	SelectEvery  Selection = "every"  // evenly spaced ones
+)
+
+// Effect says whether a request may be executed more than once.
+type Effect string
+
+// Effects of a class.
+const (
+	Idempotent Effect = "idempotent"
+	AtMostOnce Effect = "at_most_once"
+)
+
 // Defaults returns a scenario with the values of all keys that a file may omit.
 func Defaults() Scenario {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return Scenario{
 		Seed: 1, Length: ms(20_000),
-		Gateways: Gateways{AbsentSelection: "random", PeerDetection: ms(4_000)},
+		Gateways: Gateways{AbsentSelection: SelectRandom, PeerDetection: ms(4_000)},
 		Rules: Rules{QueueLimit: 64, MaxConns: 22, ConnCost: ms(6), ConnIdle: ms(60_000), DialTimeout: ms(250),
 			ColdCapacity: 0.13, WarmAfter: ms(24_000), OverloadFactor: 3, OverloadWindow: ms(2_000)},
 		Load:    Load{Skew: 0.7, EdgeDetection: ms(2_500), RetryWait: ms(100)},
@@ -170,8 +228,8 @@
 func defaultClasses() []Class {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return []Class{
-		{Name: "look", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(300), Deadline: ms(1200), Effect: "idempotent", Importance: 2},
-		{Name: "save", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(800), Deadline: ms(4000), Effect: "at_most_once", Importance: 5},
+		{Name: "look", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(300), Deadline: ms(1200), Effect: Idempotent, Importance: 2},
+		{Name: "save", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(800), Deadline: ms(4000), Effect: AtMostOnce, Importance: 5},
 	}
 }
 
--- a/internal/fleetlab/spread_test.go
+++ b/internal/fleetlab/spread_test.go
@@ -18,7 +18,7 @@
 		name       string
 		membership bool
 		absent     float64
-		selection  string
+		selection  Selection
 		cv         float64 // upper bound, as a multiple of random variation
 		maxMean    float64
 		underHalf  int
--- a/internal/fleetlab/validate.go
+++ b/internal/fleetlab/validate.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 )
@@ -15,14 +16,6 @@
 		}
 	}
 	isShare := func(x float64) bool { return x >= 0 && x <= 1 }
-	oneOf := func(v string, list ...string) bool {
-		for _, l := range list {
-			if v == l {
-				return true
-			}
-		}
-		return false
-	}
 	g, r, l, c := &s.Gateways, &s.Rules, &s.Load, &s.Catalog
 	require(s.Name != "", "", 0, "name", "missing")
 	require(s.Length > 0 && s.Length.std() <= time.Hour, "", 0, "length", "%v is not above 0 and up to 1h", s.Length.std())
@@ -30,7 +23,7 @@
 	require(g.Count >= 1 && g.Count <= 10_000, "gateways", 0, "count", "%d is not between 1 and 10000", g.Count)
 	require(g.Configured >= 1 && g.Configured <= 1<<20, "gateways", 0, "configured", "%d is not between 1 and %d", g.Configured, 1<<20)
 	require(g.AbsentShare >= 0 && g.AbsentShare < 1, "gateways", 0, "absent", "%v is not a share below 1", g.AbsentShare)
-	require(oneOf(g.AbsentSelection, "run", "random", "every"), "gateways", 0, "absent_how", "%q is not run, random or every", g.AbsentSelection)
+	require(oneOf(g.AbsentSelection, SelectRun, SelectRandom, SelectEvery), "gateways", 0, "absent_how", "%q is not run, random or every", g.AbsentSelection)
 	require(isShare(g.SavedListShare), "gateways", 0, "known", "%v is not a share", g.SavedListShare)
 	require(g.StartSpread >= 0 && g.StartSpread < s.Length, "gateways", 0, "start_spread", "not within the length")
 	require(len(s.Hosts) > 0, "", 0, "hosts", "there are none")
@@ -62,7 +55,7 @@
 		require(k.Work > 0, "class", i, "work", "not above 0")
 		require(k.WaitTime >= 0, "class", i, "waits", "below 0")
 		require(k.LatencyTarget > 0 && k.LatencyTarget <= k.Deadline, "class", i, "aim", "not above 0 and up to the deadline")
-		require(oneOf(k.Effect, "idempotent", "at_most_once"), "class", i, "effect", "%q is not idempotent or at_most_once", k.Effect)
+		require(oneOf(k.Effect, Idempotent, AtMostOnce), "class", i, "effect", "%q is not idempotent or at_most_once", k.Effect)
 	}
 	require(totalShare > 0, "class", 0, "share", "the classes have no share")
 	require(c.Instances == 1 || c.Instances == 3, "catalog", 0, "instances", "%d is not 1 or 3", c.Instances)
@@ -76,11 +69,11 @@
 		require(f.Length >= 0, "fault", i, "for", "below 0")
 		actions, ok := faultActions[f.Target]
 		require(ok, "fault", i, "on", "%q is not gateways, hosts, links, members or catalog", f.Target)
-		require(!ok || oneOf(f.Action, actions...), "fault", i, "do", "%q is not one of %s", f.Action, strings.Join(actions, ", "))
+		require(!ok || oneOf(f.Action, actions...), "fault", i, "do", "%q is not one of %s", f.Action, joinActions(actions))
 		require(isShare(f.Share), "fault", i, "share", "%v is not a share", f.Share)
 		require(isShare(f.HostShare), "fault", i, "hosts", "%v is not a share", f.HostShare)
-		require(oneOf(f.Selection, "", "random", "run", "every"), "fault", i, "how", "%q is not random, run or every", f.Selection)
-		require(f.Action != "slow" || f.Target != "hosts" || f.Factor > 0, "fault", i, "factor", "slow hosts need a factor above 0")
+		require(oneOf(f.Selection, "", SelectRandom, SelectRun, SelectEvery), "fault", i, "how", "%q is not random, run or every", f.Selection)
+		require(f.Action != FaultSlow || f.Target != TargetHosts || f.Factor > 0, "fault", i, "factor", "slow hosts need a factor above 0")
 		require(f.Delay >= 0, "fault", i, "delay", "below 0")
 		require(f.Steps >= 0 && f.Steps <= 1000 && f.StepInterval >= 0, "fault", i, "steps", "not between 0 and 1000")
 		require(f.Zone == "" || s.hasZone(f.Zone), "fault", i, "zone", "no host is in zone %q", f.Zone)
@@ -88,6 +81,18 @@
 	return err
 }
 
+// oneOf reports whether a list has a value.
+func oneOf[T comparable](value T, list ...T) bool { return slices.Contains(list, value) }
+
+// joinActions returns a list of actions as text.
+func joinActions(actions []FaultAction) string {
+	var words []string
+	for _, action := range actions {
+		words = append(words, string(action))
+	}
+	return strings.Join(words, ", ")
+}
+
 // hasZone reports whether any host is in a zone.
 func (s *Scenario) hasZone(name string) bool {
 	for _, h := range s.Hosts {
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -52,9 +52,9 @@
 	w := newWorld(s, oracle)
 	w.runUntil(s.Length.std() + s.longestDeadline() + 100*time.Millisecond)
 	w.endOpenRequests()
-	engine := "virtual"
+	engine := EngineVirtual
 	if oracle {
-		engine = "oracle"
+		engine = EngineOracle
 	}
 	return w.recorder.Result(engine, w.hosts)
 }
@@ -108,7 +108,7 @@
 func (s *Scenario) ranksWithSavedList() map[int]bool {
 	ranks := map[int]bool{}
 	if s.Gateways.SavedListShare > 0 {
-		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
+		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, SelectRandom) {
 			ranks[i] = true
 		}
 	}
--- a/internal/fleetlab/virtual_attempt.go
+++ b/internal/fleetlab/virtual_attempt.go
@@ -8,7 +8,7 @@
 
 // linkFault is a fault of the network between some gateways and some hosts.
 type linkFault struct {
-	action   string        // cut, delay or black-hole
+	action   FaultAction   // FaultCut, FaultDelay or FaultBlackHole
 	gateways map[int]bool  // by rank
 	hosts    map[int]bool  // by index
 	delay    time.Duration // added one way
@@ -19,8 +19,8 @@
 func (w *world) linkState(gatewayRank, hostIndex int) (cut, silent bool, delay time.Duration) {
 	for _, l := range w.linkFaults {
 		if l.gateways[gatewayRank] && l.hosts[hostIndex] {
-			cut = cut || l.action == "cut"
-			silent = silent || l.action == "black-hole"
+			cut = cut || l.action == FaultCut
+			silent = silent || l.action == FaultBlackHole
 			delay += l.delay
 		}
 	}
--- a/internal/fleetlab/virtual_faults.go
+++ b/internal/fleetlab/virtual_faults.go
@@ -14,14 +14,14 @@
 		f := &s.Faults[faultIndex]
 		start, length := f.Start.std(), f.Length.std()
 		switch f.Target {
-		case "catalog":
+		case TargetCatalog:
 			w.at(start, func() { w.applyCatalogFault(f, true) })
 			if length > 0 {
 				w.at(start+length, func() { w.applyCatalogFault(f, false) })
 			}
-		case "links":
+		case TargetLinks:
 			w.scheduleLinkFault(f, faultIndex)
-		case "members":
+		case TargetMembers:
 			partition := map[int]bool{}
 			for _, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
 				for _, i := range targets {
@@ -32,14 +32,14 @@
 			if length > 0 {
 				w.at(start+length, func() { w.partition = nil })
 			}
-		case "gateways":
+		case TargetGateways:
 			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
 				for _, i := range targets {
 					g := w.gateways[i]
 					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyGatewayFault(f, g) })
 				}
 			}
-		case "hosts":
+		case TargetHosts:
 			for step, targets := range s.faultTargets(s.hostCount(), s.zoneOfHost, f, faultIndex) {
 				for _, i := range targets {
 					h := w.hosts[i]
@@ -50,6 +50,16 @@
 	}
 }
 
+// catalogFaultModes are the modes of a list service by the fault that they model.
+var catalogFaultModes = map[FaultAction]catalogMode{
+	FaultDown:       catalogDown,
+	FaultReset:      catalogReset,
+	FaultBusy:       catalogBusy,
+	FaultBlackHole:  catalogBlackHole,
+	FaultKillLeader: catalogDown,
+	FaultSlow:       catalogUp, // its calls take longer
+}
+
 // applyCatalogFault starts a fault of the list service, or ends it if on is false. The fault affects the first
 // instances, as many as f.Share says, or all if that is 0; kill-leader affects only the first.
 func (w *world) applyCatalogFault(f *Fault, on bool) {
@@ -59,14 +69,14 @@
 		}
 		mode := catalogUp
 		if on {
-			mode = map[string]int{"down": catalogDown, "reset": catalogReset, "busy": catalogBusy, "black-hole": catalogBlackHole, "kill-leader": catalogDown, "slow": catalogUp}[f.Action]
+			mode = catalogFaultModes[f.Action]
 		}
 		c.callTime = 0
-		if f.Action == "slow" && on {
+		if f.Action == FaultSlow && on {
 			c.callTime = f.Delay.std()
 		}
 		c.setMode(mode)
-		if f.Action == "kill-leader" {
+		if f.Action == FaultKillLeader {
 			return // the first instance is the leader
 		}
 	}
@@ -109,25 +119,25 @@
 		}
 	}
 	switch f.Action {
-	case "kill":
+	case FaultKill:
 		g.kill()
 		atEnd(g.start)
-	case "term":
+	case FaultTerm:
 		w.edgeBalancer.setAdmitted(g.rank, false)
 		w.after(w.scenario.longestDeadline(), g.kill)
 		atEnd(g.start)
-	case "restart":
+	case FaultRestart:
 		if g.up {
 			g.kill()
 			w.after(max(f.Length.std(), time.Millisecond), g.start)
 		}
-	case "stop":
+	case FaultStop:
 		g.pause()
 		atEnd(g.resume)
-	case "late":
+	case FaultLateLists:
 		g.listDelay = f.Delay.std()
 		atEnd(func() { g.listDelay = 0 })
-	case "reconfigure":
+	case FaultReconfigure:
 		g.reconfigure(max(1, int(f.Factor*float64(w.scenario.Gateways.Configured))))
 	}
 }
@@ -150,7 +160,7 @@
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Ready) })
 	}
 	switch f.Action {
-	case "kill":
+	case FaultKill:
 		h.Kill()
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() {
 			if h.Condition == Dead {
@@ -158,29 +168,29 @@
 			}
 		})
 		atEnd(restart)
-	case "silence":
+	case FaultSilence:
 		h.Silence()
 		atEnd(restart)
-	case "slow":
+	case FaultSlow:
 		h.SlowFactor = f.Factor
 		atEnd(func() { h.SlowFactor = 1 })
-	case "fail":
+	case FaultFail:
 		h.Condition = Failing
 		atEnd(func() { h.Condition = Serving })
-	case "refuse":
+	case FaultRefuse:
 		h.Kill()
 		h.Condition = Refusing
 		atEnd(func() { h.Condition = Serving; h.Incarnation++ })
-	case "cold":
+	case FaultColdRestart:
 		restart()
-	case "replace":
+	case FaultReplace:
 		w.updateListing(index, bramblelock.Draining)
 		w.after(2*time.Second, func() {
 			h.Kill()
 			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Removed) })
 		})
 		w.addHost(h.Spec)
-	case "join":
+	case FaultJoin:
 		w.addHost(h.Spec)
 	}
 }
--- a/internal/fleetlab/virtual_list_service.go
+++ b/internal/fleetlab/virtual_list_service.go
@@ -7,13 +7,16 @@
 	"bramblelock/internal/admit"
 )
 
+// catalogMode is how a list service instance treats calls and watches.
+type catalogMode uint8
+
 // Modes of a list service instance.
 const (
-	catalogUp        = iota
-	catalogDown      // refuses connections
-	catalogReset     // resets connections
-	catalogBusy      // rejects all calls but keeps the open watches
-	catalogBlackHole // never answers
+	catalogUp        catalogMode = iota
+	catalogDown                  // refuses connections
+	catalogReset                 // resets connections
+	catalogBusy                  // rejects all calls but keeps the open watches
+	catalogBlackHole             // never answers
 )
 
 const (
@@ -28,7 +31,7 @@
 type listService struct {
 	world        *world
 	index        int
-	mode         int           // one of the modes above, such as catalogUp
+	mode         catalogMode
 	callTime     time.Duration // time of work on a call; 0: as the scenario says
 	gate         *admit.Gate
 	waitingCalls map[uint64]*watch // calls without a decision, by call ID
@@ -67,7 +70,7 @@
 
 // setMode changes the mode of the instance. Open watches end at once in catalogDown and catalogReset and when
 // catalogBlackHole ends, and after watchSilenceTimeout in catalogBlackHole.
-func (c *listService) setMode(mode int) {
+func (c *listService) setMode(mode catalogMode) {
 	old := c.mode
 	c.mode = mode
 	for i := range c.world.gateways { // in the order of ranks, so that the run does not depend on the order of the map
