--- a/internal/soak/client_conn.go
+++ b/internal/soak/client_conn.go
@@ -23,7 +23,7 @@
 // send writes a request.
 func (conn *clientConn) send(req *request, options requestOptions) error {
 	method, body := http.MethodPost, "body of "+req.id
-	if req.class.effect == "idempotent" {
+	if req.class.effect == idempotent {
 		method, body = http.MethodGet, ""
 	}
 	if options.kind == requestLong && method == http.MethodPost {
@@ -31,7 +31,7 @@
 	}
 	head := fmt.Sprintf("%s /api/1 HTTP/1.1\r\nHost: soak\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: %.3f\r\n",
 		method, req.id, req.class.name, req.class.deadline.Seconds())
-	if req.class.effect == "deduplicated" {
+	if req.class.effect == deduplicated {
 		head += "Idempotency-Key: " + req.id + "\r\n"
 	}
 	if options.retried {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -28,7 +28,7 @@
 	l := s.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	violated := func(req *request, rule, format string, args ...any) {
+	violated := func(req *request, rule Rule, format string, args ...any) {
 		v := Violation{Rule: rule, Text: fmt.Sprintf(format, args...)}
 		if req != nil {
 			v.Trace = s.trace(req)
@@ -38,7 +38,7 @@
 	for _, id := range l.order {
 		req := l.requests[id]
 		if req.class == nil {
-			violated(req, "duplicate", "a host received a request that no client sent: %q", id)
+			violated(req, RuleDuplicate, "a host received a request that no client sent: %q", id)
 			continue
 		}
 		r.Counts.Requests++
@@ -56,38 +56,40 @@
 			r.exempt(exemptBadClientAtExit)
 			continue
 		}
-		violated(nil, "bad clients", "%s: the connection of the bad client %q was closed after %v (0: not within 6 s)", client.gateway, client.kind, client.closedAfter)
+		violated(nil, RuleBadClients, "%s: the connection of the bad client %q was closed after %v (0: not within 6 s)", client.gateway, client.kind, client.closedAfter)
 	}
 	r.Pauses = l.pauses
 	for _, failure := range l.startFailures {
-		violated(nil, "start", "%s", failure)
+		violated(nil, RuleStart, "%s", failure)
 	}
 	s.judgeExits(r, violated)
 	s.judgeSlowStarts(r, violated)
 }
 
-// Exemptions are cases that would be violations but for a circumstance that the rules allow. A report
+// Exemption is a kind of cases that would be violations but for a circumstance that the rules allow. A report
 // counts them, because an exemption that covers most cases leaves a check that detects nothing.
+type Exemption string
+
 const (
-	exemptNotSent         = "requests whose last byte could not be written"
-	exemptResent          = "requests that crossed the close of a resting connection and were sent again"
-	exemptKilled          = "requests whose process was killed outright"
-	exemptConnFlood       = "first requests on connections that were shut unread in a crowd"
-	exemptBadClientAtExit = "bad clients whose process ended"
-	exemptDisrupted       = "sends to draining servers beyond the usual time, within that of an outage or a new process"
-	exemptLateStart       = "starts of servers that were notified too late to be judged"
+	exemptNotSent         Exemption = "requests whose last byte could not be written"
+	exemptResent          Exemption = "requests that crossed the close of a resting connection and were sent again"
+	exemptKilled          Exemption = "requests whose process was killed outright"
+	exemptConnFlood       Exemption = "first requests on connections that were shut unread in a crowd"
+	exemptBadClientAtExit Exemption = "bad clients whose process ended"
+	exemptDisrupted       Exemption = "sends to draining servers beyond the usual time, within that of an outage or a new process"
+	exemptLateStart       Exemption = "starts of servers that were notified too late to be judged"
 )
 
 // exempt counts a case that an exemption covers.
-func (r *Report) exempt(exemption string) {
+func (r *Report) exempt(exemption Exemption) {
 	if r.Exemptions == nil {
-		r.Exemptions = map[string]int{}
+		r.Exemptions = map[Exemption]int{}
 	}
 	r.Exemptions[exemption]++
 }
 
 // violationFunc adds a violation to the report. req is nil if the violation is not about one request.
-type violationFunc func(req *request, rule, format string, args ...any)
+type violationFunc func(req *request, rule Rule, format string, args ...any)
 
 // exitedBetween says whether a process of a gateway exited between two times, or up to judgeSlack outside
 // of them. Whether that exit was allowed is for judgeExits to check.
@@ -110,8 +112,8 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		counts.Refused++
 		for _, attempt := range req.attempts {
-			if !attempt.rejected && req.class.effect != "idempotent" && req.class.effect != "deduplicated" {
-				violated(req, "refusal", "%s was refused although host %s may have executed it", req.id, attempt.host)
+			if !attempt.rejected && req.class.effect != idempotent && req.class.effect != deduplicated {
+				violated(req, RuleRefusal, "%s was refused although host %s may have executed it", req.id, attempt.host)
 			}
 		}
 	default:
@@ -126,7 +128,7 @@
 		r.exempt(exemptNotSent)
 	case req.status != 0:
 		if late := req.endedAt.Sub(req.sentAt) - req.class.deadline; late > answerGrace+judgeSlack {
-			violated(req, "lost", "the answer to %s came %v after its deadline", req.id, late)
+			violated(req, RuleLost, "the answer to %s came %v after its deadline", req.id, late)
 		}
 	case !req.newConn && len(req.attempts) == 0 && s.ledger.resent[req.id]:
 		// Its client sent it again under another id, and that request has to be answered. A request that a
@@ -137,7 +139,7 @@
 	case req.newConn && len(req.attempts) == 0 && s.connsExhausted(req):
 		r.exempt(exemptConnFlood)
 	default:
-		violated(req, "lost", "%s (class %s, gateway %s, new connection: %t) got no answer: %v", req.id, req.class.name, req.gateway, req.newConn, req.err)
+		violated(req, RuleLost, "%s (class %s, gateway %s, new connection: %t) got no answer: %v", req.id, req.class.name, req.gateway, req.newConn, req.err)
 	}
 }
 
@@ -184,12 +186,12 @@
 	}
 	slices.SortFunc(executed, func(a, b attempt) int { return a.receivedAt.Compare(b.receivedAt) })
 	switch {
-	case len(executed) < 2 || req.class.effect == "idempotent":
-	case req.class.effect == "at_most_once":
-		violated(req, "duplicate", "%s was executed %d times", req.id, len(executed))
+	case len(executed) < 2 || req.class.effect == idempotent:
+	case req.class.effect == atMostOnce:
+		violated(req, RuleDuplicate, "%s was executed %d times", req.id, len(executed))
 	default:
 		if apart := executed[len(executed)-1].receivedAt.Sub(executed[0].receivedAt); apart > req.class.window+50*time.Millisecond {
-			violated(req, "duplicate", "%s was executed again %v after its first execution, %v allowed", req.id, apart, req.class.window)
+			violated(req, RuleDuplicate, "%s was executed again %v after its first execution, %v allowed", req.id, apart, req.class.window)
 		}
 	}
 }
@@ -199,14 +201,14 @@
 func (s *soak) judgeAttempts(req *request, r *Report, violated violationFunc) {
 	for _, attempt := range req.attempts {
 		if !req.abandonedAt.IsZero() && attempt.firstByteAt.Sub(req.abandonedAt) > 100*time.Millisecond+judgeSlack {
-			violated(req, "lost", "%s was sent to %s %v after its client had closed its connection", req.id, attempt.host, attempt.firstByteAt.Sub(req.abandonedAt))
+			violated(req, RuleLost, "%s was sent to %s %v after its client had closed its connection", req.id, attempt.host, attempt.firstByteAt.Sub(req.abandonedAt))
 		}
 		sentBy := attempt.receivedAt
 		if attempt.stalled {
 			sentBy = attempt.firstByteAt // the head was sent by then; the end of the body may have arrived at any time after it
 		}
 		if left := req.sentAt.Add(req.class.deadline).Sub(sentBy); attempt.timeout > left+timeoutSlack+judgeSlack && !req.sentAt.IsZero() {
-			violated(req, "deadline", "%s gives host %s a timeout of %v where %v are left", req.id, attempt.host, attempt.timeout, left)
+			violated(req, RuleDeadline, "%s gives host %s a timeout of %v where %v are left", req.id, attempt.host, attempt.timeout, left)
 		}
 		for _, drain := range s.ledger.drains {
 			if drain.host != attempt.host || !attempt.firstByteAt.After(drain.ackedAt) || !drain.relistedAt.IsZero() && !attempt.firstByteAt.Before(drain.relistedAt) {
@@ -218,7 +220,7 @@
 			}
 			by, _ := s.notifiedBy(drain.ackedAt, req.gateway)
 			if by = by.Add(drainGrace + judgeSlack); attempt.firstByteAt.After(by) {
-				violated(req, "drain", "%s was sent to host %s %v after the host began to drain, %v too late", req.id, attempt.host,
+				violated(req, RuleDrain, "%s was sent to host %s %v after the host began to drain, %v too late", req.id, attempt.host,
 					sinceAck, attempt.firstByteAt.Sub(by))
 				continue
 			}
@@ -248,14 +250,14 @@
 		text, _ := os.ReadFile(exit.logPath)
 		switch {
 		case exit.termAt.IsZero() && exit.killAt.IsZero():
-			violated(nil, "crash", "%s (process %d) exited by itself with code %d:\n%s", exit.gateway, exit.generation, exit.exitCode, lastLines(string(text), 30))
+			violated(nil, RuleCrash, "%s (process %d) exited by itself with code %d:\n%s", exit.gateway, exit.generation, exit.exitCode, lastLines(string(text), 30))
 		case !exit.termAt.IsZero() && !exit.killAt.IsZero():
-			violated(nil, "end", "%s (process %d) had not exited %v after SIGTERM:\n%s", exit.gateway, exit.generation, exit.killAt.Sub(exit.termAt), lastLines(string(text), 10))
+			violated(nil, RuleEnd, "%s (process %d) had not exited %v after SIGTERM:\n%s", exit.gateway, exit.generation, exit.killAt.Sub(exit.termAt), lastLines(string(text), 10))
 		case !exit.termAt.IsZero() && exit.exitCode != 0:
-			violated(nil, "end", "%s (process %d) exited with code %d:\n%s", exit.gateway, exit.generation, exit.exitCode, lastLines(string(text), 30))
+			violated(nil, RuleEnd, "%s (process %d) exited with code %d:\n%s", exit.gateway, exit.generation, exit.exitCode, lastLines(string(text), 30))
 		}
 		for _, m := range auditViolation.FindAllString(string(text), -1) {
-			violated(nil, "audit", "%s (process %d) logged %s:\n%s", exit.gateway, exit.generation, m, linesWith(string(text), "rule broken", 10))
+			violated(nil, RuleAudit, "%s (process %d) logged %s:\n%s", exit.gateway, exit.generation, m, linesWith(string(text), "rule broken", 10))
 		}
 	}
 }
@@ -288,7 +290,7 @@
 			share := coldFrom + (1-coldFrom)*float64(received[i].Sub(start.ackedAt))/float64(warmAfter)
 			limit := overloadFactor * share * warmRate * overloadPeriod.Seconds()
 			if float64(n) > maxByChance(limit) {
-				violated(nil, "failback", "host %s received %d requests in %v, %v after its start; %.0f plus random variation allowed", start.host, n, overloadPeriod,
+				violated(nil, RuleSlowStart, "host %s received %d requests in %v, %v after its start; %.0f plus random variation allowed", start.host, n, overloadPeriod,
 					received[i].Sub(start.ackedAt), limit)
 				break
 			}
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -7,18 +7,28 @@
 	"bramblelock/internal/loopback"
 )
 
+// effect says whether a request may be executed more than once, in the words of the settings.
+type effect string
+
+const (
+	idempotent   effect = "idempotent"
+	atMostOnce   effect = "at_most_once"
+	deduplicated effect = "deduplicated" // again within the window of its class
+)
+
 // requestClass is a request class in the settings of the gateways.
 type requestClass struct {
-	name, effect string
-	deadline     time.Duration
-	window       time.Duration // idempotency window; 0: the class is not deduplicated
-	share        float64       // of all requests
+	name     string
+	effect   effect
+	deadline time.Duration
+	window   time.Duration // idempotency window; 0: the class is not deduplicated
+	share    float64       // of all requests
 }
 
 var requestClasses = []requestClass{
-	{name: "look", effect: "idempotent", deadline: 1200 * time.Millisecond, share: 0.5},
-	{name: "book", effect: "at_most_once", deadline: 2 * time.Second, share: 0.3},
-	{name: "report", effect: "deduplicated", deadline: 1500 * time.Millisecond, window: 600 * time.Millisecond, share: 0.2},
+	{name: "look", effect: idempotent, deadline: 1200 * time.Millisecond, share: 0.5},
+	{name: "book", effect: atMostOnce, deadline: 2 * time.Second, share: 0.3},
+	{name: "report", effect: deduplicated, deadline: 1500 * time.Millisecond, window: 600 * time.Millisecond, share: 0.2},
 }
 
 // Slow start, draining and termination in the settings of the soak.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -41,8 +41,8 @@
 	Seed       uint64
 	Timeline   []string // the disruptions in planned order
 	Counts     Counts
-	Pauses     []string       // times at which the soak process itself was paused, so that what it recorded is late
-	Exemptions map[string]int // by exemption: number of cases that would be violations without it
+	Pauses     []string          // times at which the soak process itself was paused, so that what it recorded is late
+	Exemptions map[Exemption]int // number of cases that would be violations without the exemption
 	Violations []Violation
 }
 
@@ -57,10 +57,29 @@
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule, Text string
-	Trace      []string // lines about the request in every process; nil if the violation is not about one request
+	Rule  Rule
+	Text  string
+	Trace []string // lines about the request in every process; nil if the violation is not about one request
 }
 
+// Rule is what a violation broke.
+type Rule string
+
+// Rules.
+const (
+	RuleLost       Rule = "lost"      // one answer in time, and nothing is sent for a client that has gone
+	RuleDuplicate  Rule = "duplicate" // executions as the class allows
+	RuleRefusal    Rule = "refusal"   // no refusal of what may have been executed
+	RuleDeadline   Rule = "deadline"  // hosts get no more time than is left
+	RuleDrain      Rule = "drain"     // nothing goes to a host after notification that it drains
+	RuleSlowStart  Rule = "failback"  // a starting host gets no more than its budget
+	RuleBadClients Rule = "bad clients"
+	RuleStart      Rule = "start" // processes become ready in time
+	RuleEnd        Rule = "end"   // processes exit in time with code 0
+	RuleCrash      Rule = "crash"
+	RuleAudit      Rule = "audit" // the gateways' own counters stay at zero
+)
+
 // soak is the state of one run.
 type soak struct {
 	opt       Options
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -205,7 +205,7 @@
 		s.judge(r)
 		rules := map[string]bool{}
 		for _, v := range r.Violations {
-			rules[v.Rule] = true
+			rules[string(v.Rule)] = true
 		}
 		if found := strings.Join(slices.Sorted(maps.Keys(rules)), " "); found != c.rules {
 			t.Errorf("%s: the judge found violations of %q, want %q", c.name, found, c.rules)
