--- a/internal/fleetlab/virtual_attempt.go
+++ b/internal/fleetlab/virtual_attempt.go
@@ -34,8 +34,7 @@
 	if r == nil || !ok {
 		panic("fleetlab: attempt of an unknown request or host")
 	}
-	h := w.hosts[hostIndex]
-	a := &attempt{gateway: g, request: r, index: len(r.attempts), host: h, sentAt: w.now}
+	a := &attempt{gateway: g, request: r, index: len(r.attempts), host: w.hosts[hostIndex], sentAt: w.now}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	deadline := r.deadline
@@ -48,39 +47,58 @@
 		p = &pool{}
 		g.pools[hostIndex] = p
 	}
-	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
-		h.Disconnect(p.idle[0].incarnation) // the real gateway also keeps connections for half of the host's idle limit
-		p.idle = p.idle[1:]
-		p.open--
-	}
+	p.closeExpired(w, a.host)
 	cut, silent, delay := w.linkState(g.rank, hostIndex)
 	oneWay := w.oneWayDelay(g.zone, w.hostList[hostIndex].host.Zone) + delay
-	if n := len(p.idle); n > 0 {
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		a.connected, a.incarnation = true, c.incarnation
-		w.after(oneWay, func() {
-			switch {
-			case silent:
-			case cut || c.incarnation != h.Incarnation:
-				a.finishAfter(oneWay, bramblelock.Reset)
-			default:
-				a.arriveAtHost(oneWay, false)
-			}
-		})
+	if last := len(p.idle) - 1; last >= 0 {
+		c := p.idle[last]
+		p.idle = p.idle[:last]
+		a.sendOnIdleConn(c, oneWay, cut, silent)
 		return
 	}
 	p.open++
+	a.sendOnNewConn(oneWay, cut, silent)
+}
+
+// closeExpired closes the connections that have been idle for half of the host's idle limit, as the real
+// gateway does.
+func (p *pool) closeExpired(w *world, h *Host) {
+	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
+		h.Disconnect(p.idle[0].incarnation)
+		p.idle = p.idle[1:]
+		p.open--
+	}
+}
+
+// sendOnIdleConn sends an attempt over an idle connection, which reaches the host after oneWay. cut and
+// silent are the state of the link.
+func (a *attempt) sendOnIdleConn(c conn, oneWay time.Duration, cut, silent bool) {
+	a.connected, a.incarnation = true, c.incarnation
+	a.gateway.world.after(oneWay, func() {
+		switch {
+		case silent:
+		case cut || c.incarnation != a.host.Incarnation:
+			a.finishAfter(oneWay, bramblelock.Reset)
+		default:
+			a.arriveAtHost(oneWay, false)
+		}
+	})
+}
+
+// sendOnNewConn opens a connection and sends an attempt over it, which takes three times oneWay. cut and
+// silent are the state of the link.
+func (a *attempt) sendOnNewConn(oneWay time.Duration, cut, silent bool) {
+	w, h := a.gateway.world, a.host
 	w.after(oneWay, func() {
 		switch {
 		case a.ended:
 		case silent || h.Condition == Silent:
 			a.finishAfter(w.scenario.Rules.DialTimeout.std(), bramblelock.ConnectFailed)
 		case cut || h.Condition == Dead || h.Condition == Refusing:
-			w.recorder.RecordNewConn(hostIndex, w.now)
+			w.recorder.RecordNewConn(h.Index, w.now)
 			a.finishAfter(oneWay, bramblelock.ConnectFailed)
 		default:
-			w.recorder.RecordNewConn(hostIndex, w.now)
+			w.recorder.RecordNewConn(h.Index, w.now)
 			if !h.Connect() {
 				a.finishAfter(oneWay, bramblelock.Full) // accepted, answered 503 and closed
 				return
--- a/internal/fleetlab/virtual_faults.go
+++ b/internal/fleetlab/virtual_faults.go
@@ -12,44 +12,57 @@
 	s := w.scenario
 	for faultIndex := range s.Faults {
 		f := &s.Faults[faultIndex]
-		start, length := f.Start.std(), f.Length.std()
 		switch f.Target {
 		case TargetCatalog:
-			w.at(start, func() { w.applyCatalogFault(f, true) })
-			if length > 0 {
-				w.at(start+length, func() { w.applyCatalogFault(f, false) })
-			}
+			w.scheduleCatalogFault(f)
 		case TargetLinks:
 			w.scheduleLinkFault(f, faultIndex)
 		case TargetMembers:
-			partition := map[int]bool{}
-			for _, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
-				for _, i := range targets {
-					partition[i] = true
-				}
-			}
-			w.at(start, func() { w.partition, w.partitionedAt = partition, w.now })
-			if length > 0 {
-				w.at(start+length, func() { w.partition = nil })
-			}
+			w.schedulePartition(f, faultIndex)
 		case TargetGateways:
-			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
-				for _, i := range targets {
-					g := w.gateways[i]
-					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyGatewayFault(f, g) })
-				}
-			}
+			w.scheduleSteps(f, s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex), func(rank int) {
+				w.applyGatewayFault(f, w.gateways[rank])
+			})
 		case TargetHosts:
-			for step, targets := range s.faultTargets(s.hostCount(), s.zoneOfHost, f, faultIndex) {
-				for _, i := range targets {
-					h := w.hosts[i]
-					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyHostFault(f, h) })
-				}
-			}
+			w.scheduleSteps(f, s.faultTargets(s.hostCount(), s.zoneOfHost, f, faultIndex), func(index int) {
+				w.applyHostFault(f, w.hosts[index])
+			})
+		}
+	}
+}
+
+// scheduleSteps schedules the start of a fault for its targets, which are given by step.
+func (w *world) scheduleSteps(f *Fault, targetsByStep [][]int, apply func(target int)) {
+	for step, targets := range targetsByStep {
+		for _, target := range targets {
+			w.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { apply(target) })
 		}
 	}
 }
 
+// scheduleCatalogFault schedules the start and the end of a fault of the list service.
+func (w *world) scheduleCatalogFault(f *Fault) {
+	w.at(f.Start.std(), func() { w.applyCatalogFault(f, true) })
+	if f.Length > 0 {
+		w.at(f.Start.std()+f.Length.std(), func() { w.applyCatalogFault(f, false) })
+	}
+}
+
+// schedulePartition schedules the start and the end of a partition of the membership.
+func (w *world) schedulePartition(f *Fault, faultIndex int) {
+	s := w.scenario
+	partition := map[int]bool{}
+	for _, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
+		for _, i := range targets {
+			partition[i] = true
+		}
+	}
+	w.at(f.Start.std(), func() { w.partition, w.partitionedAt = partition, w.now })
+	if f.Length > 0 {
+		w.at(f.Start.std()+f.Length.std(), func() { w.partition = nil })
+	}
+}
+
 // catalogFaultModes are the modes of a list service by the fault that they model.
 var catalogFaultModes = map[FaultAction]catalogMode{
 	FaultDown:       catalogDown,
--- a/internal/fleetlab/virtual_gateway.go
+++ b/internal/fleetlab/virtual_gateway.go
@@ -63,10 +63,21 @@
 func (g *gateway) start() {
 	w := g.world
 	g.generation++
-	g.up, g.ready, g.paused, g.deferred = true, false, false, nil
-	g.startedAt, g.listVersion, g.catalogIndex = w.now, 0, g.rank%len(w.catalogs)
-	g.pools, g.knownStart, g.usable = map[int]*pool{}, map[int]Time{}, map[int]bool{}
-	g.requests, g.hostIndex, g.pushBackoff = map[bramblelock.RequestID]*request{}, map[bramblelock.HostID]int{}, 0
+	g.up = true
+	g.ready = false
+	g.paused = false
+	g.deferred = nil
+	g.startedAt = w.now
+	g.listVersion = 0
+	g.catalogIndex = g.rank % len(w.catalogs)
+	g.pushBackoff = 0
+	g.reportedRate = 0
+	g.rateReportedAt = 0
+	g.pools = map[int]*pool{}
+	g.knownStart = map[int]Time{}
+	g.usable = map[int]bool{}
+	g.requests = map[bramblelock.RequestID]*request{}
+	g.hostIndex = map[bramblelock.HostID]int{}
 	settings, err := wire.ParseSettings(g.world.scenario.SettingsJSON(g.rank, g.configured))
 	if err == nil {
 		g.balancer, err = bramblelock.New(settings, w.seedRand.Uint64())
@@ -74,19 +85,13 @@
 	if err != nil {
 		panic(err) // unreachable: the scenario was validated
 	}
-	g.reportedRate, g.rateReportedAt = 0, 0
 	g.handle(func() {
 		if w.scenario.Gateways.Membership {
 			g.updatePeers(g.generation)
 		}
 		g.balancer.Start(g.clock())
 		if g.hasSavedList {
-			list := make([]bramblelock.Host, len(w.hostList))
-			for i := range w.hostList {
-				list[i] = w.hostList[i].host
-			}
-			g.applyList(bramblelock.ListSaved, list)
-			g.listVersion = w.listVersion
+			g.applySavedList()
 		}
 		if w.scenario.Catalog.Push {
 			g.openWatch()
@@ -94,6 +99,17 @@
 	})
 }
 
+// applySavedList applies the present host list as the one that the process has saved.
+func (g *gateway) applySavedList() {
+	w := g.world
+	list := make([]bramblelock.Host, len(w.hostList))
+	for i := range w.hostList {
+		list[i] = w.hostList[i].host
+	}
+	g.applyList(bramblelock.ListSaved, list)
+	g.listVersion = w.listVersion
+}
+
 // updatePeers passes the live gateways to the Balancer, once per second until the process of this generation
 // exits. Gateways that have exited or are on the other side of a partition count as live for PeerDetection.
 // Each gateway reports its request rate to the others every 5 s.
@@ -105,10 +121,11 @@
 	if w.now-g.rateReportedAt >= 5*time.Second || g.reportedRate == 0 {
 		g.reportedRate, g.rateReportedAt = g.balancer.RequestRate(g.clock()), w.now
 	}
+	detection := w.scenario.Gateways.PeerDetection.std()
 	var peers []bramblelock.Peer
 	for _, other := range w.gateways {
-		exited := !other.up && (other.generation == 0 || w.now-other.exitedAt >= w.scenario.Gateways.PeerDetection.std())
-		partitioned := w.partition != nil && w.partition[other.rank] != w.partition[g.rank] && w.now-w.partitionedAt >= w.scenario.Gateways.PeerDetection.std()
+		exited := !other.up && (other.generation == 0 || w.now-other.exitedAt >= detection)
+		partitioned := w.partition != nil && w.partition[other.rank] != w.partition[g.rank] && w.now-w.partitionedAt >= detection
 		if !exited && !partitioned {
 			peers = append(peers, bramblelock.Peer{Rank: other.rank % g.configured, Rate: other.reportedRate})
 		}
@@ -127,7 +144,10 @@
 		return
 	}
 	w := g.world
-	g.up, g.paused, g.deferred, g.exitedAt = false, false, nil, w.now
+	g.up = false
+	g.paused = false
+	g.deferred = nil
+	g.exitedAt = w.now
 	g.generation++
 	g.endOpenRequests(Lost)
 	for i, h := range w.hosts {
