--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -166,17 +166,14 @@
 	return nil
 }
 
+// progressInterval is the time between two progress messages.
+const progressInterval = 5 * time.Second
+
 // execute starts the gateways, sends the load and carries out the faults. It returns when all requests have
 // ended or the run is cancelled.
 func (run *realRun) execute() {
 	s := run.scenario
-	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
-	for i, g := range run.gateways {
-		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
-		if present[i] {
-			run.at(at, g.start)
-		}
-	}
+	run.scheduleStarts()
 	run.scheduleFaults()
 	var clients sync.WaitGroup
 	arrivals := newArrivals(s)
@@ -194,13 +191,9 @@
 			return
 		case <-sampleTicker.C:
 			run.samplePending()
-			if now := run.now(); now-lastProgress >= 5*time.Second {
+			if now := run.now(); now-lastProgress >= progressInterval {
 				lastProgress = now
-				run.recorderMu.Lock()
-				e := run.recorder.ends
-				fmt.Fprintf(run.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
-					now.Seconds(), run.recorder.readyTimes.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGateway])
-				run.recorderMu.Unlock()
+				run.printProgress()
 			}
 			continue
 		case <-time.After(until - run.now()):
@@ -218,6 +211,27 @@
 	clients.Wait()
 }
 
+// scheduleStarts schedules the starts of the present gateways.
+func (run *realRun) scheduleStarts() {
+	s := run.scenario
+	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
+	for rank, g := range run.gateways {
+		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
+		if present[rank] {
+			run.at(at, g.start)
+		}
+	}
+}
+
+// printProgress writes a progress message.
+func (run *realRun) printProgress() {
+	run.record(func(r *Recorder, now Time) {
+		failed := r.ends[Failed] + r.ends[Lost] + r.ends[NoLiveGateway]
+		fmt.Fprintf(run.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
+			now.Seconds(), r.readyTimes.TotalCount(), r.ends[Served], r.ends[Refused], failed)
+	})
+}
+
 // samplePending records how many requests the hosts hold and how many bytes the catalogs have sent. It is
 // called once per bin.
 func (run *realRun) samplePending() {
--- a/internal/fleetlab/scenario.go
+++ b/internal/fleetlab/scenario.go
@@ -251,21 +251,35 @@
 // error of the form "line N: ...".
 func Parse(text []byte) (*Scenario, error) {
 	s := Defaults()
-	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := dec.Decode(&s); err != nil {
-		var strict *toml.StrictMissingError
-		if errors.As(err, &strict) && len(strict.Errors) > 0 {
-			e := strict.Errors[0]
-			row, _ := e.Position()
-			return nil, fmt.Errorf("line %d: unknown key %q", row, strings.Join(e.Key(), "."))
-		}
-		var bad *toml.DecodeError
-		if errors.As(err, &bad) {
-			row, _ := bad.Position()
-			return nil, fmt.Errorf("line %d: %s", row, strings.TrimPrefix(bad.Error(), "toml: "))
-		}
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(&s); err != nil {
+		return nil, withLine(err)
+	}
+	s.setDerivedDefaults()
+	if err := s.validate(text); err != nil {
 		return nil, err
 	}
+	return &s, nil
+}
+
+// withLine returns an error of the TOML decoder with the line that it concerns.
+func withLine(err error) error {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
+		line, _ := first.Position()
+		return fmt.Errorf("line %d: unknown key %q", line, strings.Join(first.Key(), "."))
+	}
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, _ := malformed.Position()
+		return fmt.Errorf("line %d: %s", line, strings.TrimPrefix(malformed.Error(), "toml: "))
+	}
+	return err
+}
+
+// setDerivedDefaults sets the omitted values that depend on others, and those of hosts and classes.
+func (s *Scenario) setDerivedDefaults() {
 	if s.Classes == nil {
 		s.Classes = defaultClasses()
 	}
@@ -285,8 +299,4 @@
 	if s.Gateways.Configured == 0 {
 		s.Gateways.Configured = s.Gateways.Count
 	}
-	if err := s.validate(text); err != nil {
-		return nil, err
-	}
-	return &s, nil
 }
