--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -243,7 +243,7 @@
 var auditViolation = regexp.MustCompile(`(sent_after_notification|sent_for_gone_clients|second_runs|timeouts_over_left|closed_owing_an_answer|slow_start_over_budget)=([1-9]\d*)`)
 
 // judgeExits requires that gateway processes exit only when the soak ends them, after SIGTERM with code 0
-// and before the SIGKILL, and that their own audit counters are zero.
+// and before the SIGKILL, and that their own audit has found nothing.
 func (s *soak) judgeExits(r *Report, violated violationFunc) {
 	for _, exit := range s.ledger.exits {
 		r.Counts.Restarts++
@@ -256,8 +256,12 @@
 		case !exit.termAt.IsZero() && exit.exitCode != 0:
 			violated(nil, RuleEnd, "%s (process %d) exited with code %d:\n%s", exit.gateway, exit.generation, exit.exitCode, lastLines(string(text), 30))
 		}
-		for _, m := range auditViolation.FindAllString(string(text), -1) {
-			violated(nil, RuleAudit, "%s (process %d) logged %s:\n%s", exit.gateway, exit.generation, m, linesWith(string(text), "rule broken", 10))
+		broken, counters := linesWith(string(text), "rule broken", 10), auditViolation.FindAllString(string(text), -1)
+		for _, counter := range counters {
+			violated(nil, RuleAudit, "%s (process %d) logged %s:\n%s", exit.gateway, exit.generation, counter, broken)
+		}
+		if len(counters) == 0 && broken != "" { // a process that is killed or crashes does not log its counters
+			violated(nil, RuleAudit, "%s (process %d) logged, without counters:\n%s", exit.gateway, exit.generation, broken)
 		}
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -180,6 +180,11 @@
 			os.WriteFile(log, []byte("msg=stopped sent_after_notification=0 timeouts_over_left=2\n"), 0o600)
 			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, termAt: at(30), endedAt: at(31), logPath: log})
 		}},
+		{"a broken rule in the log of a process that was killed", "audit", func(l *ledger, _ *request) {
+			log := filepath.Join(t.TempDir(), "g00.1.log")
+			os.WriteFile(log, []byte("level=ERROR msg=\"rule broken: sent after notification\" id=x host=s-00\n"), 0o600)
+			l.exits = append(l.exits, processExit{gateway: "g00", generation: 1, killAt: at(30), endedAt: at(30), logPath: log})
+		}},
 		{"a process that does not start", "start", func(l *ledger, _ *request) {
 			l.startFailures = append(l.startFailures, "g05 (process 2) is not ready")
 		}},
