--- a/internal/soak/gateway.go
+++ b/internal/soak/gateway.go
@@ -29,8 +29,14 @@
 // newGateway returns the gateway of an index, which has no process yet.
 func newGateway(s *soak, i int) *gateway {
 	name := fmt.Sprintf("g%02d", i)
-	g := &gateway{s: s, name: name, addr: fmt.Sprintf("%s1.%d:9000", s.netPrefix, i+1), operatorAddr: fmt.Sprintf("%s1.%d:9001", s.netPrefix, i+1),
-		configPath: filepath.Join(s.dir, name+".json"), dir: filepath.Join(s.dir, name)}
+	g := &gateway{
+		s:            s,
+		name:         name,
+		addr:         fmt.Sprintf("%s1.%d:9000", s.netPrefix, i+1),
+		operatorAddr: fmt.Sprintf("%s1.%d:9001", s.netPrefix, i+1),
+		configPath:   filepath.Join(s.dir, name+".json"),
+		dir:          filepath.Join(s.dir, name),
+	}
 	os.MkdirAll(g.dir, 0o755)
 	return g
 }
@@ -69,14 +75,12 @@
 	if err := g.configure(g.settingsVersion); err != nil {
 		return err
 	}
-	bin, inject := filepath.Join(g.s.opt.Bin, "gateway"), ""
-	if faulty := filepath.Join(g.s.opt.Bin, FaultyGateway); g.name[2]%2 == 1 && fileExists(faulty) {
-		bin, inject = faulty, fmt.Sprintf("%d %g", g.s.opt.Seed*100+uint64(g.generation), systemCallFaultShare)
-	}
+	bin, inject := g.binary()
 	var files []*os.File
 	env := []string{"GW_CONFIG=" + g.configPath, "GW_LOG=debug", "TMPDIR=" + g.dir, "GW_INJECT=" + inject}
 	if g.sharedSocket != nil {
-		files, env = []*os.File{g.sharedSocket}, append(env, "GW_ACCEPT_FD=3")
+		files = []*os.File{g.sharedSocket}
+		env = append(env, "GW_ACCEPT_FD=3")
 	}
 	proc, startedAt, err := g.s.starter.StartWithFiles(files, g.s.dir, fmt.Sprintf("%s.%d", g.name, g.generation), bin, nil, env...)
 	if err != nil {
@@ -88,6 +92,15 @@
 	return nil
 }
 
+// binary returns the path of the gateway's binary and, for a FaultyGateway, the value of GW_INJECT.
+func (g *gateway) binary() (path, inject string) {
+	faulty := filepath.Join(g.s.opt.Bin, FaultyGateway)
+	if g.name[2]%2 == 1 && fileExists(faulty) {
+		return faulty, fmt.Sprintf("%d %g", g.s.opt.Seed*100+uint64(g.generation), systemCallFaultShare)
+	}
+	return filepath.Join(g.s.opt.Bin, "gateway"), ""
+}
+
 // awaitHealth checks the health of a process until it is ready or is no longer the present one.
 func (g *gateway) awaitHealth(proc *process) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -200,35 +213,49 @@
 	g.mu.Unlock()
 }
 
+// longestDeadline counts as the longest deadline of any class.
+const longestDeadline = 3 * time.Second
+
 // stopProcess ends a process, waits for its exit and records it. The record of a process that had exited
 // by itself has no time of a signal.
 func (g *gateway) stopProcess(proc *process, graceful bool, alongside []func(ended <-chan struct{})) {
 	exit := processExit{gateway: g.name, generation: proc.generation, logPath: proc.Log}
-	if ended, err := proc.Exited(); ended {
-		exit.endedAt, exit.exitCode = proc.exitTime(), exitCode(err)
-	} else if !graceful {
+	exited, err := proc.Exited()
+	switch {
+	case exited:
+		exit.endedAt = proc.exitTime()
+		exit.exitCode = exitCode(err)
+	case graceful:
+		g.terminateProcess(proc, alongside, &exit)
+	default:
 		exit.killAt = time.Now()
 		proc.Kill()
 		exit.endedAt = time.Now()
-	} else {
-		exit.termAt = time.Now()
-		longestDeadline := 3 * time.Second
-		ended := make(chan struct{})
-		for _, do := range alongside {
-			g.s.background.Add(1)
-			go func() { defer g.s.background.Done(); do(ended) }()
-		}
-		err := proc.Term(longestDeadline + killMargin)
-		close(ended)
-		if exit.endedAt = time.Now(); exit.endedAt.Sub(exit.termAt) >= longestDeadline+killMargin {
-			exit.killAt = exit.endedAt
-		} else {
-			exit.exitCode = exitCode(err)
-		}
 	}
 	g.s.ledger.update(func() { g.s.ledger.exits = append(g.s.ledger.exits, exit) })
 }
 
+// terminateProcess ends a process as terminate does, and notes the times and the exit code.
+func (g *gateway) terminateProcess(proc *process, alongside []func(ended <-chan struct{}), exit *processExit) {
+	exit.termAt = time.Now()
+	ended := make(chan struct{})
+	for _, do := range alongside {
+		g.s.background.Add(1)
+		go func() {
+			defer g.s.background.Done()
+			do(ended)
+		}()
+	}
+	err := proc.Term(longestDeadline + killMargin)
+	close(ended)
+	exit.endedAt = time.Now()
+	if exit.endedAt.Sub(exit.termAt) >= longestDeadline+killMargin {
+		exit.killAt = exit.endedAt
+	} else {
+		exit.exitCode = exitCode(err)
+	}
+}
+
 // upgrade starts a new process on the same socket and, once that is ready, terminates the old one in the
 // background. Another upgrade may start while the old process is still terminating. If the new process does
 // not become ready, it is terminated and the old one remains the present process, so that the soak goes on
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -2,13 +2,10 @@
 
 import (
 	"fmt"
-	"math"
 	"net/http"
 	"os"
-	"path/filepath"
 	"regexp"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -66,31 +63,6 @@
 	s.judgeSlowStarts(r, violated)
 }
 
-// Exemption is a kind of cases that would be violations but for a circumstance that the rules allow. A report
-// counts them, because an exemption that covers most cases leaves a check that detects nothing.
-type Exemption string
-
-const (
-	exemptNotSent         Exemption = "requests whose last byte could not be written"
-	exemptResent          Exemption = "requests that crossed the close of a resting connection and were sent again"
-	exemptKilled          Exemption = "requests whose process was killed outright"
-	exemptConnFlood       Exemption = "first requests on connections that were shut unread in a crowd"
-	exemptBadClientAtExit Exemption = "bad clients whose process ended"
-	exemptDisrupted       Exemption = "sends to draining servers beyond the usual time, within that of an outage or a new process"
-	exemptLateStart       Exemption = "starts of servers that were notified too late to be judged"
-)
-
-// exempt counts a case that an exemption covers.
-func (r *Report) exempt(exemption Exemption) {
-	if r.Exemptions == nil {
-		r.Exemptions = map[Exemption]int{}
-	}
-	r.Exemptions[exemption]++
-}
-
-// violationFunc adds a violation to the report. req is nil if the violation is not about one request.
-type violationFunc func(req *request, rule Rule, format string, args ...any)
-
 // exitedBetween says whether a process of a gateway exited between two times, or up to judgeSlack outside
 // of them. Whether that exit was allowed is for judgeExits to check.
 func (s *soak) exitedBetween(gateway string, generation int, from, to time.Time) bool {
@@ -210,32 +182,31 @@
 		if left := req.sentAt.Add(req.class.deadline).Sub(sentBy); attempt.timeout > left+timeoutSlack+judgeSlack && !req.sentAt.IsZero() {
 			violated(req, RuleDeadline, "%s gives host %s a timeout of %v where %v are left", req.id, attempt.host, attempt.timeout, left)
 		}
-		for _, drain := range s.ledger.drains {
-			if drain.host != attempt.host || !attempt.firstByteAt.After(drain.ackedAt) || !drain.relistedAt.IsZero() && !attempt.firstByteAt.Before(drain.relistedAt) {
-				continue
-			}
-			sinceAck := attempt.firstByteAt.Sub(drain.ackedAt)
-			if sinceAck <= usualNotifyDelay+drainGrace+judgeSlack {
-				continue
-			}
-			by, _ := s.notifiedBy(drain.ackedAt, req.gateway)
-			if by = by.Add(drainGrace + judgeSlack); attempt.firstByteAt.After(by) {
-				violated(req, RuleDrain, "%s was sent to host %s %v after the host began to drain, %v too late", req.id, attempt.host,
-					sinceAck, attempt.firstByteAt.Sub(by))
-				continue
-			}
-			r.exempt(exemptDisrupted)
+		for i := range s.ledger.drains {
+			s.judgeDrain(&s.ledger.drains[i], req, &attempt, r, violated)
 		}
 	}
 }
 
-// maxByChance returns how many attempts the rule on slow start accepts where n are allowed on average,
-// since random arrivals may exceed the average.
-func maxByChance(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
-	}
-	return n + 2*math.Sqrt(n) + 2
+// judgeDrain requires that an attempt does not go to a host while it drains, once its gateway counts as
+// notified and the grace has passed.
+func (s *soak) judgeDrain(drain *hostDrain, req *request, attempt *attempt, r *Report, violated violationFunc) {
+	relisted := !drain.relistedAt.IsZero() && !attempt.firstByteAt.Before(drain.relistedAt)
+	if drain.host != attempt.host || !attempt.firstByteAt.After(drain.ackedAt) || relisted {
+		return
+	}
+	sinceAck := attempt.firstByteAt.Sub(drain.ackedAt)
+	if sinceAck <= usualNotifyDelay+drainGrace+judgeSlack {
+		return
+	}
+	by, _ := s.notifiedBy(drain.ackedAt, req.gateway)
+	by = by.Add(drainGrace + judgeSlack)
+	if !attempt.firstByteAt.After(by) {
+		r.exempt(exemptDisrupted)
+		return
+	}
+	violated(req, RuleDrain, "%s was sent to host %s %v after the host began to drain, %v too late", req.id, attempt.host,
+		sinceAck, attempt.firstByteAt.Sub(by))
 }
 
 // auditViolation matches those of a gateway's audit counters that are not zero, as the gateway logs them.
@@ -265,81 +236,3 @@
 		}
 	}
 }
-
-// judgeSlowStarts requires that a host that has just started receives no more attempts within any
-// overloadPeriod than its slow start budget and maxByChance allow. It counts attempts from one
-// overloadPeriod after the last gateway counts as notified of the start until warmAfter.
-func (s *soak) judgeSlowStarts(r *Report, violated violationFunc) {
-	for _, start := range s.ledger.hostStarts {
-		by, _ := s.allNotifiedBy(start.ackedAt)
-		from := by.Add(overloadPeriod)
-		if !from.Before(start.ackedAt.Add(warmAfter)) {
-			r.exempt(exemptLateStart)
-			continue
-		}
-		var received []time.Time
-		for _, req := range s.ledger.requests {
-			for _, attempt := range req.attempts {
-				if attempt.host == start.host && attempt.receivedAt.After(from) && attempt.receivedAt.Before(start.ackedAt.Add(warmAfter)) {
-					received = append(received, attempt.receivedAt)
-				}
-			}
-		}
-		slices.SortFunc(received, time.Time.Compare)
-		for i := range received {
-			n := 0
-			for n < len(received)-i && received[i+n].Sub(received[i]) < overloadPeriod {
-				n++
-			}
-			share := coldFrom + (1-coldFrom)*float64(received[i].Sub(start.ackedAt))/float64(warmAfter)
-			limit := overloadFactor * share * warmRate * overloadPeriod.Seconds()
-			if float64(n) > maxByChance(limit) {
-				violated(nil, RuleSlowStart, "host %s received %d requests in %v, %v after its start; %.0f plus random variation allowed", start.host, n, overloadPeriod,
-					received[i].Sub(start.ackedAt), limit)
-				break
-			}
-		}
-	}
-}
-
-// trace describes a request as its client and the hosts recorded it, with the lines about it in the logs
-// of its gateway.
-func (s *soak) trace(req *request) []string {
-	at := func(t time.Time) string {
-		if t.IsZero() {
-			return "-"
-		}
-		return fmt.Sprintf("%.3f", t.Sub(s.loadStart).Seconds())
-	}
-	out := []string{fmt.Sprintf("client: to %s.%d, first byte %s, whole %s, left %s, ended %s, status %d, %v, in place of %q", req.gateway, req.generation,
-		at(req.firstByteAt), at(req.sentAt), at(req.abandonedAt), at(req.endedAt), req.status, req.err, req.retryOf)}
-	for _, attempt := range req.attempts {
-		out = append(out, fmt.Sprintf("server %s: first byte %s, whole %s, told %v, turned away %t", attempt.host, at(attempt.firstByteAt), at(attempt.receivedAt), attempt.timeout, attempt.rejected))
-	}
-	logs, _ := filepath.Glob(filepath.Join(s.dir, req.gateway+".*.log"))
-	for _, name := range logs {
-		text, _ := os.ReadFile(name)
-		if lines := linesWith(string(text), req.id, 30); lines != "" {
-			out = append(out, filepath.Base(name)+": "+lines)
-		}
-	}
-	return out
-}
-
-// linesWith returns the lines of a text that contain a word, at most limit of them, as one string that
-// indents all but the first for a trace.
-func linesWith(text, word string, limit int) string {
-	var out []string
-	for line := range strings.SplitSeq(text, "\n") {
-		if strings.Contains(line, word) && len(out) < limit {
-			out = append(out, line)
-		}
-	}
-	return strings.Join(out, "\n        ")
-}
-
-// lastLines returns the last n lines of a text.
-func lastLines(text string, n int) string {
-	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return strings.Join(lines[max(0, len(lines)-n):], "\n")
-}
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -39,7 +39,7 @@
 	overloadPeriod = time.Second            // an overload makes a host fail when it lasts this long
 	warmRate       = 60                     // requests per second that a warm host can serve
 	drainGrace     = time.Second            // a gateway may send to a draining host for this long after it is notified
-	killMargin     = 700 * time.Millisecond // time from the longest deadline, which counts as 3 s, to the SIGKILL
+	killMargin     = 700 * time.Millisecond // time from longestDeadline after SIGTERM to the SIGKILL
 )
 
 // configure writes the configuration file. Each settings version changes the deadline of the class look
--- a/internal/soak/termination.go
+++ b/internal/soak/termination.go
@@ -54,7 +54,7 @@
 // one in three within the last lastMomentsPeriod, and opens new connections for newConnPeriod. It returns
 // when ended is closed and all requests have ended.
 func (c *clients) sendUntilExit(g *gateway, idle []*clientConn, draws *rand.Rand, ended <-chan struct{}) {
-	const untilKill = 3*time.Second + killMargin
+	const untilKill = longestDeadline + killMargin
 	var requests sync.WaitGroup
 	runAfter := func(after time.Duration, do func()) {
 		requests.Add(1)
