--- a/internal/fleetlab/edge_balancer.go
+++ b/internal/fleetlab/edge_balancer.go
@@ -18,7 +18,8 @@
 // setAdmitted adds the gateway of a rank to the admitted ones or removes it.
 func (balancer *edgeBalancer) setAdmitted(rank int, admitted bool) {
 	if balancer.admitted[rank] != admitted {
-		balancer.admitted[rank], balancer.cumulative = admitted, nil
+		balancer.admitted[rank] = admitted
+		balancer.cumulative = nil
 	}
 }
 
--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -192,7 +192,8 @@
 	if h.pending >= h.rules.QueueLimit {
 		return Rejected
 	}
-	j.host, j.remaining = h, j.Work
+	j.host = h
+	j.remaining = j.Work
 	h.pending++
 	h.queue = append(h.queue, j)
 	h.startJobs(now)
@@ -208,7 +209,9 @@
 			notified += p.work
 		}
 	}
-	h.Overloaded, h.overloadDown, h.NotifiedShare = true, true, notified/total
+	h.Overloaded = true
+	h.overloadDown = true
+	h.NotifiedShare = notified / total
 	h.Kill()
 }
 
@@ -218,13 +221,20 @@
 	for _, j := range append(h.queue, h.running...) {
 		j.ended = true
 	}
-	h.queue, h.running, h.pending, h.openConns, h.recentWork = nil, nil, 0, 0, nil
+	h.queue = nil
+	h.running = nil
+	h.pending = 0
+	h.openConns = 0
+	h.recentWork = nil
 }
 
 // Restart restarts the process. The host is cold then.
 func (h *Host) Restart(now Time) {
 	h.Kill()
-	h.Condition, h.Started, h.SlowFactor, h.overloadDown = Serving, now, 1, false
+	h.Condition = Serving
+	h.Started = now
+	h.SlowFactor = 1
+	h.overloadDown = false
 	h.Incarnation++
 }
 
@@ -242,7 +252,8 @@
 	for len(h.running) < h.Spec.Cores && len(h.queue) > 0 {
 		j := h.queue[0]
 		h.queue = h.queue[1:]
-		j.running, j.startedAt = true, now
+		j.running = true
+		j.startedAt = now
 		h.running = append(h.running, j)
 	}
 }
--- a/internal/fleetlab/real_gateway.go
+++ b/internal/fleetlab/real_gateway.go
@@ -86,7 +86,8 @@
 		return
 	}
 	g.generation++
-	g.proc, g.ready = proc, false
+	g.proc = proc
+	g.ready = false
 	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
--- a/internal/fleetlab/recorder.go
+++ b/internal/fleetlab/recorder.go
@@ -57,7 +57,8 @@
 func NewRecorder(s *Scenario) *Recorder {
 	r := &Recorder{scenario: s, readyTimes: hdrhistogram.New(1, 3_600_000_000, 3), latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	r.callsByCatalog = make([][]int, s.Catalog.Instances)
-	r.catalogBytes, r.catalogShed = make([]int64, s.Catalog.Instances), make([]int, s.Catalog.Instances)
+	r.catalogBytes = make([]int64, s.Catalog.Instances)
+	r.catalogShed = make([]int, s.Catalog.Instances)
 	return r
 }
 
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -73,7 +73,8 @@
 	}
 	for i := range s.Hosts {
 		group := &s.Hosts[i]
-		w.zones, w.kinds = appendUnique(w.zones, group.Zone), appendUnique(w.kinds, group.Kind)
+		w.zones = appendUnique(w.zones, group.Zone)
+		w.kinds = appendUnique(w.kinds, group.Kind)
 		for range group.Count {
 			w.addHost(group)
 		}
@@ -179,7 +180,8 @@
 	if w.now > 0 {
 		h.Started = w.now
 	}
-	w.hosts, w.nextCompletion = append(w.hosts, h), append(w.nextCompletion, 0)
+	w.hosts = append(w.hosts, h)
+	w.nextCompletion = append(w.nextCompletion, 0)
 	started := bramblelock.Time(0)
 	if h.Started >= 0 {
 		started = clockBase + h.Started
@@ -187,7 +189,8 @@
 	w.hostList = append(w.hostList, listEntry{host: bramblelock.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, group.Zone), Kind: indexOf(w.kinds, group.Kind), Started: started}})
 	if w.now == 0 {
 		w.listVersion++
-		w.hostList[index].version, w.hostList[index].listed = w.listVersion, true
+		w.hostList[index].version = w.listVersion
+		w.hostList[index].listed = true
 	} else {
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Ready) })
 	}
@@ -210,7 +213,9 @@
 func (w *world) updateListing(index int, state bramblelock.HostState) {
 	w.listVersion++
 	e := &w.hostList[index]
-	e.host.State, e.version, e.listed = state, w.listVersion, state != bramblelock.Removed
+	e.host.State = state
+	e.version = w.listVersion
+	e.listed = state != bramblelock.Removed
 	if h := w.hosts[index]; h.Started >= 0 {
 		e.host.Started = clockBase + h.Started
 	}
--- a/internal/fleetlab/virtual_attempt.go
+++ b/internal/fleetlab/virtual_attempt.go
@@ -73,7 +73,8 @@
 // sendOnIdleConn sends an attempt over an idle connection, which reaches the host after oneWay. cut and
 // silent are the state of the link.
 func (a *attempt) sendOnIdleConn(c conn, oneWay time.Duration, cut, silent bool) {
-	a.connected, a.incarnation = true, c.incarnation
+	a.connected = true
+	a.incarnation = c.incarnation
 	a.gateway.world.after(oneWay, func() {
 		switch {
 		case silent:
@@ -103,7 +104,8 @@
 				a.finishAfter(oneWay, bramblelock.Full) // accepted, answered 503 and closed
 				return
 			}
-			a.connected, a.incarnation = true, h.Incarnation
+			a.connected = true
+			a.incarnation = h.Incarnation
 			w.after(2*oneWay, func() { a.arriveAtHost(oneWay, true) })
 		}
 	})
--- a/internal/fleetlab/virtual_gateway.go
+++ b/internal/fleetlab/virtual_gateway.go
@@ -119,7 +119,8 @@
 		return
 	}
 	if w.now-g.rateReportedAt >= 5*time.Second || g.reportedRate == 0 {
-		g.reportedRate, g.rateReportedAt = g.balancer.RequestRate(g.clock()), w.now
+		g.reportedRate = g.balancer.RequestRate(g.clock())
+		g.rateReportedAt = w.now
 	}
 	detection := w.scenario.Gateways.PeerDetection.std()
 	var peers []bramblelock.Peer
--- a/internal/fleetlab/virtual_watch.go
+++ b/internal/fleetlab/virtual_watch.go
@@ -73,7 +73,8 @@
 	if !g.up || watch.generation != g.generation || watch.ended {
 		return
 	}
-	g.pushBackoff, g.listVersion = 0, watch.listVersion
+	g.pushBackoff = 0
+	g.listVersion = watch.listVersion
 	g.handle(func() { g.applyList(kind, list) })
 }
 
@@ -91,7 +92,8 @@
 		if g.usable[i] && (e.State != bramblelock.Ready || g.knownStart[i] != e.Started) {
 			g.closeIdle(i)
 		}
-		g.usable[i], g.knownStart[i] = e.State == bramblelock.Ready, e.Started
+		g.usable[i] = e.State == bramblelock.Ready
+		g.knownStart[i] = e.Started
 	}
 	g.balancer.UpdateHosts(g.clock(), kind, list)
 	if !g.ready && len(list) > 0 {
--- a/internal/soak/catalogs.go
+++ b/internal/soak/catalogs.go
@@ -40,7 +40,8 @@
 			return l, err
 		}
 		id := fmt.Sprintf("c%d", i+1)
-		l.httpAddrs, l.links = append(l.httpAddrs, addr), append(l.links, link)
+		l.httpAddrs = append(l.httpAddrs, addr)
+		l.links = append(l.links, link)
 		l.args = append(l.args, []string{"-id", id, "-data", filepath.Join(s.dir, id), "-raft", raft, "-http", addr,
 			"-heartbeat", "200ms", "-stale-after", "1s"})
 		peers = append(peers, id+"="+raft+"/"+addr)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -32,11 +32,13 @@
 			continue
 		}
 		d := s.drawDisruption()
-		d.at, d.duration = at, time.Second+time.Duration(s.planRand.Float64()*float64(2*(meanDuration-time.Second)))
+		d.at = at
+		d.duration = time.Second + time.Duration(s.planRand.Float64()*float64(2*(meanDuration-time.Second)))
 		plan = append(plan, d)
 	}
 	unreachable := s.discoveryDisruption("away", faultnet.Refuse)
-	unreachable.at, unreachable.duration = quietTo, 5*time.Second
+	unreachable.at = quietTo
+	unreachable.duration = 5 * time.Second
 	return append(plan, unreachable)
 }
 
