--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -20,14 +20,15 @@
 
 	"bramblelock/internal/catalogfleet"
 	"bramblelock/internal/fleetlab"
+	"bramblelock/internal/soak"
 )
 
 func main() {
 	root := &cobra.Command{Use: "fleetlab", Short: "Experiments on a fleet of gateways",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(checkCmd(), runCmd(), tableCmd(), compareCmd(), plotCmd(), catalogCmd(), soakCmd())
-	// On an interrupt, a run of the engine real or of soak stops gracefully: all processes that it started
-	// have exited when it returns. The other commands, catalog among them, ignore the context.
+	// On an interrupt, a run of the engine real, of soak or of catalog stops gracefully: all processes that it
+	// started have exited when it returns. The other commands ignore the context.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root.ExecuteContext(ctx); err != nil {
@@ -58,7 +59,7 @@
 			if err != nil {
 				return err
 			}
-			runScenario, err := newRunner(cmd.Context(), engine, realOptions)
+			runScenario, err := newRunner(cmd.Context(), fleetlab.Engine(engine), realOptions)
 			if err != nil {
 				return err
 			}
@@ -90,7 +91,7 @@
 			}
 			return resultFile.Table(os.Stdout)
 		}}
-	cmd.Flags().StringVar(&engine, "engine", "virtual", "engine: virtual, oracle or real")
+	cmd.Flags().StringVar(&engine, "engine", string(fleetlab.EngineVirtual), "engine: virtual, oracle or real")
 	realOptions.Progress = os.Stderr
 	cmd.Flags().StringVar(&realOptions.Bin, "bin", executableDir(), "engine real: folder with the binaries gateway and catalog")
 	cmd.Flags().StringVar(&realOptions.Dir, "dir", "", "engine real: existing folder in which to keep logs and data")
@@ -102,13 +103,13 @@
 
 // newRunner returns the function that runs a scenario with the given engine. Only the engine real uses
 // ctx and opt.
-func newRunner(ctx context.Context, engine string, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
+func newRunner(ctx context.Context, engine fleetlab.Engine, opt fleetlab.RealOptions) (func(*fleetlab.Scenario) (*fleetlab.Result, error), error) {
 	switch engine {
-	case "virtual":
+	case fleetlab.EngineVirtual:
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Virtual(s), nil }, nil
-	case "oracle":
+	case fleetlab.EngineOracle:
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Oracle(s), nil }, nil
-	case "real":
+	case fleetlab.EngineReal:
 		return func(s *fleetlab.Scenario) (*fleetlab.Result, error) { return fleetlab.Real(ctx, s, opt) }, nil
 	}
 	return nil, fmt.Errorf("--engine: %q is not virtual, oracle or real", engine)
@@ -158,7 +159,7 @@
 	var bin, dir string
 	var watchers, writes, kills int
 	cmd := &cobra.Command{Use: "catalog", Short: "Measure real catalogs: fan-out latency, memory per watch and failover time", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if watchers < 1 || writes < 1 || kills < 0 {
 				return errors.New("--watchers and --writes must be at least 1, --kills at least 0")
 			}
@@ -167,7 +168,7 @@
 				return err
 			}
 			defer os.RemoveAll(dataDir)
-			result, err := catalogfleet.RunExperiment(filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
+			result, err := catalogfleet.RunExperiment(cmd.Context(), filepath.Join(bin, "catalog"), dataDir, watchers, writes, kills)
 			if err != nil {
 				return err
 			}
@@ -187,14 +188,16 @@
 }
 
 func soakCmd() *cobra.Command {
-	opt := fleetlab.SoakDefaults()
-	opt.Progress = os.Stderr
+	opt := soak.Defaults()
 	var seeds int
 	cmd := &cobra.Command{Use: "soak", Short: "Run real processes under overlapping faults and check the rules", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := checkSoakSizes(seeds, opt); err != nil {
+				return err
+			}
 			violations := 0
 			for first := opt.Seed; opt.Seed < first+uint64(seeds); opt.Seed++ {
-				report, err := fleetlab.Soak(cmd.Context(), opt)
+				report, err := soak.Run(cmd.Context(), opt)
 				if err != nil {
 					return err
 				}
@@ -220,6 +223,23 @@
 	return cmd
 }
 
+// checkSoakSizes returns an error for a number that is not above 0. A soak without seeds or load would
+// check nothing and report no violation.
+func checkSoakSizes(seeds int, opt soak.Options) error {
+	for _, size := range []struct {
+		flag  string
+		value float64
+	}{
+		{"seeds", float64(seeds)}, {"length", opt.Length.Seconds()}, {"gateways", float64(opt.Gateways)},
+		{"servers", float64(opt.Hosts)}, {"catalogs", float64(opt.Catalogs)}, {"rate", opt.Rate},
+	} {
+		if !(size.value > 0) { // written so that it holds for NaN too
+			return fmt.Errorf("--%s: %v is not above 0", size.flag, size.value)
+		}
+	}
+	return nil
+}
+
 // executableDir returns the folder of this program, in which the other binaries are expected by
 // default, or "." if it is not known.
 func executableDir() string {
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -185,3 +185,71 @@
 		t.Error("Release succeeded for a cancelled job, or failed for a completed one")
 	}
 }
+
+// A fault of a host that has restarted since it failed by overload ends as that of any other host does. A
+// host that is still down from an overload stays down.
+func TestFaultEndsAfterAnEarlierOverload(t *testing.T) {
+	for _, restarted := range []bool{true, false} {
+		s := parse(t, smallScenario)
+		w := &world{scenario: s, now: time.Second}
+		h := w.addHost(&s.Hosts[1])
+		h.overload()
+		if restarted {
+			w.applyHostFault(&Fault{Action: "cold"}, h)
+		}
+		w.applyHostFault(&Fault{Action: "kill", Length: Duration(time.Second)}, h)
+		w.runUntil(time.Minute)
+		if (h.Condition == Serving) != restarted || !h.Overloaded {
+			t.Errorf("restarted %t: condition %d, recorded as overloaded %t", restarted, h.Condition, h.Overloaded)
+		}
+	}
+}
+
+// A gateway that is stopped beyond the deadline of an attempt keeps the connection, and so the host's work
+// on it, until it continues. Only then does it call the list service after the loss of its watch.
+func TestStoppedGatewayDoesNothing(t *testing.T) {
+	s := parse(t, `name = "stopped"
+length = "4s"
+[catalog]
+push = true
+[gateways]
+count = 1
+[[hosts]]
+count = 1
+[load]
+rate = 50
+[[class]]
+name = "hang"
+share = 1
+work = "1ms"
+waits = "10s"
+aim = "1s"
+deadline = "1s"
+effect = "idempotent"
+[[fault]]
+at = "2s"
+for = "5s"
+on = "gateways"
+do = "stop"
+[[fault]]
+at = "3s"
+for = "1s"
+on = "catalog"
+do = "reset"
+`)
+	w := newWorld(s, false)
+	observe := func(at Time) (pending, calls int) {
+		w.runUntil(at)
+		for _, n := range w.recorder.callsByCatalog[0] {
+			calls += n
+		}
+		return w.hosts[0].Pending(), calls
+	}
+	pending, calls := observe(2 * time.Second)
+	if p, c := observe(6 * time.Second); pending == 0 || p < pending || c > calls {
+		t.Errorf("%d requests at the host when the gateway was stopped, %d before it continued; %d calls, then %d", pending, p, calls, c)
+	}
+	if p, c := observe(8 * time.Second); p > 0 || c <= calls {
+		t.Errorf("after the gateway continued: %d requests at the host, %d calls", p, c)
+	}
+}
--- a/internal/fleetlab/host.go
+++ b/internal/fleetlab/host.go
@@ -47,7 +47,8 @@
 	Incarnation   int  // raised at each start; connections do not outlive an incarnation
 	Condition     Condition
 	SlowFactor    float64 // factor on the time that work takes; 1: normal
-	Overloaded    bool    // the host has failed by overload; stays set after a restart
+	Overloaded    bool    // the host has failed by overload; stays set after a restart, for the figures
+	overloadDown  bool    // the host has failed by overload and not restarted since
 	NotifiedShare float64 // share of the work of the overload that came from gateways whose list had the present start of the host
 
 	rules      *Rules
@@ -191,7 +192,8 @@
 	if h.pending >= h.rules.QueueLimit {
 		return Rejected
 	}
-	j.host, j.remaining = h, j.Work
+	j.host = h
+	j.remaining = j.Work
 	h.pending++
 	h.queue = append(h.queue, j)
 	h.startJobs(now)
@@ -207,7 +209,9 @@
 			notified += p.work
 		}
 	}
-	h.Overloaded, h.NotifiedShare = true, notified/total
+	h.Overloaded = true
+	h.overloadDown = true
+	h.NotifiedShare = notified / total
 	h.Kill()
 }
 
@@ -217,13 +221,20 @@
 	for _, j := range append(h.queue, h.running...) {
 		j.ended = true
 	}
-	h.queue, h.running, h.pending, h.openConns, h.recentWork = nil, nil, 0, 0, nil
+	h.queue = nil
+	h.running = nil
+	h.pending = 0
+	h.openConns = 0
+	h.recentWork = nil
 }
 
 // Restart restarts the process. The host is cold then.
 func (h *Host) Restart(now Time) {
 	h.Kill()
-	h.Condition, h.Started, h.SlowFactor = Serving, now, 1
+	h.Condition = Serving
+	h.Started = now
+	h.SlowFactor = 1
+	h.overloadDown = false
 	h.Incarnation++
 }
 
@@ -241,7 +252,8 @@
 	for len(h.running) < h.Spec.Cores && len(h.queue) > 0 {
 		j := h.queue[0]
 		h.queue = h.queue[1:]
-		j.running, j.startedAt = true, now
+		j.running = true
+		j.startedAt = now
 		h.running = append(h.running, j)
 	}
 }
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -2,21 +2,17 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
-	"runtime"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"bramblelock/internal/faultnet"
+	"bramblelock/internal/loopback"
 )
 
 // RealOptions configures the real engine.
@@ -38,27 +34,33 @@
 	recorderMu sync.Mutex // guards recorder
 	recorder   *Recorder
 
-	starter      *starter
-	hosts        []*loopbackHost
-	gateways     []*realGateway
-	catalogs     []*realCatalog
+	starter    processStarter
+	hosts      []*loopbackHost
+	gateways   []*realGateway
+	catalogs   []*realCatalog
+	httpClient *http.Client
+
+	busyMu       sync.Mutex   // guards busyListener, as faults at the same time run in goroutines of their own
 	busyListener net.Listener // answers 503 to everything, in place of a busy list service; nil until needed
-	httpClient   *http.Client
 
 	edgeMu sync.Mutex // guards edge
 	edge   edgeBalancer
 }
 
+// processStarter starts the processes of a run. A *loopback.Starter implements it.
+type processStarter interface {
+	Start(dir, name, bin string, args []string, env ...string) (*faultnet.Proc, time.Time, error)
+	End()
+}
+
 // Real runs a scenario with real gateways and catalogs on loopback. All processes that it started have
 // exited when it returns. If this process dies, the kernel kills them.
 func Real(ctx context.Context, s *Scenario, opt RealOptions) (*Result, error) {
 	if err := s.preflight(); err != nil {
 		return nil, err
 	}
-	for _, b := range []string{"gateway", "catalog"} {
-		if _, err := os.Stat(filepath.Join(opt.Bin, b)); err != nil {
-			return nil, fmt.Errorf("no %s in %s: go build -o bin/ ./cmd/... first", b, opt.Bin)
-		}
+	if err := loopback.RequireBinaries(opt.Bin); err != nil {
+		return nil, err
 	}
 	if opt.Progress == nil {
 		opt.Progress = io.Discard
@@ -66,8 +68,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	run := &realRun{scenario: s, options: opt, dir: opt.Dir, ctx: ctx, recorder: NewRecorder(s), edge: newEdgeBalancer(s),
-		netPrefix: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: newStarter()}
-	defer run.starter.end()
+		netPrefix: fmt.Sprintf("127.%d.", 64+os.Getpid()%128), starter: loopback.NewStarter()}
+	defer run.starter.End()
 	if run.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetlab")
 		if err != nil {
@@ -139,12 +141,7 @@
 		run.gateways = append(run.gateways, &realGateway{run: run, rank: i, configured: s.Gateways.Configured,
 			addr: fmt.Sprintf("%s%d.%d:9000", run.netPrefix, 1+i/250, 1+i%250)})
 	}
-	hasSavedList := map[int]bool{}
-	if s.Gateways.SavedListShare > 0 {
-		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
-			hasSavedList[i] = true
-		}
-	}
+	hasSavedList := s.ranksWithSavedList()
 	for i, g := range run.gateways {
 		if err := g.configure(hasSavedList[i]); err != nil {
 			return err
@@ -169,17 +166,14 @@
 	return nil
 }
 
+// progressInterval is the time between two progress messages.
+const progressInterval = 5 * time.Second
+
 // execute starts the gateways, sends the load and carries out the faults. It returns when all requests have
 // ended or the run is cancelled.
 func (run *realRun) execute() {
 	s := run.scenario
-	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
-	for i, g := range run.gateways {
-		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
-		if present[i] {
-			run.at(at, g.start)
-		}
-	}
+	run.scheduleStarts()
 	run.scheduleFaults()
 	var clients sync.WaitGroup
 	arrivals := newArrivals(s)
@@ -197,13 +191,9 @@
 			return
 		case <-sampleTicker.C:
 			run.samplePending()
-			if now := run.now(); now-lastProgress >= 5*time.Second {
+			if now := run.now(); now-lastProgress >= progressInterval {
 				lastProgress = now
-				run.recorderMu.Lock()
-				e := run.recorder.ends
-				fmt.Fprintf(run.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
-					now.Seconds(), run.recorder.readyTimes.TotalCount(), e[Served], e[Refused], e[Failed]+e[Lost]+e[NoLiveGateway])
-				run.recorderMu.Unlock()
+				run.printProgress()
 			}
 			continue
 		case <-time.After(until - run.now()):
@@ -221,6 +211,27 @@
 	clients.Wait()
 }
 
+// scheduleStarts schedules the starts of the present gateways.
+func (run *realRun) scheduleStarts() {
+	s := run.scenario
+	present, startRand := s.PresentRanks(), s.newRand(streamSeeds+100)
+	for rank, g := range run.gateways {
+		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
+		if present[rank] {
+			run.at(at, g.start)
+		}
+	}
+}
+
+// printProgress writes a progress message.
+func (run *realRun) printProgress() {
+	run.record(func(r *Recorder, now Time) {
+		failed := r.ends[Failed] + r.ends[Lost] + r.ends[NoLiveGateway]
+		fmt.Fprintf(run.options.Progress, "%3.0f s: %d gateways ready, %d served, %d refused, %d failed\n",
+			now.Seconds(), r.readyTimes.TotalCount(), r.ends[Served], r.ends[Refused], failed)
+	})
+}
+
 // samplePending records how many requests the hosts hold and how many bytes the catalogs have sent. It is
 // called once per bin.
 func (run *realRun) samplePending() {
@@ -242,75 +253,6 @@
 	})
 }
 
-// runClient acts as a client: it sends a request to the gateway that the edge balancer picks, retries after
-// refusals as the load says, and records the end.
-func (run *realRun) runClient(a Arrival) {
-	class := &run.scenario.Classes[a.Class]
-	arrived := run.now()
-	for ; ; a.Retries++ {
-		end, took := run.sendRequest(&a, class)
-		if end == Refused && a.Retries < run.scenario.Load.Retries {
-			select {
-			case <-run.ctx.Done():
-			case <-time.After(run.scenario.Load.RetryWait.std()):
-				continue
-			}
-		}
-		run.record(func(r *Recorder, _ Time) { r.RecordEnd(arrived, end, took) })
-		return
-	}
-}
-
-// sendRequest sends a request once and returns how it ended and after what time.
-func (run *realRun) sendRequest(a *Arrival, class *Class) (End, time.Duration) {
-	run.edgeMu.Lock()
-	rank := run.edge.pick(a.GatewayQuantile)
-	run.edgeMu.Unlock()
-	if rank < 0 {
-		return NoLiveGateway, 0
-	}
-	method, body := http.MethodGet, io.Reader(nil)
-	if class.Effect == "at_most_once" {
-		method, body = http.MethodPost, strings.NewReader("x")
-	}
-	ctx, cancel := context.WithTimeout(run.ctx, class.Deadline.std()+500*time.Millisecond)
-	defer cancel()
-	url := fmt.Sprintf("http://%s/api/%d/%d", run.gateways[rank].addr,
-		int(a.WorkFactor*float64(class.Work)/1e3), int(a.WaitFactor*float64(class.WaitTime)/1e3))
-	req, err := http.NewRequestWithContext(ctx, method, url, body)
-	if err != nil {
-		return Failed, 0
-	}
-	req.Header.Set("X-Priority-Class", class.Name)
-	req.Header.Set("X-Timeout", fmt.Sprintf("%.3f", class.Deadline.std().Seconds()))
-	req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", int64(a.At), a.Retries, rank))
-	if a.Retries > 0 {
-		req.Header.Set("X-Retried", "1")
-	}
-	sentAt := time.Now()
-	resp, err := run.httpClient.Do(req)
-	if err == nil {
-		_, err = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-	}
-	elapsed := time.Since(sentAt)
-	switch {
-	case errors.Is(err, syscall.ECONNREFUSED):
-		return NoLiveGateway, elapsed
-	case err != nil && ctx.Err() != nil:
-		return Failed, elapsed
-	case err != nil:
-		return Lost, elapsed
-	case resp.StatusCode == http.StatusOK && elapsed <= class.LatencyTarget.std():
-		return Served, elapsed
-	case resp.StatusCode == http.StatusOK:
-		return Late, elapsed
-	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		return Refused, elapsed
-	}
-	return Failed, elapsed
-}
-
 // result returns the figures of the run.
 func (run *realRun) result() *Result {
 	run.recorderMu.Lock()
@@ -328,7 +270,7 @@
 		defer host.mu.Unlock()
 		hosts = append(hosts, host.model)
 	}
-	r := run.recorder.Result("real", hosts)
+	r := run.recorder.Result(EngineReal, hosts)
 	for i, c := range run.catalogs {
 		if c.proc != nil {
 			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = processUsage(c.proc.Pid())
@@ -352,62 +294,12 @@
 	for _, c := range run.catalogs {
 		c.link.Close()
 	}
+	run.busyMu.Lock()
 	if run.busyListener != nil {
 		run.busyListener.Close()
 	}
+	run.busyMu.Unlock()
 	for _, host := range run.hosts {
 		host.close()
 	}
 }
-
-// starter starts processes from one locked thread. Their parent death signal is bound to that thread, so
-// that the kernel kills them when the thread ends, and so also if this process dies.
-type starter struct{ calls chan func() }
-
-// newStarter returns a starter with a thread of its own.
-func newStarter() *starter {
-	s := &starter{calls: make(chan func())}
-	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
-		for do := range s.calls {
-			do()
-		}
-	}()
-	return s
-}
-
-// start starts a process and returns its start time, which may be later than the call as starts wait for
-// each other.
-func (s *starter) start(dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
-	return s.startWith(nil, dir, name, bin, args, env...)
-}
-
-// startWith starts a process that inherits open files, and returns its start time as start does.
-func (s *starter) startWith(files []*os.File, dir, name, bin string, args []string, env ...string) (p *faultnet.Proc, at time.Time, err error) {
-	done := make(chan struct{})
-	s.calls <- func() {
-		at = time.Now()
-		p, err = faultnet.StartWithPdeathsigAndFiles(files, dir, name, bin, args, env...)
-		close(done)
-	}
-	<-done
-	return p, at, err
-}
-
-// end ends the thread. No process that it started may be running then, as the kernel would kill it.
-func (s *starter) end() { close(s.calls) }
-
-// encodeJSON encodes a value as JSON.
-func encodeJSON(v any) ([]byte, error) { return json.Marshal(v) }
-
-// writeJSON writes a value to a file as JSON.
-func writeJSON(path string, v any) error {
-	text, err := encodeJSON(v)
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(path, text, 0o600)
-}
-
-// listenLoopback listens on a free loopback port.
-func listenLoopback() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -1,12 +1,17 @@
 package fleetlab
 
 import (
+	"io"
+	"net"
 	"os"
+	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
 	"bramblelock/internal/faultnet"
+	"bramblelock/internal/loopback"
 )
 
 var binaries struct {
@@ -132,3 +137,72 @@
 		t.Errorf("the least loaded host got %d requests, the most loaded %.2f times the mean of %.0f", r.Spread.Min, r.Spread.MaxMean, r.Spread.Mean)
 	}
 }
+
+// newScriptedRun returns a run without hosts and catalogs whose gateway processes run a shell script.
+func newScriptedRun(t *testing.T, script string) *realRun {
+	t.Helper()
+	bin := t.TempDir()
+	if err := os.WriteFile(filepath.Join(bin, "gateway"), []byte("#!/bin/sh\n"+script+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	s := parse(t, smallScenario)
+	return &realRun{scenario: s, options: RealOptions{Bin: bin, Progress: io.Discard}, dir: t.TempDir(), ctx: t.Context(), startedAt: time.Now(),
+		recorder: NewRecorder(s), edge: newEdgeBalancer(s)}
+}
+
+// observedStarter is a starter that calls a function before each start.
+type observedStarter struct {
+	*loopback.Starter
+	beforeStart func()
+}
+
+func (s observedStarter) Start(dir, name, bin string, args []string, env ...string) (*faultnet.Proc, time.Time, error) {
+	s.beforeStart()
+	return s.Starter.Start(dir, name, bin, args, env...)
+}
+
+// A restart without a length starts the new process only when the old one has exited, and so always starts
+// one. Twenty restarts, as the old process may exit in time by chance.
+func TestRealRestartAtOnce(t *testing.T) {
+	run := newScriptedRun(t, "exec sleep 60")
+	var old *faultnet.Proc
+	run.starter = observedStarter{loopback.NewStarter(), func() {
+		if old == nil {
+			return
+		}
+		if exited, _ := old.Exited(); !exited {
+			t.Error("the new process is started beside the old one")
+		}
+	}}
+	defer run.starter.End()
+	g := &realGateway{run: run, addr: "127.0.0.1:1"}
+	defer g.kill()
+	g.start()
+	for range 20 {
+		old = presentProcess(g)
+		run.applyGatewayFault(&Fault{Action: "restart"}, g)
+	}
+	presentProcess(g)
+}
+
+// presentProcess returns the process of a gateway, which has one.
+func presentProcess(g *realGateway) (present *faultnet.Proc) {
+	for present == nil {
+		g.withProcess(func(p *faultnet.Proc) { present = p })
+	}
+	return present
+}
+
+// Faults that make catalogs busy at the same time share one server, which close finds.
+func TestRealBusyServerIsShared(t *testing.T) {
+	run := newScriptedRun(t, "")
+	addrs := make(chan string, 2)
+	for range cap(addrs) {
+		go func() { addrs <- run.busyAddr() }()
+	}
+	first, second := <-addrs, <-addrs
+	run.close()
+	if _, err := net.Dial("tcp", first); first != second || err == nil {
+		t.Errorf("servers at %s and %s; connect after close: %v", first, second, err)
+	}
+}
--- a/internal/fleetlab/scenario.go
+++ b/internal/fleetlab/scenario.go
@@ -50,14 +50,14 @@
 
 // Gateways describes the fleet of gateways.
 type Gateways struct {
-	Count           int      `toml:"count"`        // the ranks are 0 to Count-1
-	Configured      int      `toml:"configured"`   // number of gateways that their settings state; 0: Count
-	AbsentShare     float64  `toml:"absent"`       // share of the ranks that never start
-	AbsentSelection string   `toml:"absent_how"`   // which ranks are absent: run, random or every (see chooseShare)
-	StartSpread     Duration `toml:"start_spread"` // gateways start at random times within this period
-	SavedListShare  float64  `toml:"known"`        // share of the gateways that start with a saved host list
-	Membership      bool     `toml:"membership"`   // every gateway knows which others are alive
-	PeerDetection   Duration `toml:"detect"`       // time until the others know that a gateway has exited (virtual engine)
+	Count           int       `toml:"count"`        // the ranks are 0 to Count-1
+	Configured      int       `toml:"configured"`   // number of gateways that their settings state; 0: Count
+	AbsentShare     float64   `toml:"absent"`       // share of the ranks that never start
+	AbsentSelection Selection `toml:"absent_how"`   // which ranks are absent (see chooseShare)
+	StartSpread     Duration  `toml:"start_spread"` // gateways start at random times within this period
+	SavedListShare  float64   `toml:"known"`        // share of the gateways that start with a saved host list
+	Membership      bool      `toml:"membership"`   // every gateway knows which others are alive
+	PeerDetection   Duration  `toml:"detect"`       // time until the others know that a gateway has exited (virtual engine)
 }
 
 // HostGroup is a group of hosts of one kind in one zone.
@@ -105,8 +105,8 @@
 	WaitTime      Duration `toml:"waits"` // mean time that a host waits for other services, which uses no core
 	LatencyTarget Duration `toml:"aim"`   // an answer after this time counts as late
 	Deadline      Duration `toml:"deadline"`
-	Effect        string   `toml:"effect"` // idempotent or at_most_once
-	Importance    float64  `toml:"worth"`  // importance in the settings of the gateways
+	Effect        Effect   `toml:"effect"`
+	Importance    float64  `toml:"worth"` // importance in the settings of the gateways
 }
 
 // Catalog describes the list service.
@@ -129,35 +129,93 @@
 
 // Fault is one entry of the timeline of faults.
 type Fault struct {
-	Start        Duration `toml:"at"`
-	Length       Duration `toml:"for"`    // 0: the fault stays
-	Target       string   `toml:"on"`     // a key of faultActions
-	Action       string   `toml:"do"`     // see faultActions
-	Share        float64  `toml:"share"`  // share of the gateways or hosts; 0: all
-	Selection    string   `toml:"how"`    // how they are selected: random (default), run or every (see chooseShare)
-	Zone         string   `toml:"zone"`   // restricts the targets to this zone; for links, the hosts
-	HostShare    float64  `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
-	Factor       float64  `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
-	Delay        Duration `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
-	Steps        int      `toml:"steps"`  // the fault starts for the targets in this many groups, one after another; 0: 1
-	StepInterval Duration `toml:"step"`   // time between the groups of two steps
+	Start        Duration    `toml:"at"`
+	Length       Duration    `toml:"for"`    // 0: the fault stays
+	Target       FaultTarget `toml:"on"`     // a key of faultActions
+	Action       FaultAction `toml:"do"`     // see faultActions
+	Share        float64     `toml:"share"`  // share of the gateways or hosts; 0: all
+	Selection    Selection   `toml:"how"`    // how they are selected (see chooseShare); empty: SelectRandom
+	Zone         string      `toml:"zone"`   // restricts the targets to this zone; for links, the hosts
+	HostShare    float64     `toml:"hosts"`  // for links: share of the hosts at their far end; 0: all
+	Factor       float64     `toml:"factor"` // for slow hosts: factor on their time of work; for reconfigure: factor on Configured
+	Delay        Duration    `toml:"delay"`  // for delay and late: added one way; for a slow catalog: time that it works on a call
+	Steps        int         `toml:"steps"`  // the fault starts for the targets in this many groups, one after another; 0: 1
+	StepInterval Duration    `toml:"step"`   // time between the groups of two steps
 }
 
+// FaultTarget is what a fault strikes.
+type FaultTarget string
+
+// Targets of faults.
+const (
+	TargetGateways FaultTarget = "gateways"
+	TargetHosts    FaultTarget = "hosts"
+	TargetLinks    FaultTarget = "links"   // between some gateways and some hosts
+	TargetMembers  FaultTarget = "members" // the membership among gateways
+	TargetCatalog  FaultTarget = "catalog"
+)
+
+// FaultAction is what a fault does to its target.
+type FaultAction string
+
+// Actions of faults.
+const (
+	FaultKill        FaultAction = "kill"
+	FaultRestart     FaultAction = "restart"     // kills and starts again
+	FaultTerm        FaultAction = "term"        // sends SIGTERM
+	FaultStop        FaultAction = "stop"        // sends SIGSTOP
+	FaultLateLists   FaultAction = "late"        // delays the lists at gateways
+	FaultReconfigure FaultAction = "reconfigure" // settings that state another number of gateways
+	FaultSilence     FaultAction = "silence"     // hosts accept but do not answer
+	FaultSlow        FaultAction = "slow"
+	FaultFail        FaultAction = "fail" // hosts answer with errors
+	FaultRefuse      FaultAction = "refuse"
+	FaultColdRestart FaultAction = "cold"       // hosts restart
+	FaultReplace     FaultAction = "replace"    // hosts drain and leave, new ones join
+	FaultJoin        FaultAction = "join"       // new hosts join
+	FaultCut         FaultAction = "cut"        // resets connections, or parts the membership
+	FaultDelay       FaultAction = "delay"      // of messages
+	FaultBlackHole   FaultAction = "black-hole" // messages are lost silently
+	FaultDown        FaultAction = "down"       // the catalog refuses connections
+	FaultReset       FaultAction = "reset"      // the catalog resets connections
+	FaultBusy        FaultAction = "busy"       // the catalog answers 503
+	FaultKillLeader  FaultAction = "kill-leader"
+)
+
 // faultActions lists the actions on each target.
-var faultActions = map[string][]string{
-	"gateways": {"kill", "term", "stop", "restart", "late", "reconfigure"},
-	"hosts":    {"kill", "silence", "slow", "fail", "refuse", "cold", "replace", "join"},
-	"links":    {"cut", "delay", "black-hole"},
-	"members":  {"cut"},
-	"catalog":  {"down", "reset", "busy", "slow", "black-hole", "kill-leader"},
+var faultActions = map[FaultTarget][]FaultAction{
+	TargetGateways: {FaultKill, FaultTerm, FaultStop, FaultRestart, FaultLateLists, FaultReconfigure},
+	TargetHosts:    {FaultKill, FaultSilence, FaultSlow, FaultFail, FaultRefuse, FaultColdRestart, FaultReplace, FaultJoin},
+	TargetLinks:    {FaultCut, FaultDelay, FaultBlackHole},
+	TargetMembers:  {FaultCut},
+	TargetCatalog:  {FaultDown, FaultReset, FaultBusy, FaultSlow, FaultBlackHole, FaultKillLeader},
 }
 
+// Selection is a way of choosing a share of gateways or hosts (see chooseShare).
+type Selection string
+
+// Selections.
+const (
+	SelectRandom Selection = "random" // distinct random ones
+	SelectRun    Selection = "run"    // consecutive ones from a random start
+	SelectEvery  Selection = "every"  // evenly spaced ones
+)
+
+// Effect says whether a request may be executed more than once.
+type Effect string
+
+// Effects of a class.
+const (
+	Idempotent Effect = "idempotent"
+	AtMostOnce Effect = "at_most_once"
+)
+
 // Defaults returns a scenario with the values of all keys that a file may omit.
 func Defaults() Scenario {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return Scenario{
 		Seed: 1, Length: ms(20_000),
-		Gateways: Gateways{AbsentSelection: "random", PeerDetection: ms(4_000)},
+		Gateways: Gateways{AbsentSelection: SelectRandom, PeerDetection: ms(4_000)},
 		Rules: Rules{QueueLimit: 64, MaxConns: 22, ConnCost: ms(6), ConnIdle: ms(60_000), DialTimeout: ms(250),
 			ColdCapacity: 0.13, WarmAfter: ms(24_000), OverloadFactor: 3, OverloadWindow: ms(2_000)},
 		Load:    Load{Skew: 0.7, EdgeDetection: ms(2_500), RetryWait: ms(100)},
@@ -170,8 +228,8 @@
 func defaultClasses() []Class {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return []Class{
-		{Name: "look", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(300), Deadline: ms(1200), Effect: "idempotent", Importance: 2},
-		{Name: "save", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(800), Deadline: ms(4000), Effect: "at_most_once", Importance: 5},
+		{Name: "look", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(300), Deadline: ms(1200), Effect: Idempotent, Importance: 2},
+		{Name: "save", Share: 0.5, Work: ms(10), WaitTime: ms(30), LatencyTarget: ms(800), Deadline: ms(4000), Effect: AtMostOnce, Importance: 5},
 	}
 }
 
@@ -193,21 +251,35 @@
 // error of the form "line N: ...".
 func Parse(text []byte) (*Scenario, error) {
 	s := Defaults()
-	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := dec.Decode(&s); err != nil {
-		var strict *toml.StrictMissingError
-		if errors.As(err, &strict) && len(strict.Errors) > 0 {
-			e := strict.Errors[0]
-			row, _ := e.Position()
-			return nil, fmt.Errorf("line %d: unknown key %q", row, strings.Join(e.Key(), "."))
-		}
-		var bad *toml.DecodeError
-		if errors.As(err, &bad) {
-			row, _ := bad.Position()
-			return nil, fmt.Errorf("line %d: %s", row, strings.TrimPrefix(bad.Error(), "toml: "))
-		}
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(&s); err != nil {
+		return nil, withLine(err)
+	}
+	s.setDerivedDefaults()
+	if err := s.validate(text); err != nil {
 		return nil, err
 	}
+	return &s, nil
+}
+
+// withLine returns an error of the TOML decoder with the line that it concerns.
+func withLine(err error) error {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
+		line, _ := first.Position()
+		return fmt.Errorf("line %d: unknown key %q", line, strings.Join(first.Key(), "."))
+	}
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, _ := malformed.Position()
+		return fmt.Errorf("line %d: %s", line, strings.TrimPrefix(malformed.Error(), "toml: "))
+	}
+	return err
+}
+
+// setDerivedDefaults sets the omitted values that depend on others, and those of hosts and classes.
+func (s *Scenario) setDerivedDefaults() {
 	if s.Classes == nil {
 		s.Classes = defaultClasses()
 	}
@@ -227,131 +299,4 @@
 	if s.Gateways.Configured == 0 {
 		s.Gateways.Configured = s.Gateways.Count
 	}
-	if err := s.validate(text); err != nil {
-		return nil, err
-	}
-	return &s, nil
-}
-
-// validate returns an error for the first value that is out of range, with the line of its key.
-func (s *Scenario) validate(text []byte) error {
-	var err error
-	require := func(ok bool, table string, n int, key, format string, args ...any) {
-		if !ok && err == nil {
-			err = fmt.Errorf("line %d: %s%s: %s", lineOf(text, table, n, key), keyPrefix(table), key, fmt.Sprintf(format, args...))
-		}
-	}
-	isShare := func(x float64) bool { return x >= 0 && x <= 1 }
-	oneOf := func(v string, list ...string) bool {
-		for _, l := range list {
-			if v == l {
-				return true
-			}
-		}
-		return false
-	}
-	g, r, l, c := &s.Gateways, &s.Rules, &s.Load, &s.Catalog
-	require(s.Name != "", "", 0, "name", "missing")
-	require(s.Length > 0 && s.Length.std() <= time.Hour, "", 0, "length", "%v is not above 0 and up to 1h", s.Length.std())
-	require(s.MeasureFrom >= 0 && s.MeasureFrom < s.Length, "", 0, "measure_from", "not within the length")
-	require(g.Count >= 1 && g.Count <= 10_000, "gateways", 0, "count", "%d is not between 1 and 10000", g.Count)
-	require(g.Configured >= 1 && g.Configured <= 1<<20, "gateways", 0, "configured", "%d is not between 1 and %d", g.Configured, 1<<20)
-	require(g.AbsentShare >= 0 && g.AbsentShare < 1, "gateways", 0, "absent", "%v is not a share below 1", g.AbsentShare)
-	require(oneOf(g.AbsentSelection, "run", "random", "every"), "gateways", 0, "absent_how", "%q is not run, random or every", g.AbsentSelection)
-	require(isShare(g.SavedListShare), "gateways", 0, "known", "%v is not a share", g.SavedListShare)
-	require(g.StartSpread >= 0 && g.StartSpread < s.Length, "gateways", 0, "start_spread", "not within the length")
-	require(len(s.Hosts) > 0, "", 0, "hosts", "there are none")
-	for i, h := range s.Hosts {
-		require(h.Count >= 1 && h.Count <= 10_000, "hosts", i, "count", "%d is not between 1 and 10000", h.Count)
-		require(h.Cores <= 64, "hosts", i, "cores", "%d is not between 1 and 64", h.Cores)
-		require(h.Speed > 0 && h.Speed <= 100, "hosts", i, "speed", "%v is not above 0 and up to 100", h.Speed)
-	}
-	require(r.QueueLimit >= 1, "rules", 0, "queue", "%d is below 1", r.QueueLimit)
-	require(r.MaxConns >= 1, "rules", 0, "conn_cap", "%d is below 1", r.MaxConns)
-	require(r.ConnCost >= 0, "rules", 0, "conn_cost", "below 0")
-	require(r.ConnIdle > 0, "rules", 0, "conn_idle", "not above 0")
-	require(r.DialTimeout > 0, "rules", 0, "dial_timeout", "not above 0")
-	require(r.ColdCapacity > 0 && r.ColdCapacity <= 1, "rules", 0, "cold_from", "%v is not above 0 and up to 1", r.ColdCapacity)
-	require(r.WarmAfter > 0, "rules", 0, "warm_after", "not above 0")
-	require(r.OverloadFactor >= 1 && r.OverloadFactor <= 1000, "rules", 0, "overload_factor", "%v is not between 1 and 1000", r.OverloadFactor)
-	require(r.OverloadWindow > 0, "rules", 0, "fall", "not above 0")
-	require(l.Rate >= 0 && l.Rate <= 1e6, "load", 0, "rate", "%v is not between 0 and 1e6", l.Rate)
-	require(isShare(l.Skew), "load", 0, "skew", "%v is not a share", l.Skew)
-	require(l.Retries >= 0 && l.Retries <= 10, "load", 0, "retries", "%d is not between 0 and 10", l.Retries)
-	require(l.BurstFactor >= 0 && l.BurstFactor <= 100, "load", 0, "burst", "%v is not between 0 and 100", l.BurstFactor)
-	require(l.BurstStart >= 0 && l.BurstLength >= 0 && (l.BurstLength == 0 || l.BurstFactor > 0), "load", 0, "burst_at", "a time is below 0, or there is no burst")
-	require(l.Start >= 0 && l.EdgeDetection >= 0 && l.RetryWait >= 0, "load", 0, "from", "a time is below 0")
-	totalShare := 0.0
-	for i, k := range s.Classes {
-		totalShare += k.Share
-		require(k.Name != "", "class", i, "name", "missing")
-		require(k.Share >= 0, "class", i, "share", "below 0")
-		require(k.Work > 0, "class", i, "work", "not above 0")
-		require(k.WaitTime >= 0, "class", i, "waits", "below 0")
-		require(k.LatencyTarget > 0 && k.LatencyTarget <= k.Deadline, "class", i, "aim", "not above 0 and up to the deadline")
-		require(oneOf(k.Effect, "idempotent", "at_most_once"), "class", i, "effect", "%q is not idempotent or at_most_once", k.Effect)
-	}
-	require(totalShare > 0, "class", 0, "share", "the classes have no share")
-	require(c.Instances == 1 || c.Instances == 3, "catalog", 0, "instances", "%d is not 1 or 3", c.Instances)
-	require(c.CallTime >= 0 && c.MaxCallWait > 0 && c.ListingDelay >= 0, "catalog", 0, "call", "a time is below 0")
-	require(c.MaxInWork >= 1, "catalog", 0, "work", "%d is below 1", c.MaxInWork)
-	require(c.QueueLimit >= 1, "catalog", 0, "queue", "%d is below 1", c.QueueLimit)
-	require(c.MaxWatchGap > 0, "catalog", 0, "ask_within", "not above 0")
-	require(s.Net.SameZone >= 0 && s.Net.CrossZone >= 0, "net", 0, "same", "a time is below 0")
-	for i, f := range s.Faults {
-		require(f.Start >= 0 && f.Start < s.Length, "fault", i, "at", "not within the length")
-		require(f.Length >= 0, "fault", i, "for", "below 0")
-		actions, ok := faultActions[f.Target]
-		require(ok, "fault", i, "on", "%q is not gateways, hosts, links, members or catalog", f.Target)
-		require(!ok || oneOf(f.Action, actions...), "fault", i, "do", "%q is not one of %s", f.Action, strings.Join(actions, ", "))
-		require(isShare(f.Share), "fault", i, "share", "%v is not a share", f.Share)
-		require(isShare(f.HostShare), "fault", i, "hosts", "%v is not a share", f.HostShare)
-		require(oneOf(f.Selection, "", "random", "run", "every"), "fault", i, "how", "%q is not random, run or every", f.Selection)
-		require(f.Action != "slow" || f.Target != "hosts" || f.Factor > 0, "fault", i, "factor", "slow hosts need a factor above 0")
-		require(f.Delay >= 0, "fault", i, "delay", "below 0")
-		require(f.Steps >= 0 && f.Steps <= 1000 && f.StepInterval >= 0, "fault", i, "steps", "not between 0 and 1000")
-		require(f.Zone == "" || s.hasZone(f.Zone), "fault", i, "zone", "no host is in zone %q", f.Zone)
-	}
-	return err
-}
-
-// hasZone reports whether any host is in a zone.
-func (s *Scenario) hasZone(name string) bool {
-	for _, h := range s.Hosts {
-		if h.Zone == name {
-			return true
-		}
-	}
-	return false
-}
-
-// keyPrefix returns the prefix of a key of a table in an error: the table's name and a dot, or "" for the
-// top level.
-func keyPrefix(table string) string {
-	if table == "" {
-		return ""
-	}
-	return table + "."
-}
-
-// lineOf returns the line number of a key in the table of a name and an index among the tables of that name.
-// If the key is missing it returns the line of the table's header, or 1 without such a table.
-func lineOf(text []byte, table string, index int, key string) int {
-	current, tableCount, line := "", map[string]int{}, 1
-	for i, l := range strings.Split(string(text), "\n") {
-		l = strings.TrimSpace(l)
-		if strings.HasPrefix(l, "[") {
-			current = strings.Trim(strings.SplitN(l, "#", 2)[0], "[] ")
-			tableCount[current]++
-			if current == table && tableCount[current] == index+1 {
-				line = i + 1
-			}
-			continue
-		}
-		k, _, found := strings.Cut(l, "=")
-		if found && strings.TrimSpace(k) == key && current == table && (table == "" || tableCount[current] == index+1) {
-			return i + 1
-		}
-	}
-	return line
 }
--- a/internal/fleetlab/virtual.go
+++ b/internal/fleetlab/virtual.go
@@ -4,59 +4,11 @@
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
-	"sort"
 	"time"
 
 	"bramblelock"
 )
 
-// event is a function that runs at a time. Events of the same time run in the order in which they were
-// scheduled.
-type event struct {
-	at  Time
-	seq uint64
-	run func()
-}
-
-// eventQueue is a binary heap of events, ordered by time.
-type eventQueue []event
-
-func (q eventQueue) less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-
-func (q *eventQueue) push(e event) {
-	*q = append(*q, e)
-	for i := len(*q) - 1; i > 0; {
-		parent := (i - 1) / 2
-		if !q.less(i, parent) {
-			return
-		}
-		(*q)[i], (*q)[parent] = (*q)[parent], (*q)[i]
-		i = parent
-	}
-}
-
-func (q *eventQueue) pop() event {
-	old := *q
-	top, last := old[0], len(old)-1
-	old[0], old[last] = old[last], event{}
-	*q = old[:last]
-	for i := 0; ; {
-		least := i
-		for _, child := range [2]int{2*i + 1, 2*i + 2} {
-			if child < last && q.less(child, least) {
-				least = child
-			}
-		}
-		if least == i {
-			return top
-		}
-		(*q)[i], (*q)[least] = (*q)[least], (*q)[i]
-		i = least
-	}
-}
-
 // world is the state of a run of the virtual engine, which has one thread and one clock.
 type world struct {
 	scenario       *Scenario
@@ -95,17 +47,34 @@
 // are equal to the byte.
 func Virtual(s *Scenario) *Result { return runVirtual(s, false) }
 
-// Oracle runs a scenario with one dispatcher in place of the gateways. The dispatcher knows the state of
-// every host and sends as much as the slow start of cold hosts allows, so its Result is an upper bound
-// for any fleet.
-func Oracle(s *Scenario) *Result { return runVirtual(s, true) }
-
 // runVirtual runs a scenario in the virtual engine, with the oracle in place of the gateways if oracle is set.
 func runVirtual(s *Scenario, oracle bool) *Result {
-	w := &world{scenario: s, recorder: NewRecorder(s), netRand: s.newRand(streamNet), seedRand: s.newRand(streamSeeds), retryRand: s.newRand(streamWeights + 100), oracle: oracle, oracleRequests: map[*Job]Time{}}
+	w := newWorld(s, oracle)
+	w.runUntil(s.Length.std() + s.longestDeadline() + 100*time.Millisecond)
+	w.endOpenRequests()
+	engine := EngineVirtual
+	if oracle {
+		engine = EngineOracle
+	}
+	return w.recorder.Result(engine, w.hosts)
+}
+
+// newWorld returns the state at the start of a run, with the events that the scenario gives.
+func newWorld(s *Scenario, oracle bool) *world {
+	w := &world{
+		scenario:       s,
+		recorder:       NewRecorder(s),
+		netRand:        s.newRand(streamNet),
+		seedRand:       s.newRand(streamSeeds),
+		retryRand:      s.newRand(streamWeights + 100),
+		edgeBalancer:   newEdgeBalancer(s),
+		oracle:         oracle,
+		oracleRequests: map[*Job]Time{},
+	}
 	for i := range s.Hosts {
 		group := &s.Hosts[i]
-		w.zones, w.kinds = appendUnique(w.zones, group.Zone), appendUnique(w.kinds, group.Kind)
+		w.zones = appendUnique(w.zones, group.Zone)
+		w.kinds = appendUnique(w.kinds, group.Kind)
 		for range group.Count {
 			w.addHost(group)
 		}
@@ -113,27 +82,45 @@
 	for i := range s.Catalog.Instances {
 		w.catalogs = append(w.catalogs, newListService(w, i))
 	}
-	present := s.PresentRanks()
-	w.edgeBalancer = newEdgeBalancer(s)
+	w.addGateways()
+	w.scheduleFaults()
+	w.scheduleArrivals()
+	w.at(binWidth, w.samplePending)
+	return w
+}
+
+// addGateways adds the gateways and schedules the starts of the present ones, unless the oracle takes their
+// place.
+func (w *world) addGateways() {
+	s := w.scenario
+	present, hasSavedList := s.PresentRanks(), s.ranksWithSavedList()
 	startRand := s.newRand(streamSeeds + 100)
-	hasSavedList := map[int]bool{}
-	if s.Gateways.SavedListShare > 0 {
-		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, "random") {
-			hasSavedList[i] = true
-		}
-	}
 	for i := range s.Gateways.Count {
 		g := &gateway{world: w, rank: i, zone: i * len(w.zones) / s.Gateways.Count, configured: s.Gateways.Configured, hasSavedList: hasSavedList[i]}
 		w.gateways = append(w.gateways, g)
 		at := Time(startRand.Float64() * float64(s.Gateways.StartSpread))
-		if present[i] && !oracle {
+		if present[i] && !w.oracle {
 			w.at(at, g.start)
 		}
 	}
-	w.scheduleFaults()
-	arrivals := newArrivals(s)
-	var arrive func()
+}
+
+// ranksWithSavedList returns the ranks of the gateways that start with a saved host list.
+func (s *Scenario) ranksWithSavedList() map[int]bool {
+	ranks := map[int]bool{}
+	if s.Gateways.SavedListShare > 0 {
+		for _, i := range chooseShare(s.newRand(streamAbsent+100), s.Gateways.Count, s.Gateways.SavedListShare, SelectRandom) {
+			ranks[i] = true
+		}
+	}
+	return ranks
+}
+
+// scheduleArrivals schedules the first arrival. Each arrival schedules the next one.
+func (w *world) scheduleArrivals() {
+	arrivals := newArrivals(w.scenario)
 	next, more := arrivals.draw()
+	var arrive func()
 	arrive = func() {
 		w.handleArrival(next)
 		if next, more = arrivals.draw(); more {
@@ -143,13 +130,20 @@
 	if more {
 		w.at(next.At, arrive)
 	}
-	w.at(binWidth, w.samplePending)
-	end := s.Length.std() + s.longestDeadline() + 100*time.Millisecond
+}
+
+// runUntil runs the events up to a time.
+func (w *world) runUntil(end Time) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		e := w.queue.pop()
 		w.now = e.at
 		e.run()
 	}
+}
+
+// endOpenRequests ends the requests that are open at the end of the run, and counts the gateways that are
+// not ready then.
+func (w *world) endOpenRequests() {
 	for _, g := range w.gateways {
 		if g.up && !g.ready {
 			w.recorder.neverReady++
@@ -159,11 +153,6 @@
 	for _, at := range w.oracleRequests { // lost by failed hosts; the order does not matter, as only sums are recorded
 		w.recorder.RecordEnd(at, Failed, 0)
 	}
-	engine := "virtual"
-	if oracle {
-		engine = "oracle"
-	}
-	return w.recorder.Result(engine, w.hosts)
 }
 
 // longestDeadline returns the longest deadline of all classes.
@@ -191,7 +180,8 @@
 	if w.now > 0 {
 		h.Started = w.now
 	}
-	w.hosts, w.nextCompletion = append(w.hosts, h), append(w.nextCompletion, 0)
+	w.hosts = append(w.hosts, h)
+	w.nextCompletion = append(w.nextCompletion, 0)
 	started := bramblelock.Time(0)
 	if h.Started >= 0 {
 		started = clockBase + h.Started
@@ -199,7 +189,8 @@
 	w.hostList = append(w.hostList, listEntry{host: bramblelock.Host{ID: hostID(h.ID), Zone: indexOf(w.zones, group.Zone), Kind: indexOf(w.kinds, group.Kind), Started: started}})
 	if w.now == 0 {
 		w.listVersion++
-		w.hostList[index].version, w.hostList[index].listed = w.listVersion, true
+		w.hostList[index].version = w.listVersion
+		w.hostList[index].listed = true
 	} else {
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Ready) })
 	}
@@ -222,7 +213,9 @@
 func (w *world) updateListing(index int, state bramblelock.HostState) {
 	w.listVersion++
 	e := &w.hostList[index]
-	e.host.State, e.version, e.listed = state, w.listVersion, state != bramblelock.Removed
+	e.host.State = state
+	e.version = w.listVersion
+	e.listed = state != bramblelock.Removed
 	if h := w.hosts[index]; h.Started >= 0 {
 		e.host.Started = clockBase + h.Started
 	}
@@ -290,86 +283,3 @@
 	g := w.gateways[rank]
 	g.handle(func() { g.handleRequest(a) })
 }
-
-// edgeBalancer models the load balancer between clients and gateways: it distributes requests over the
-// admitted gateways in proportion to their weights.
-type edgeBalancer struct {
-	weights    []float64
-	admitted   []bool
-	cumulative []float64 // cumulative weights of the admitted gateways; nil when outdated
-}
-
-// newEdgeBalancer returns an edge balancer that has admitted no gateway yet.
-func newEdgeBalancer(s *Scenario) edgeBalancer {
-	return edgeBalancer{weights: s.GatewayWeights(), admitted: make([]bool, s.Gateways.Count)}
-}
-
-// setAdmitted adds the gateway of a rank to the admitted ones or removes it.
-func (balancer *edgeBalancer) setAdmitted(rank int, admitted bool) {
-	if balancer.admitted[rank] != admitted {
-		balancer.admitted[rank], balancer.cumulative = admitted, nil
-	}
-}
-
-// pick returns the rank of the gateway at a quantile, from 0 to 1, of the weights of the admitted gateways,
-// or -1 if no gateway is admitted.
-func (balancer *edgeBalancer) pick(quantile float64) int {
-	if balancer.cumulative == nil {
-		balancer.cumulative = make([]float64, len(balancer.weights))
-		sum := 0.0
-		for i, weight := range balancer.weights {
-			if balancer.admitted[i] {
-				sum += weight
-			}
-			balancer.cumulative[i] = sum
-		}
-	}
-	total := balancer.cumulative[len(balancer.cumulative)-1]
-	if total == 0 {
-		return -1
-	}
-	return min(sort.Search(len(balancer.cumulative), func(i int) bool { return balancer.cumulative[i] > quantile*total }), len(balancer.cumulative)-1)
-}
-
-// dispatchOracle sends a request of the oracle to the host that would answer first, among those that one
-// more request does not overload. If none would answer within the latency target, the request is refused.
-func (w *world) dispatchOracle(a Arrival) {
-	c := &w.scenario.Classes[a.Class]
-	work, waitTime := time.Duration(a.WorkFactor*float64(c.Work)), time.Duration(a.WaitFactor*float64(c.WaitTime))
-	var best *Host
-	soonest := c.LatencyTarget.std() - 2*w.scenario.Net.SameZone.std() - waitTime
-	for _, h := range w.hosts {
-		if h.Condition != Serving || h.pending >= h.rules.QueueLimit || h.Cold(w.now) && h.Headroom(w.now) < 1+float64(work)/float64(h.meanWork) {
-			continue
-		}
-		backlog := work
-		for _, j := range h.queue {
-			backlog += j.remaining
-		}
-		for _, j := range h.running {
-			backlog += max(0, j.remaining-time.Duration(float64(w.now-j.startedAt)*h.speed(j.startedAt)))
-		}
-		if estimate := time.Duration(float64(backlog) / h.speed(w.now) / float64(h.Spec.Cores)); estimate < soonest {
-			best, soonest = h, estimate
-		}
-	}
-	if best == nil {
-		w.recorder.RecordEnd(a.At, Refused, 0)
-		return
-	}
-	j := &Job{Work: work, WaitTime: waitTime, Notified: true}
-	j.Done = func(bool) {
-		delete(w.oracleRequests, j)
-		took := w.now - a.At + 2*w.scenario.Net.SameZone.std()
-		end := Served
-		if took > c.LatencyTarget.std() {
-			end = Late
-		}
-		w.recorder.RecordEnd(a.At, end, took)
-	}
-	w.advanceHost(best)
-	w.recorder.RecordHostRequest(best.Index, w.now)
-	w.oracleRequests[j] = a.At
-	best.Arrive(w.now, j)
-	w.advanceHost(best)
-}
--- a/internal/fleetlab/vattempt.go
+++ b/internal/fleetlab/virtual_attempt.go
@@ -8,7 +8,7 @@
 
 // linkFault is a fault of the network between some gateways and some hosts.
 type linkFault struct {
-	action   string        // cut, delay or black-hole
+	action   FaultAction   // FaultCut, FaultDelay or FaultBlackHole
 	gateways map[int]bool  // by rank
 	hosts    map[int]bool  // by index
 	delay    time.Duration // added one way
@@ -19,8 +19,8 @@
 func (w *world) linkState(gatewayRank, hostIndex int) (cut, silent bool, delay time.Duration) {
 	for _, l := range w.linkFaults {
 		if l.gateways[gatewayRank] && l.hosts[hostIndex] {
-			cut = cut || l.action == "cut"
-			silent = silent || l.action == "black-hole"
+			cut = cut || l.action == FaultCut
+			silent = silent || l.action == FaultBlackHole
 			delay += l.delay
 		}
 	}
@@ -34,8 +34,7 @@
 	if r == nil || !ok {
 		panic("fleetlab: attempt of an unknown request or host")
 	}
-	h := w.hosts[hostIndex]
-	a := &attempt{gateway: g, request: r, index: len(r.attempts), host: h, sentAt: w.now}
+	a := &attempt{gateway: g, request: r, index: len(r.attempts), host: w.hosts[hostIndex], sentAt: w.now}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	deadline := r.deadline
@@ -48,44 +47,65 @@
 		p = &pool{}
 		g.pools[hostIndex] = p
 	}
-	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
-		h.Disconnect(p.idle[0].incarnation) // the real gateway also keeps connections for half of the host's idle limit
-		p.idle = p.idle[1:]
-		p.open--
-	}
+	p.closeExpired(w, a.host)
 	cut, silent, delay := w.linkState(g.rank, hostIndex)
 	oneWay := w.oneWayDelay(g.zone, w.hostList[hostIndex].host.Zone) + delay
-	if n := len(p.idle); n > 0 {
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		a.connected, a.incarnation = true, c.incarnation
-		w.after(oneWay, func() {
-			switch {
-			case silent:
-			case cut || c.incarnation != h.Incarnation:
-				a.finishAfter(oneWay, bramblelock.Reset)
-			default:
-				a.arriveAtHost(oneWay, false)
-			}
-		})
+	if last := len(p.idle) - 1; last >= 0 {
+		c := p.idle[last]
+		p.idle = p.idle[:last]
+		a.sendOnIdleConn(c, oneWay, cut, silent)
 		return
 	}
 	p.open++
+	a.sendOnNewConn(oneWay, cut, silent)
+}
+
+// closeExpired closes the connections that have been idle for half of the host's idle limit, as the real
+// gateway does.
+func (p *pool) closeExpired(w *world, h *Host) {
+	for len(p.idle) > 0 && w.now-p.idle[0].idleSince > w.scenario.Rules.ConnIdle.std()/2 {
+		h.Disconnect(p.idle[0].incarnation)
+		p.idle = p.idle[1:]
+		p.open--
+	}
+}
+
+// sendOnIdleConn sends an attempt over an idle connection, which reaches the host after oneWay. cut and
+// silent are the state of the link.
+func (a *attempt) sendOnIdleConn(c conn, oneWay time.Duration, cut, silent bool) {
+	a.connected = true
+	a.incarnation = c.incarnation
+	a.gateway.world.after(oneWay, func() {
+		switch {
+		case silent:
+		case cut || c.incarnation != a.host.Incarnation:
+			a.finishAfter(oneWay, bramblelock.Reset)
+		default:
+			a.arriveAtHost(oneWay, false)
+		}
+	})
+}
+
+// sendOnNewConn opens a connection and sends an attempt over it, which takes three times oneWay. cut and
+// silent are the state of the link.
+func (a *attempt) sendOnNewConn(oneWay time.Duration, cut, silent bool) {
+	w, h := a.gateway.world, a.host
 	w.after(oneWay, func() {
 		switch {
 		case a.ended:
 		case silent || h.Condition == Silent:
 			a.finishAfter(w.scenario.Rules.DialTimeout.std(), bramblelock.ConnectFailed)
 		case cut || h.Condition == Dead || h.Condition == Refusing:
-			w.recorder.RecordNewConn(hostIndex, w.now)
+			w.recorder.RecordNewConn(h.Index, w.now)
 			a.finishAfter(oneWay, bramblelock.ConnectFailed)
 		default:
-			w.recorder.RecordNewConn(hostIndex, w.now)
+			w.recorder.RecordNewConn(h.Index, w.now)
 			if !h.Connect() {
 				a.finishAfter(oneWay, bramblelock.Full) // accepted, answered 503 and closed
 				return
 			}
-			a.connected, a.incarnation = true, h.Incarnation
+			a.connected = true
+			a.incarnation = h.Incarnation
 			w.after(2*oneWay, func() { a.arriveAtHost(oneWay, true) })
 		}
 	})
@@ -142,11 +162,16 @@
 }
 
 // abandon ends an attempt on the gateway's side, at its deadline or on a Cancel action, unless it has ended.
-// Its connection is closed, and the host stops its work on the attempt when the close arrives.
+// Its connection is closed, and the host stops its work on the attempt when the close arrives. A paused
+// process does this when it continues.
 func (g *gateway) abandon(a *attempt, result bramblelock.Result) {
 	if a.ended {
 		return
 	}
+	if g.paused {
+		g.whenRunning(func() { g.abandon(a, result) })
+		return
+	}
 	a.ended = true
 	a.closeConnection()
 	g.world.after(0, func() { // reported in an event of its own, not within the event that cancelled the attempt
@@ -186,3 +211,40 @@
 	}
 	p.idle = append(p.idle, conn{a.incarnation, a.gateway.world.now})
 }
+
+// pool holds the connections of a gateway to one host.
+type pool struct {
+	idle []conn
+	open int // number of connections, idle and in use
+}
+
+type conn struct {
+	incarnation int // of the host when the connection was opened
+	idleSince   Time
+}
+
+// attempt is one sending of a request to a host.
+type attempt struct {
+	gateway     *gateway
+	request     *request
+	index       int // number of the attempt of its request, from 0
+	host        *Host
+	sentAt      Time
+	incarnation int  // of the host when the connection was opened
+	connected   bool // it holds a connection that the host counts
+	job         *Job
+	ended       bool
+}
+
+// closeIdle closes the idle connections to the host at an index.
+func (g *gateway) closeIdle(hostIndex int) {
+	p := g.pools[hostIndex]
+	if p == nil {
+		return
+	}
+	for _, c := range p.idle {
+		g.world.hosts[hostIndex].Disconnect(c.incarnation)
+		p.open--
+	}
+	p.idle = nil
+}
--- a/internal/fleetlab/vfaults.go
+++ b/internal/fleetlab/virtual_faults.go
@@ -7,97 +7,70 @@
 	"bramblelock"
 )
 
-// faultTargets selects the targets of a fault among count gateways or hosts and returns their ranks or
-// indices by step of the fault.
-func (s *Scenario) faultTargets(count int, zoneOf func(int) string, f *Fault, faultIndex int) [][]int {
-	var candidates []int
-	for i := range count {
-		if f.Zone == "" || zoneOf(i) == f.Zone {
-			candidates = append(candidates, i)
+// scheduleFaults schedules the start and the end of every fault.
+func (w *world) scheduleFaults() {
+	s := w.scenario
+	for faultIndex := range s.Faults {
+		f := &s.Faults[faultIndex]
+		switch f.Target {
+		case TargetCatalog:
+			w.scheduleCatalogFault(f)
+		case TargetLinks:
+			w.scheduleLinkFault(f, faultIndex)
+		case TargetMembers:
+			w.schedulePartition(f, faultIndex)
+		case TargetGateways:
+			w.scheduleSteps(f, s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex), func(rank int) {
+				w.applyGatewayFault(f, w.gateways[rank])
+			})
+		case TargetHosts:
+			w.scheduleSteps(f, s.faultTargets(s.hostCount(), s.zoneOfHost, f, faultIndex), func(index int) {
+				w.applyHostFault(f, w.hosts[index])
+			})
 		}
 	}
-	rng := s.newRand(streamFaults + 1000*uint64(faultIndex+1))
-	var chosen []int
-	for _, i := range chooseShare(rng, len(candidates), f.Share, f.Selection) {
-		chosen = append(chosen, candidates[i])
-	}
-	steps := max(f.Steps, 1)
-	byStep := make([][]int, steps)
-	for i, x := range chosen {
-		byStep[i*steps/len(chosen)] = append(byStep[i*steps/len(chosen)], x)
-	}
-	return byStep
 }
 
-// zoneOfHost returns the zone of the host at an index, or "" for a host that was added during the run.
-func (s *Scenario) zoneOfHost(i int) string {
-	for _, g := range s.Hosts {
-		if i < g.Count {
-			return g.Zone
+// scheduleSteps schedules the start of a fault for its targets, which are given by step.
+func (w *world) scheduleSteps(f *Fault, targetsByStep [][]int, apply func(target int)) {
+	for step, targets := range targetsByStep {
+		for _, target := range targets {
+			w.at(f.Start.std()+Time(step)*f.StepInterval.std(), func() { apply(target) })
 		}
-		i -= g.Count
-	}
-	return ""
-}
-
-// zoneOfGateway returns the zone of the gateway of a rank. Each zone has an equal range of consecutive ranks.
-func (s *Scenario) zoneOfGateway(i int) string {
-	var zones []string
-	for _, g := range s.Hosts {
-		zones = appendUnique(zones, g.Zone)
 	}
-	return zones[i*len(zones)/s.Gateways.Count]
 }
 
-// hostCount returns the number of hosts when the run starts.
-func (s *Scenario) hostCount() (n int) {
-	for _, g := range s.Hosts {
-		n += g.Count
+// scheduleCatalogFault schedules the start and the end of a fault of the list service.
+func (w *world) scheduleCatalogFault(f *Fault) {
+	w.at(f.Start.std(), func() { w.applyCatalogFault(f, true) })
+	if f.Length > 0 {
+		w.at(f.Start.std()+f.Length.std(), func() { w.applyCatalogFault(f, false) })
 	}
-	return n
 }
 
-// scheduleFaults schedules the start and the end of every fault.
-func (w *world) scheduleFaults() {
+// schedulePartition schedules the start and the end of a partition of the membership.
+func (w *world) schedulePartition(f *Fault, faultIndex int) {
 	s := w.scenario
-	for faultIndex := range s.Faults {
-		f := &s.Faults[faultIndex]
-		start, length := f.Start.std(), f.Length.std()
-		switch f.Target {
-		case "catalog":
-			w.at(start, func() { w.applyCatalogFault(f, true) })
-			if length > 0 {
-				w.at(start+length, func() { w.applyCatalogFault(f, false) })
-			}
-		case "links":
-			w.scheduleLinkFault(f, faultIndex)
-		case "members":
-			partition := map[int]bool{}
-			for _, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
-				for _, i := range targets {
-					partition[i] = true
-				}
-			}
-			w.at(start, func() { w.partition, w.partitionedAt = partition, w.now })
-			if length > 0 {
-				w.at(start+length, func() { w.partition = nil })
-			}
-		case "gateways":
-			for step, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
-				for _, i := range targets {
-					g := w.gateways[i]
-					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyGatewayFault(f, g) })
-				}
-			}
-		case "hosts":
-			for step, targets := range s.faultTargets(s.hostCount(), s.zoneOfHost, f, faultIndex) {
-				for _, i := range targets {
-					h := w.hosts[i]
-					w.at(start+Time(step)*f.StepInterval.std(), func() { w.applyHostFault(f, h) })
-				}
-			}
+	partition := map[int]bool{}
+	for _, targets := range s.faultTargets(s.Gateways.Count, s.zoneOfGateway, f, faultIndex) {
+		for _, i := range targets {
+			partition[i] = true
 		}
 	}
+	w.at(f.Start.std(), func() { w.partition, w.partitionedAt = partition, w.now })
+	if f.Length > 0 {
+		w.at(f.Start.std()+f.Length.std(), func() { w.partition = nil })
+	}
+}
+
+// catalogFaultModes are the modes of a list service by the fault that they model.
+var catalogFaultModes = map[FaultAction]catalogMode{
+	FaultDown:       catalogDown,
+	FaultReset:      catalogReset,
+	FaultBusy:       catalogBusy,
+	FaultBlackHole:  catalogBlackHole,
+	FaultKillLeader: catalogDown,
+	FaultSlow:       catalogUp, // its calls take longer
 }
 
 // applyCatalogFault starts a fault of the list service, or ends it if on is false. The fault affects the first
@@ -109,14 +82,14 @@
 		}
 		mode := catalogUp
 		if on {
-			mode = map[string]int{"down": catalogDown, "reset": catalogReset, "busy": catalogBusy, "black-hole": catalogBlackHole, "kill-leader": catalogDown, "slow": catalogUp}[f.Action]
+			mode = catalogFaultModes[f.Action]
 		}
 		c.callTime = 0
-		if f.Action == "slow" && on {
+		if f.Action == FaultSlow && on {
 			c.callTime = f.Delay.std()
 		}
 		c.setMode(mode)
-		if f.Action == "kill-leader" {
+		if f.Action == FaultKillLeader {
 			return // the first instance is the leader
 		}
 	}
@@ -159,37 +132,37 @@
 		}
 	}
 	switch f.Action {
-	case "kill":
+	case FaultKill:
 		g.kill()
 		atEnd(g.start)
-	case "term":
+	case FaultTerm:
 		w.edgeBalancer.setAdmitted(g.rank, false)
 		w.after(w.scenario.longestDeadline(), g.kill)
 		atEnd(g.start)
-	case "restart":
+	case FaultRestart:
 		if g.up {
 			g.kill()
 			w.after(max(f.Length.std(), time.Millisecond), g.start)
 		}
-	case "stop":
+	case FaultStop:
 		g.pause()
 		atEnd(g.resume)
-	case "late":
+	case FaultLateLists:
 		g.listDelay = f.Delay.std()
 		atEnd(func() { g.listDelay = 0 })
-	case "reconfigure":
+	case FaultReconfigure:
 		g.reconfigure(max(1, int(f.Factor*float64(w.scenario.Gateways.Configured))))
 	}
 }
 
 // applyHostFault starts a fault of a host and schedules its end, which has no effect if the host has
-// restarted meanwhile or has ever failed by overload.
+// restarted meanwhile or is down from an overload.
 func (w *world) applyHostFault(f *Fault, h *Host) {
 	index, incarnation := h.Index, h.Incarnation
 	atEnd := func(do func()) {
 		if f.Length > 0 {
 			w.after(f.Length.std(), func() {
-				if h.Incarnation == incarnation && !h.Overloaded {
+				if h.Incarnation == incarnation && !h.overloadDown {
 					do()
 				}
 			})
@@ -200,7 +173,7 @@
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Ready) })
 	}
 	switch f.Action {
-	case "kill":
+	case FaultKill:
 		h.Kill()
 		w.after(w.scenario.Catalog.ListingDelay.std(), func() {
 			if h.Condition == Dead {
@@ -208,29 +181,29 @@
 			}
 		})
 		atEnd(restart)
-	case "silence":
+	case FaultSilence:
 		h.Silence()
 		atEnd(restart)
-	case "slow":
+	case FaultSlow:
 		h.SlowFactor = f.Factor
 		atEnd(func() { h.SlowFactor = 1 })
-	case "fail":
+	case FaultFail:
 		h.Condition = Failing
 		atEnd(func() { h.Condition = Serving })
-	case "refuse":
+	case FaultRefuse:
 		h.Kill()
 		h.Condition = Refusing
 		atEnd(func() { h.Condition = Serving; h.Incarnation++ })
-	case "cold":
+	case FaultColdRestart:
 		restart()
-	case "replace":
+	case FaultReplace:
 		w.updateListing(index, bramblelock.Draining)
 		w.after(2*time.Second, func() {
 			h.Kill()
 			w.after(w.scenario.Catalog.ListingDelay.std(), func() { w.updateListing(index, bramblelock.Removed) })
 		})
 		w.addHost(h.Spec)
-	case "join":
+	case FaultJoin:
 		w.addHost(h.Spec)
 	}
 }
