--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -26,8 +26,8 @@
 func main() {
 	root := &cobra.Command{Use: "fleetlab", Short: "Experiments on a fleet of gateways",
 		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(checkCmd(), runCmd(), tableCmd(), compareCmd(), plotCmd(), catalogCmd(), soakCmd())
-	// On an interrupt, a run of the engine real, of soak or of catalog stops gracefully: all processes that it
+	root.AddCommand(checkCmd(), runCmd(), tableCmd(), compareCmd(), plotCmd(), catalogCmd(), soakCmd(), scaleCmd())
+	// On an interrupt, a run of the engine real, of soak, of catalog or of scale stops gracefully: all processes that it
 	// started have exited when it returns. The other commands ignore the context.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/fleetlab/preflight.go
+++ b/internal/fleetlab/preflight.go
@@ -16,13 +16,18 @@
 	catalogMemoryMB = 100
 )
 
+// gatewayDescriptors is the limit on the descriptors of a gateway, as its configuration states it.
+const gatewayDescriptors = 1024
+
 // preflight returns an error if the real engine cannot run the scenario on this machine: it needs more file
 // descriptors, memory or threads than there are, or has a fault that only the virtual engine supports.
 func (s *Scenario) preflight() error {
-	n, hosts := s.Gateways.Count, s.hostCount()
+	n, hosts := s.presentGateways(), s.hostCount()
 	// Each gateway needs 8 client connections, one for health checks, a log file and two for calls at a
-	// catalog. Each host needs a listener and MaxConns connections.
-	descriptors := n*(8+1+1+2) + hosts*(1+s.Rules.MaxConns) + 200
+	// catalog. Each host needs a listener. Its connections are limited by MaxConns and by what the gateways
+	// can open.
+	hostConns := min(hosts*s.Rules.MaxConns, n*gatewayDescriptors)
+	descriptors := n*(8+1+1+2) + hosts + hostConns + 200
 	var lim syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
 		return err
@@ -54,6 +59,17 @@
 	return nil
 }
 
+// presentGateways returns the number of gateways that start.
+func (s *Scenario) presentGateways() int {
+	count := 0
+	for _, present := range s.PresentRanks() {
+		if present {
+			count++
+		}
+	}
+	return count
+}
+
 // availableMB returns the available memory in MB, or 0 if it is unknown.
 func availableMB() int {
 	text, _ := os.ReadFile("/proc/meminfo")
@@ -73,14 +89,29 @@
 	return n
 }
 
-// processUsage returns the resident memory of a process in kB and the number of its open file descriptors.
-func processUsage(pid int) (rssKB, descriptors int) {
+// processUsage is what a process holds. All fields are 0 for a process that has ended.
+type processUsage struct {
+	rssKB       int // resident memory
+	peakRSSKB   int // largest resident memory since the process started its program
+	descriptors int // open file descriptors
+}
+
+// readProcessUsage reads what a process holds.
+func readProcessUsage(pid int) (usage processUsage) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
-		if f := strings.Fields(line); len(f) >= 2 && f[0] == "VmRSS:" {
-			rssKB, _ = strconv.Atoi(f[1])
+		fields := strings.Fields(line)
+		if len(fields) < 2 {
+			continue
+		}
+		switch fields[0] {
+		case "VmRSS:":
+			usage.rssKB, _ = strconv.Atoi(fields[1])
+		case "VmHWM:":
+			usage.peakRSSKB, _ = strconv.Atoi(fields[1])
 		}
 	}
 	entries, _ := os.ReadDir(filepath.Join("/proc", strconv.Itoa(pid), "fd"))
-	return rssKB, len(entries)
+	usage.descriptors = len(entries)
+	return usage
 }
--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -175,6 +175,7 @@
 	s := run.scenario
 	run.scheduleStarts()
 	run.scheduleFaults()
+	go run.sampleGateways()
 	var clients sync.WaitGroup
 	arrivals := newArrivals(s)
 	sampleTicker := time.NewTicker(binWidth)
@@ -273,9 +274,11 @@
 	r := run.recorder.Result(EngineReal, hosts)
 	for i, c := range run.catalogs {
 		if c.proc != nil {
-			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = processUsage(c.proc.Pid())
+			usage := readProcessUsage(c.proc.Pid())
+			r.Catalogs[i].RSSKB, r.Catalogs[i].FDs = usage.rssKB, usage.descriptors
 		}
 	}
+	r.GatewayUsage = run.gatewayUsage(r)
 	return r
 }
 
--- a/internal/fleetlab/real_gateway.go
+++ b/internal/fleetlab/real_gateway.go
@@ -26,6 +26,7 @@
 	proc       *faultnet.Proc // nil: it does not run
 	generation int            // raised at each start and exit of the process
 	ready      bool           // the present process has reported that it is ready
+	processes  gatewayProcesses
 }
 
 // configure writes the configuration file. If hasSavedList is set, this file and later versions of it hold
@@ -53,7 +54,7 @@
 	}
 	config := object{"name": fmt.Sprintf("g%04d", g.rank), "listen": g.addr, "discovery": strings.Join(addrs, ","),
 		"seed":   fmt.Sprintf("%x", run.scenario.Seed*1_000_003+uint64(g.rank)+1),
-		"limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": known,
+		"limits": object{"cores": 1, "memory_mb": 192, "sockets": gatewayDescriptors}, "known": known,
 		"settings": run.scenario.SettingsJSON(g.rank, g.configured)}
 	if run.scenario.Gateways.Membership {
 		var peers []string
@@ -88,6 +89,7 @@
 	g.generation++
 	g.proc = proc
 	g.ready = false
+	g.processes.add(proc)
 	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
--- a/internal/fleetlab/result.go
+++ b/internal/fleetlab/result.go
@@ -20,6 +20,7 @@
 
 	Ready            Ready            `json:"ready"`
 	Catalogs         []CatalogFigures `json:"catalogs"`
+	GatewayUsage     *GatewayUsage    `json:"gateway_usage,omitempty"` // only of the real engine
 	Conns            Conns            `json:"connections"`
 	OverloadFailures OverloadFailures `json:"falls"`
 	Requests         Requests         `json:"requests"`
