--- a/internal/fleetlab/real_faults.go
+++ b/internal/fleetlab/real_faults.go
@@ -75,8 +75,12 @@
 	}
 }
 
-// applyGatewayFault starts a fault of a gateway and schedules its end.
+// applyGatewayFault starts a fault of a gateway and schedules its end. A gateway that has not started is left
+// alone: the end of the fault would start it, also where the scenario says that it never starts.
 func (run *realRun) applyGatewayFault(f *Fault, g *realGateway) {
+	if !g.hasStarted() {
+		return
+	}
 	end := run.now() + f.Length.std()
 	atEnd := func(do func()) {
 		if f.Length > 0 || f.Action == FaultRestart {
--- a/internal/fleetlab/real_gateway.go
+++ b/internal/fleetlab/real_gateway.go
@@ -93,6 +93,13 @@
 	go g.awaitReady(g.generation, startedAt.Sub(g.run.startedAt))
 }
 
+// hasStarted reports whether a process of the gateway has been started, even if it has ended since.
+func (g *realGateway) hasStarted() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.processes.all) > 0
+}
+
 // awaitReady checks the health of the process of a generation until it is ready, has exited or the run ends.
 // The edge balancer admits the gateway when the process is ready.
 func (g *realGateway) awaitReady(generation int, startedAt Time) {
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -206,3 +206,16 @@
 		t.Errorf("servers at %s and %s; connect after close: %v", first, second, err)
 	}
 }
+
+// A fault of all gateways restarts those that run, and does not start those that the scenario says never
+// start.
+func TestRealRestartLeavesAbsentGateways(t *testing.T) {
+	s := loadScenario(t, "start-warm", 1)
+	s.Gateways.Count, s.Gateways.Configured, s.Gateways.AbsentShare, s.Gateways.StartSpread = 8, 8, 0.5, 0
+	s.Hosts = s.Hosts[:1]
+	s.Hosts[0].Count, s.Load.Rate, s.Length = 4, 20, Duration(8*time.Second)
+	s.Faults = []Fault{{Start: Duration(3 * time.Second), Length: Duration(500 * time.Millisecond), Target: TargetGateways, Action: FaultRestart}}
+	if r := runReal(t, s); r.Ready.Starts != 8 || r.Ready.Never != 0 || r.GatewayUsage.Gateways != 4 {
+		t.Errorf("%+v, %+v; want 4 gateways that were started twice each", r.Ready, r.GatewayUsage)
+	}
+}
