--- a/internal/fleetlab/real.go
+++ b/internal/fleetlab/real.go
@@ -81,7 +81,10 @@
 	run.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}}
 	defer run.httpClient.CloseIdleConnections()
-	defer run.close()
+	defer func() {
+		cancel() // before close, so that no fault starts a process behind it, when the starter may have ended
+		run.close()
+	}()
 	run.startedAt = time.Now()
 	if err := run.setUp(); err != nil {
 		return nil, err
--- a/internal/fleetlab/real_catalog.go
+++ b/internal/fleetlab/real_catalog.go
@@ -27,11 +27,11 @@
 	proc         *faultnet.Proc // nil: it does not run
 }
 
-// start starts the process unless it runs.
+// start starts the process unless it runs or the run has ended.
 func (c *realCatalog) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.proc != nil {
+	if c.proc != nil || c.run.ctx.Err() != nil {
 		return nil
 	}
 	var err error
--- a/internal/fleetlab/real_gateway.go
+++ b/internal/fleetlab/real_gateway.go
@@ -71,12 +71,12 @@
 // memberAddr returns the address for the membership protocol.
 func (g *realGateway) memberAddr() string { return strings.Replace(g.addr, ":9000", ":7946", 1) }
 
-// start starts the process and its health checks.
+// start starts the process and its health checks, unless it runs or the run has ended.
 func (g *realGateway) start() {
 	name := fmt.Sprintf("g%04d", g.rank)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.proc != nil {
+	if g.proc != nil || g.run.ctx.Err() != nil {
 		return
 	}
 	proc, startedAt, err := g.run.starter.Start(g.run.dir, name, filepath.Join(g.run.options.Bin, "gateway"), nil,
--- a/internal/fleetlab/real_test.go
+++ b/internal/fleetlab/real_test.go
@@ -1,6 +1,7 @@
 package fleetlab
 
 import (
+	"context"
 	"io"
 	"net"
 	"os"
@@ -185,6 +186,21 @@
 	presentProcess(g)
 }
 
+// A start whose time comes while the run ends starts nothing.
+func TestRealStartsNothingAfterItsEnd(t *testing.T) {
+	run := newScriptedRun(t, "exec sleep 60")
+	run.starter = observedStarter{loopback.NewStarter(), func() { t.Error("a process is started after the end of the run") }}
+	defer run.starter.End()
+	ctx, cancel := context.WithCancel(run.ctx)
+	cancel()
+	run.ctx = ctx
+	g, c := &realGateway{run: run}, &realCatalog{run: run}
+	defer g.kill()
+	defer c.kill()
+	g.start()
+	c.start()
+}
+
 // presentProcess returns the process of a gateway, which has one.
 func presentProcess(g *realGateway) (present *faultnet.Proc) {
 	for present == nil {
