--- a/internal/catalog/disk_test.go
+++ b/internal/catalog/disk_test.go
@@ -61,7 +61,7 @@
 	return d.runWrite(func() error { return d.BoltStore.DeleteRange(from, to) })
 }
 
-// singleNodeCatalog is a single catalog instance on a failingStorage.
+// singleNodeCatalog is one catalog instance on a failingStorage.
 type singleNodeCatalog struct {
 	t       *testing.T
 	node    *Node
@@ -76,14 +76,21 @@
 
 // openStalledNode opens an instance whose storage has the given stall.
 func openStalledNode(t *testing.T, dir, addr string, stall *sync.Mutex) *singleNodeCatalog {
+	t.Helper()
+	return openNode(t, Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond}, stall)
+}
+
+// openNode opens an instance whose storage has the given stall.
+func openNode(t *testing.T, opt Options, stall *sync.Mutex) *singleNodeCatalog {
 	t.Helper()
 	c := &singleNodeCatalog{t: t}
-	node, err := Open(Options{ID: "c1", DataDir: dir, RaftAddr: addr, HeartbeatTimeout: 50 * time.Millisecond, LogOutput: io.Discard,
-		openStorage: func(path string) (raftStorage, error) {
-			store, err := raftboltdb.New(raftboltdb.Options{Path: path})
-			c.storage = &failingStorage{BoltStore: store, stall: stall}
-			return c.storage, err
-		}})
+	opt.LogOutput = io.Discard
+	opt.openStorage = func(path string) (raftStorage, error) {
+		store, err := raftboltdb.New(raftboltdb.Options{Path: path})
+		c.storage = &failingStorage{BoltStore: store, stall: stall}
+		return c.storage, err
+	}
+	node, err := Open(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -16,9 +17,13 @@
 	storage    *retryingStorage
 	replay     *logReplay
 	transport  *raft.NetworkTransport
+	raftConns  *streamLayer // connections of transport
+	hangs      *hangDetector
 	peers      map[raft.ServerID]Peer // all instances of the cluster, including this one
 	watchSlots chan struct{}          // holds one token per open watch
 	admission  *admissionController
+
+	pendingLeaderChecks atomic.Int32 // checks after hangs whether this instance is still the leader
 }
 
 // retainedSnapshots is the number of complete snapshots that raft keeps.
@@ -42,11 +47,13 @@
 		return nil, fmt.Errorf("catalog: snapshot store: %w", err)
 	}
 	n := newNode(opt)
-	if n.transport, err = listenRaft(opt); err != nil {
+	if n.raftConns, err = listenRaft(opt); err != nil {
 		return nil, err
 	}
+	n.transport = raft.NewNetworkTransport(n.raftConns, maxPooledConns, transportTimeout, opt.LogOutput)
 	removeInterruptedSnapshots(opt.DataDir)
 	config := newRaftConfig(opt)
+	opt.openStorage = n.hangs.watchStorage(opt.openStorage)
 	if n.storage, err = openStorage(opt, config, snapshots, n.transport); err != nil {
 		n.transport.Close()
 		return nil, err
@@ -60,6 +67,7 @@
 		n.closeTransportAndStorage()
 		return nil, fmt.Errorf("catalog: raft: %w", err)
 	}
+	n.hangs.handle(n.handleHang, n.handleReturn)
 	return n, nil
 }
 
@@ -68,6 +76,7 @@
 	n := &Node{
 		opt:        opt,
 		store:      NewStore(),
+		hangs:      &hangDetector{limit: opt.hangLimit},
 		peers:      map[raft.ServerID]Peer{},
 		watchSlots: make(chan struct{}, opt.MaxWatches),
 		admission:  newAdmissionController(opt.CallLimits),
@@ -117,6 +126,9 @@
 	return leader != "" && time.Since(n.raft.LastContact()) < n.opt.HeartbeatTimeout/2
 }
 
+// hasPeers reports whether the cluster has other instances.
+func (n *Node) hasPeers() bool { return len(n.peers) > 1 }
+
 // leaderHTTP returns the HTTP address of the leader, or "" if no leader is known.
 func (n *Node) leaderHTTP() string {
 	_, id := n.raft.LeaderWithID()
--- a/internal/catalog/options.go
+++ b/internal/catalog/options.go
@@ -63,6 +63,9 @@
 	// waiting. The zero value means DefaultCallLimits; otherwise each field must be above 0.
 	CallLimits admit.Options
 
+	// hangLimit is how long a write to raft's storage may run until it counts as hung; default
+	// defaultHangLimit.
+	hangLimit time.Duration
 	// openStorage opens the storage of raft's log and stable state; nil means openBoltStorage.
 	openStorage func(path string) (raftStorage, error)
 }
@@ -71,6 +74,12 @@
 // are asked to retry within 10 s, at times at least 2 ms apart (500 per second).
 var DefaultCallLimits = admit.Options{Work: 32, Queue: 1024, Wait: time.Second, Least: 2 * time.Millisecond, Most: 10 * time.Second}
 
+// defaultHangLimit returns the default limit of a write to raft's storage: several election timeouts,
+// because a new election costs more than a slow write, and more than the slow syncs of a working disk.
+func defaultHangLimit(heartbeatTimeout time.Duration) time.Duration {
+	return max(2*time.Second, 4*heartbeatTimeout)
+}
+
 // withDefaults returns opt with the default in each field that is unset.
 func (opt Options) withDefaults() Options {
 	if opt.ID == "" {
@@ -82,6 +91,9 @@
 	if opt.HeartbeatTimeout <= 0 {
 		opt.HeartbeatTimeout = 500 * time.Millisecond
 	}
+	if opt.hangLimit <= 0 {
+		opt.hangLimit = defaultHangLimit(opt.HeartbeatTimeout)
+	}
 	if opt.StaleAfter <= 0 {
 		opt.StaleAfter = 2 * time.Second
 	}
--- a/internal/catalog/write.go
+++ b/internal/catalog/write.go
@@ -79,6 +79,10 @@
 			return
 		}
 	}
+	if n.raftConns.isIsolated() {
+		answerWriteError(w, errIsolated) // raft cannot commit the write and knows no other leader
+		return
+	}
 	if n.raft.State() != raft.Leader {
 		n.forward(w, r, body)
 		return
