--- a/internal/catalog/datadir.go
+++ b/internal/catalog/datadir.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	snapshotsDir   = "snapshots" // raft's name for the folder of the snapshots
 	storageFile    = "raft.db"
 	newStorageFile = "raft.db.new" // renamed to storageFile once it holds the bootstrapped cluster
 )
@@ -42,7 +43,7 @@
 // them but never removes them.
 func removeInterruptedSnapshots(dataDir string) {
 	const suffix = ".tmp" // of a snapshot's folder until raft renames it
-	dir := filepath.Join(dataDir, "snapshots")
+	dir := filepath.Join(dataDir, snapshotsDir)
 	entries, err := os.ReadDir(dir)
 	for _, entry := range entries {
 		if strings.HasSuffix(entry.Name(), suffix) {
@@ -55,7 +56,8 @@
 }
 
 // openStorage opens raft's storage in the data folder. If the folder holds no raft state, it first
-// bootstraps the cluster with opt.Peers as its configuration.
+// bootstraps the cluster with opt.Peers as its configuration. If it holds part of a bootstrap, it
+// completes it.
 func openStorage(opt Options, cfg *raft.Config, snapshots raft.SnapshotStore, transport raft.Transport) (*retryingStorage, error) {
 	path := filepath.Join(opt.DataDir, storageFile)
 	storage, err := openStorageWithState(opt, path, snapshots)
@@ -70,6 +72,10 @@
 			return nil, err
 		}
 	}
+	if err := completeBootstrap(opt, cfg, storage, transport); err != nil {
+		storage.Close()
+		return nil, fmt.Errorf("catalog: bootstrap: %w", err)
+	}
 	// Nothing else makes the entries of raft.db and of the folder of the snapshots durable.
 	if err := syncDir(opt.DataDir); err != nil {
 		storage.Close()
@@ -139,7 +145,7 @@
 }
 
 // bootstrap stores the first configuration of the cluster, unless there are snapshots, which hold one.
-func bootstrap(peers []Peer, cfg *raft.Config, storage raftStorage, snapshots raft.SnapshotStore, transport raft.Transport) error {
+func bootstrap(peers []Peer, cfg *raft.Config, storage logAndStableStore, snapshots raft.SnapshotStore, transport raft.Transport) error {
 	hasState, err := raft.HasExistingState(storage, storage, snapshots)
 	if err != nil || hasState {
 		return err
@@ -151,3 +157,31 @@
 	}
 	return raft.BootstrapCluster(cfg, storage, storage, snapshots, transport, configuration)
 }
+
+// completeBootstrap stores the first configuration of the cluster if the data folder holds a term but
+// no configuration, as a bootstrap that was interrupted between the two leaves it: neither a log entry
+// nor a snapshot, not even an unreadable one.
+//
+// The term and the vote stay, because without a configuration raft votes for its peers. The entry is
+// the one that each peer has bootstrapped with, so it agrees with the log of any leader.
+func completeBootstrap(opt Options, cfg *raft.Config, storage raftStorage, transport raft.Transport) error {
+	last, err := storage.LastIndex()
+	if err != nil || last > 0 {
+		return err
+	}
+	snapshots, err := os.ReadDir(filepath.Join(opt.DataDir, snapshotsDir))
+	if err != nil || len(snapshots) > 0 {
+		return err
+	}
+	// Raft refuses to bootstrap a storage that holds a term.
+	complete := raft.NewInmemStore()
+	if err := bootstrap(opt.Peers, cfg, complete, raft.NewInmemSnapshotStore(), transport); err != nil {
+		return err
+	}
+	var configuration raft.Log
+	if err := complete.GetLog(1, &configuration); err != nil {
+		return err
+	}
+	slog.Warn("data folder holds a term without a configuration, bootstrap completed", "peers", len(opt.Peers))
+	return storage.StoreLog(&configuration)
+}
--- a/internal/catalog/datadir_test.go
+++ b/internal/catalog/datadir_test.go
@@ -36,6 +36,22 @@
 	return contents
 }
 
+const votedTerm = 3 // of the vote of storeVote
+
+// storeVote makes a storage without log entries that holds a term and a vote for a peer.
+func storeVote(t *testing.T, dir string) {
+	t.Helper()
+	storage, err := openBoltStorage(filepath.Join(dir, storageFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = errors.Join(storage.SetUint64([]byte("CurrentTerm"), votedTerm), storage.SetUint64([]byte("LastVoteTerm"), votedTerm),
+		storage.Set([]byte("LastVoteCand"), []byte("peer")), storage.Close())
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
 // An instance whose first start is interrupted at any step of the bootstrap must bootstrap itself and
 // lead at the next start.
 func TestInterruptedBootstrapStartsAnew(t *testing.T) {
@@ -66,6 +82,28 @@
 			c.mustPut("s-1")
 		})
 	}
+	t.Run("term and vote without configuration in the renamed file", func(t *testing.T) {
+		addr, dir := freeAddr(t), t.TempDir()
+		storeVote(t, dir)
+		c := openSingleNode(t, dir, addr)
+		defer c.close()
+		c.mustPut("s-1")
+		if term := c.node.raft.CurrentTerm(); term <= votedTerm {
+			t.Errorf("leads in term %d although it voted for a peer in term %d", term, votedTerm)
+		}
+	})
+	t.Run("term and vote beside an unreadable snapshot", func(t *testing.T) {
+		addr, dir := freeAddr(t), t.TempDir()
+		storeVote(t, dir)
+		if err := os.MkdirAll(filepath.Join(dir, snapshotsDir, "1-1-1"), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		c := openSingleNode(t, dir, addr)
+		defer c.close()
+		if last, err := c.storage.LastIndex(); last != 0 || err != nil {
+			t.Errorf("a folder that lost its state was bootstrapped anew: last log entry %d, %v", last, err)
+		}
+	})
 	t.Run("file not renamed", func(t *testing.T) {
 		addr, dir := freeAddr(t), t.TempDir()
 		openSingleNode(t, dir, addr).close()
--- a/internal/catalog/disk.go
+++ b/internal/catalog/disk.go
@@ -9,10 +9,15 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// raftStorage persists raft's log and its stable state (current term and vote).
-type raftStorage interface {
+// logAndStableStore holds raft's log and its stable state (current term and vote).
+type logAndStableStore interface {
 	raft.LogStore
 	raft.StableStore
+}
+
+// raftStorage persists raft's log and its stable state.
+type raftStorage interface {
+	logAndStableStore
 	Close() error
 }
 
