--- a/internal/catalog/hang.go
+++ b/internal/catalog/hang.go
@@ -145,19 +145,59 @@
 	}
 }
 
-// handleReturn connects the instance with its peers again. Raft still takes itself for the leader, so
-// the list stays out of date until a quorum confirms that it is, or until raft steps down.
+// handleReturn connects the instance with its peers again. Its list stays out of date until
+// catchUpAfterHang returns.
 func (n *Node) handleReturn() {
+	term := n.raft.CurrentTerm()
 	if !n.raftConns.rejoin() {
 		return
 	}
-	n.pendingLeaderChecks.Add(1)
+	n.pendingCatchUps.Add(1)
 	go func() {
-		defer n.pendingLeaderChecks.Add(-1)
-		n.raft.VerifyLeader().Error() // on an error, raft is not the leader any more
+		defer n.pendingCatchUps.Add(-1)
+		n.catchUpAfterHang(term)
 	}()
 }
 
+// catchUpPollInterval is the interval at which catchUpAfterHang looks for applied entries.
+const catchUpPollInterval = 10 * time.Millisecond
+
+// catchUpAfterHang waits until the list may be served again by an instance that led the given term when
+// its write hung. Raft still takes itself for the leader at first, and after it has stepped down it may
+// have contact with a new leader for seconds before it gets entries: leaders send heartbeats at once,
+// but entries only after a delay that grows up to 10 s with the failures. The list may be served once a
+// quorum confirms the leadership, or once an entry of a later term is applied, with which every leader
+// begins.
+func (n *Node) catchUpAfterHang(term uint64) {
+	_, restores := n.store.progress()
+	if n.raft.VerifyLeader().Error() == nil {
+		return
+	}
+	for n.raft.State() != raft.Shutdown && !n.appliedLaterTerm(term, restores) {
+		time.Sleep(catchUpPollInterval)
+	}
+}
+
+// appliedLaterTerm reports whether the list holds all commands up to an entry of a term later than the
+// given one, or was restored from a snapshot of a leader since there were the given number of restores.
+func (n *Node) appliedLaterTerm(term uint64, restores int) bool {
+	appliedIndex, currentRestores := n.store.progress()
+	if currentRestores > restores {
+		return true
+	}
+	index := n.raft.AppliedIndex() // may be ahead of the store
+	var entry raft.Log
+	if err := n.storage.GetLog(index, &entry); err != nil || entry.Term <= term {
+		return false
+	}
+	first, err := n.storage.FirstIndex()
+	if err != nil {
+		return false
+	}
+	command, err := lastCommand(n.storage, max(first, n.replay.firstIndex), index)
+	return err == nil && appliedIndex >= command.Index
+}
+
 // hangReason returns why a hang makes the list of this instance out of date, or "". The list of a
 // single instance is never out of date: no other instance can change it.
 func (n *Node) hangReason() string {
@@ -167,8 +207,8 @@
 	if hungFor := n.hangs.hungFor(); hungFor > 0 {
 		return fmt.Sprintf("write to the data folder hangs for %v", hungFor.Round(time.Millisecond))
 	}
-	if n.pendingLeaderChecks.Load() > 0 {
-		return "leadership not confirmed yet after a hang of the data folder"
+	if n.pendingCatchUps.Load() > 0 {
+		return "not caught up yet after a hang of the data folder"
 	}
 	return ""
 }
--- a/internal/catalog/hang_test.go
+++ b/internal/catalog/hang_test.go
@@ -56,7 +56,8 @@
 }
 
 // While a log write of the leader hangs, the other instances must elect a leader and take writes, and
-// the instance must serve no list. Once the write returns, it must follow the new leader.
+// the instance must serve no list. Once the write returns, it must follow the new leader and serve no
+// list without what was written meanwhile.
 func TestPeersReplaceLeaderWhoseLogWriteHangs(t *testing.T) {
 	cluster := openCluster(t)
 	hung := waitForLeader(t, cluster, nil)
@@ -81,6 +82,10 @@
 	}
 
 	unlock()
+	waitFor(t, "a list of the instance that hung", func() bool { return hung.node.StaleReason() == "" })
+	if _, found := hung.node.store.member("s-2"); !found {
+		t.Error("the instance that hung serves its list without what was written meanwhile")
+	}
 	leader = waitForLeader(t, cluster, hung)
 	leader.mustPut("s-4")
 	waitFor(t, "the list of the leader on the instance that hung", func() bool {
--- a/internal/catalog/node.go
+++ b/internal/catalog/node.go
@@ -23,7 +23,7 @@
 	watchSlots chan struct{}          // holds one token per open watch
 	admission  *admissionController
 
-	pendingLeaderChecks atomic.Int32 // checks after hangs whether this instance is still the leader
+	pendingCatchUps atomic.Int32 // running calls of catchUpAfterHang
 }
 
 // retainedSnapshots is the number of complete snapshots that raft keeps.
--- a/internal/catalog/replay.go
+++ b/internal/catalog/replay.go
@@ -12,6 +12,7 @@
 // of the last snapshot, or empty, although raft already has a leader.
 type logReplay struct {
 	log             raft.LogStore
+	firstIndex      uint64   // first log entry beyond the snapshot that raft restores at its start
 	lastCommand     raft.Log // the last command in the log at the start, beyond the last snapshot; Index 0 if there is none
 	initialRestores int      // restores of a snapshot that raft makes at its start
 	done            atomic.Bool
@@ -33,17 +34,24 @@
 	if err != nil {
 		return nil, err
 	}
-	for index := last; index > snapshotIndex; index-- {
+	r.firstIndex = snapshotIndex + 1
+	r.lastCommand, err = lastCommand(log, r.firstIndex, last)
+	return r, err
+}
+
+// lastCommand returns the last command among the log entries from first to last, or an entry with Index
+// 0 if there is none.
+func lastCommand(log raft.LogStore, first, last uint64) (raft.Log, error) {
+	for index := last; index >= first; index-- {
 		var entry raft.Log
 		if err := log.GetLog(index, &entry); err != nil {
-			return nil, err
+			return raft.Log{}, err
 		}
 		if entry.Type == raft.LogCommand {
-			r.lastCommand = entry
-			break
+			return entry, nil
 		}
 	}
-	return r, nil
+	return raft.Log{}, nil
 }
 
 // finished reports whether the store has applied the last command or has restored a snapshot of a
