--- a/internal/gateway/arrival.go
+++ b/internal/gateway/arrival.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"bramblelock/internal/gateway/socket"
 )
 
 // A client counts the time of its request from the request's last byte. The gateway may read that
@@ -121,15 +123,15 @@
 // time ago, or so much has been read since that a full receive window may have kept bytes back.
 func (a *arrivalTracker) lastByteArrivedAfter(now time.Time, fd int) time.Time {
 	at := a.arrivedAfter(a.totalRead)
-	if a.readSinceEmpty > minReceiveWindow || now.Sub(a.emptyAt) <= kernelTick {
+	if a.readSinceEmpty > minReceiveWindow || now.Sub(a.emptyAt) <= socket.KernelTick {
 		return at
 	}
-	age, ok := lastDataAge(fd)
+	age, ok := socket.LastDataAge(fd)
 	if !ok {
 		return at
 	}
 	byKernel := laterOf(a.emptyAt, now.Add(-age))
-	if diff := at.Sub(byKernel); diff >= 0 && diff <= kernelTick {
+	if diff := at.Sub(byKernel); diff >= 0 && diff <= socket.KernelTick {
 		return at
 	}
 	return byKernel
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"bramblelock/internal/gateway/socket"
 )
 
 // backlog is a listener that knows since when a connection may have waited to be accepted.
@@ -60,7 +62,7 @@
 	now := time.Now()
 	l.raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := retryInterrupted(func() (int, error) { return unix.Poll(fds, 0) })
+		n, err := socket.RetryInterrupted(func() (int, error) { return unix.Poll(fds, 0) })
 		empty = err == nil && n == 0
 	})
 	if empty {
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"bramblelock/internal/gateway/framing"
+	"bramblelock/internal/gateway/socket"
 )
 
 // This file implements the connection of a client: reading, read deadlines, and closing it without
@@ -41,8 +42,8 @@
 		framed.Conn = queued.Conn
 		framed.arrivals = queued.arrivals
 	}
-	framed.raw = rawConn(framed.Conn)
-	framed.reader.init(framed.raw, framed.readAvailable)
+	framed.raw = socket.Raw(framed.Conn)
+	framed.reader.Init(framed.raw, framed.readAvailable)
 	return framed
 }
 
@@ -59,7 +60,7 @@
 	idleSince    time.Time      // when idle became true last
 	arrivals     arrivalTracker // bounds the arrival time of the bytes that are read next
 	readDeadline time.Time      // current deadline of reads
-	reader       connReader     // used by Read alone, without mu
+	reader       socket.Reader  // used by Read alone, without mu
 	parser       framing.Parser
 }
 
@@ -80,7 +81,7 @@
 		c.parse(p[:n])
 		return n, err
 	}
-	n, err = c.reader.read(p)
+	n, err = c.reader.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		n, err = c.readAfterDeadline(p, err)
 	}
@@ -102,8 +103,8 @@
 func (c *framedConn) readAfterDeadline(p []byte, timeoutErr error) (n int, err error) {
 	err = timeoutErr
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
-		unread, _ := unreadBytes(int(fd))
-		age, ok := lastDataAge(int(fd))
+		unread, _ := socket.UnreadBytes(int(fd))
+		age, ok := socket.LastDataAge(int(fd))
 		c.mu.Lock()
 		inTime := ok && unread > 0 && time.Now().Add(-age).Before(c.readDeadline)
 		c.mu.Unlock()
@@ -173,7 +174,7 @@
 		return 0, true, net.ErrClosed
 	}
 	now := time.Now()
-	n, err = retryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
+	n, err = socket.RetryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
 	if err == syscall.EAGAIN {
 		c.noteNothingUnread(now)
 		*waitingSince = now
@@ -215,7 +216,7 @@
 
 // noteUnreadBody records how many bytes of a body wait to be read.
 func (c *framedConn) noteUnreadBody(now time.Time, fd int) {
-	if unread, ok := unreadBytes(fd); ok {
+	if unread, ok := socket.UnreadBytes(fd); ok {
 		c.arrivals.noteUnread(now, unread)
 	}
 }
@@ -241,7 +242,7 @@
 // lastKnownIncomplete returns the last time at which the body that is arriving is known to have
 // been incomplete.
 func (c *framedConn) lastKnownIncomplete(now time.Time, fd int) time.Time {
-	unread, ok := unreadBytes(fd)
+	unread, ok := socket.UnreadBytes(fd)
 	if !ok {
 		return now
 	}
@@ -301,7 +302,7 @@
 	}
 	unread := 0
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
-		unread, _ = peek(int(fd))
+		unread, _ = socket.Peek(int(fd))
 	})
 	return unread > 0
 }
@@ -331,7 +332,7 @@
 	gone := false
 	err := c.raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := retryInterrupted(func() (int, error) { return unix.Poll(fds, 0) })
+		n, err := socket.RetryInterrupted(func() (int, error) { return unix.Poll(fds, 0) })
 		gone = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
 	return gone || err != nil
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/stall"
 )
 
 // This file computes how long calls for the list may take and when they are repeated.
@@ -95,7 +96,7 @@
 	timer = time.AfterFunc(after, func() {
 		<-timerSet
 		if c := d.currentConn(); c != nil && c.hasRecentData() {
-			timer.Reset(stallReadTime)
+			timer.Reset(stall.ReadTime)
 			return
 		}
 		onSilence()
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -13,6 +13,7 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/socket"
 )
 
 const (
@@ -274,7 +275,7 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c.Conn, c.raw, c.acquiredAt = netConn, rawConn(netConn), time.Now()
+	c.Conn, c.raw, c.acquiredAt = netConn, socket.Raw(netConn), time.Now()
 	c.limited = &io.LimitedReader{R: netConn}
 	c.reader = bufio.NewReader(c.limited)
 	return c, nil
@@ -306,7 +307,7 @@
 	}
 	open := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		_, err := peek(int(fd))
+		_, err := socket.Peek(int(fd))
 		open = err == syscall.EAGAIN
 		return true
 	})
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/stall"
 )
 
 // processStall describes the time after the process was stalled (stopped, or without its CPU core),
@@ -11,24 +12,24 @@
 type processStall struct {
 	since    time.Time  // when the stall was detected
 	until    time.Time  // timers wait at least until then
-	attempts []*attempt // attempts whose answers had arrived; timers wait for their ends, for up to maxStallReadTime
+	attempts []*attempt // attempts whose answers had arrived; timers wait for their ends, for up to stall.MaxReadTime
 }
 
 // deferTimers returns whether timers have to wait because the process was stalled. A timer that is
-// late by more than stallThreshold shows a stall.
+// late by more than stall.Threshold shows a stall.
 func (l *Loop) deferTimers(now bramblelock.Time) bool {
 	if len(l.timers) == 0 {
 		return false
 	}
 	wall := time.Now()
 	if l.stall == nil {
-		if now-l.timers[0].at <= stallThreshold {
+		if now-l.timers[0].at <= stall.Threshold {
 			return false
 		}
-		l.stall = &processStall{since: wall, until: wall.Add(stallReadTime), attempts: l.attemptsWithAnswer()}
+		l.stall = &processStall{since: wall, until: wall.Add(stall.ReadTime), attempts: l.attemptsWithAnswer()}
 		return true
 	}
-	if wall.Before(l.stall.until) || l.stall.awaitsAttempt() && wall.Sub(l.stall.since) < maxStallReadTime {
+	if wall.Before(l.stall.until) || l.stall.awaitsAttempt() && wall.Sub(l.stall.since) < stall.MaxReadTime {
 		l.stall.until = laterOf(l.stall.until, wall.Add(time.Millisecond))
 		return true
 	}
--- a/internal/gateway/unread.go
+++ b/internal/gateway/unread.go
@@ -2,20 +2,9 @@
 
 import (
 	"time"
-)
 
-const (
-	// kernelTick is the accuracy of the age of data that the kernel reports: a tick of up to 10 ms.
-	kernelTick = 10 * time.Millisecond
-	// stallThreshold is how late a timer must fire, or how long data from discovery must have been
-	// unread, for the process to count as stalled.
-	stallThreshold = 100 * time.Millisecond
-	// stallReadTime is how long unread data is read after a stall before a timer is handled, as
-	// timers act on the absence of data. It is also the interval of checks in
-	// awaitUnreadAnswer.
-	stallReadTime = 20 * time.Millisecond
-	// maxStallReadTime is the upper limit on the wait for unread answers to be read.
-	maxStallReadTime = 250 * time.Millisecond
+	"bramblelock/internal/gateway/socket"
+	"bramblelock/internal/gateway/stall"
 )
 
 // hasUnreadAnswer returns whether part of an answer has arrived that nobody has read.
@@ -25,17 +14,17 @@
 	}
 	unread := false
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
-		n, ok := unreadBytes(int(fd))
+		n, ok := socket.UnreadBytes(int(fd))
 		unread = ok && n > 0
 	})
 	return unread
 }
 
 // awaitUnreadAnswer waits until another goroutine has read what has arrived of an answer, for
-// maxStallReadTime at most.
+// stall.MaxReadTime at most.
 func (c *conn) awaitUnreadAnswer() {
-	for end := time.Now().Add(maxStallReadTime); c.hasUnreadAnswer() && time.Now().Before(end); {
-		time.Sleep(stallReadTime)
+	for end := time.Now().Add(stall.MaxReadTime); c.hasUnreadAnswer() && time.Now().Before(end); {
+		time.Sleep(stall.ReadTime)
 	}
 }
 
@@ -47,7 +36,7 @@
 	}
 	arrived := false
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
-		age, ok := lastDataAge(int(fd))
+		age, ok := socket.LastDataAge(int(fd))
 		arrived = ok && time.Now().Add(-age).After(wrote)
 	})
 	return arrived
@@ -58,12 +47,12 @@
 // host. 0 means that the answer did not wait, or that the kernel does not report its arrival.
 func (c *conn) answerDuration(began, wrote time.Time) time.Duration {
 	now := time.Now()
-	if c.raw == nil || now.Sub(wrote) <= kernelTick {
+	if c.raw == nil || now.Sub(wrote) <= socket.KernelTick {
 		return 0
 	}
 	took := time.Duration(0)
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
-		if age, ok := lastDataAge(int(fd)); ok && age > kernelTick {
+		if age, ok := socket.LastDataAge(int(fd)); ok && age > socket.KernelTick {
 			took = max(now.Add(-age).Sub(began), wrote.Sub(began), 1)
 		}
 	})
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/watchconn.go
@@ -7,16 +7,19 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"bramblelock/internal/gateway/socket"
+	"bramblelock/internal/gateway/stall"
 )
 
 // watchConn is a connection to discovery that knows whether the lists that arrived on it have been
-// applied by the loop. Data is delayed if it may have been unread for stallThreshold or longer, as
+// applied by the loop. Data is delayed if it may have been unread for stall.Threshold or longer, as
 // after a stall of the process. The caller of Read must have passed all whole lists that it read to
 // the loop before it calls Read again.
 type watchConn struct {
 	net.Conn
 	raw        syscall.RawConn // of Conn; nil if there is no socket, as in some tests
-	reader     connReader
+	reader     socket.Reader
 	checkDelay func(fd uintptr) // argument of raw.Control in hasOverdueUpdate; sets unreadDelayed
 	syncLists  func()           // returns once the loop has applied everything that was passed to it
 
@@ -30,8 +33,8 @@
 }
 
 func newWatchConn(c net.Conn, syncLists func()) *watchConn {
-	w := &watchConn{Conn: c, raw: rawConn(c), syncLists: syncLists, emptyAt: time.Now()}
-	w.reader.init(w.raw, w.readAvailable)
+	w := &watchConn{Conn: c, raw: socket.Raw(c), syncLists: syncLists, emptyAt: time.Now()}
+	w.reader.Init(w.raw, w.readAvailable)
 	w.checkDelay = func(fd uintptr) { w.unreadDelayed = w.hasDelayedData(int(fd)) }
 	return w
 }
@@ -41,7 +44,7 @@
 	if c.raw == nil {
 		return c.Conn.Read(p)
 	}
-	n, err := c.reader.read(p)
+	n, err := c.reader.Read(p)
 	var call syscall.Errno
 	switch {
 	case errors.As(err, &call):
@@ -56,12 +59,12 @@
 
 // readAvailable reads the available data and checks how long it has been unread. It holds c.mu for both,
 // so that hasOverdueUpdate sees the data either as unread or as counted in delayedReads. It returns
-// false for done if there is no data. It does not use its last parameter, which connReader passes.
+// false for done if there is no data. It does not use its last parameter, which socket.Reader passes.
 func (c *watchConn) readAvailable(fd int, p []byte, _ *time.Time) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delayed := c.hasDelayedData(fd)
-	n, err = retryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
+	n, err = socket.RetryInterrupted(func() (int, error) { return syscall.Read(fd, p) })
 	if err == syscall.EAGAIN {
 		c.noteListsPassed()
 		return 0, false, nil
@@ -114,7 +117,7 @@
 	return c.unreadDelayed
 }
 
-// hasRecentData returns whether there is unread data, or data was read less than stallThreshold
+// hasRecentData returns whether there is unread data, or data was read less than stall.Threshold
 // ago.
 func (c *watchConn) hasRecentData() (unread bool) {
 	c.mu.Lock()
@@ -122,17 +125,17 @@
 	if c.raw == nil {
 		return false
 	}
-	if time.Since(c.lastReadAt) < stallThreshold {
+	if time.Since(c.lastReadAt) < stall.Threshold {
 		return true
 	}
 	c.raw.Control(func(fd uintptr) { // fails only if the connection is closed
-		n, ok := unreadBytes(int(fd))
+		n, ok := socket.UnreadBytes(int(fd))
 		unread = ok && n > 0
 	})
 	return unread
 }
 
-// hasDelayedData returns whether there is unread data that may have arrived stallThreshold ago or
+// hasDelayedData returns whether there is unread data that may have arrived stall.Threshold ago or
 // earlier, so that the process may have been stalled. The kernel reports the age of the newest data
 // only, and older data may be unread before it, so the age is counted from the last time at which
 // nothing was unread. The result may therefore be true for recent data if nobody looked for a while,
@@ -140,7 +143,7 @@
 // reports no ages. The caller holds c.mu.
 func (c *watchConn) hasDelayedData(fd int) bool {
 	now := time.Now()
-	unread, ok := unreadBytes(fd)
+	unread, ok := socket.UnreadBytes(fd)
 	if !ok {
 		return false
 	}
@@ -148,6 +151,6 @@
 		c.emptyAt = now
 		return false
 	}
-	_, supported := lastDataAge(fd)
-	return supported && now.Sub(c.emptyAt) >= stallThreshold
+	_, supported := socket.LastDataAge(fd)
+	return supported && now.Sub(c.emptyAt) >= stall.Threshold
 }
--- a/internal/gateway/watchconn_test.go
+++ b/internal/gateway/watchconn_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"testing"
 	"testing/synctest"
+
+	"bramblelock/internal/gateway/socket"
 )
 
 // Data that has waited unread for long counts as delayed even if more arrives behind it.
@@ -27,7 +29,7 @@
 	io.WriteString(theirs, "new")
 	until(t, "more has arrived", func() (arrived bool) {
 		c.raw.Control(func(fd uintptr) {
-			n, _ := unreadBytes(int(fd))
+			n, _ := socket.UnreadBytes(int(fd))
 			arrived = n == len("oldnew")
 		})
 		return arrived
