--- a/internal/gateway/bubble_gateway_test.go
+++ b/internal/gateway/bubble_gateway_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"strconv"
 	"testing"
@@ -28,12 +27,7 @@
 	pool := NewPool(cfg)
 	pool.dial = n.dial
 	d := NewDiscovery(cfg)
-	d.client.Transport = &http.Transport{DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, watchDialTimeout)
-			defer cancel()
-			return n.dial(ctx, network, addr)
-		}}
+	d.Dial = n.dial
 	loop, err := NewLoop(cfg, pool, d.Watch)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -24,14 +24,14 @@
 	allCallsTimeout = 3 * bramblelock.NotifiedAfter / 4
 	// If there is one address, a call that is given up keeps its place in the queue of discovery
 	// and the next call gets another one, so a call is given enough time to be served in turn. Its
-	// timeout is one of these factors times silenceTimeout. After a watch that ended, the deadline
+	// timeout is one of these factors times SilenceTimeout. After a watch that ended, the deadline
 	// for notifications leaves no time for a second call anyway. After a watch that fell silent,
 	// part of the time until that deadline has passed, and after a change of addresses that time is
 	// short, so the smallest factor applies to both.
 	urgentTimeoutFactor = 1
 	usualTimeoutFactor  = 1.5
 	endedTimeoutFactor  = 2
-	watchDialTimeout    = 500 * time.Millisecond
+	dialTimeout         = 500 * time.Millisecond
 	// If lists are pushed (onDemand is false), a change that the gateway's own agent has counts as
 	// notified whether or not a watch is open, so a new watch begins soon. With its jitter, a wait
 	// may be up to twice maxWatchBackoff.
@@ -51,6 +51,15 @@
 // Discovery watches the list of hosts by calls to the discovery service, and passes the list and its
 // changes on to a ListHandler. A watch is a call whose answer stays open and streams lists.
 type Discovery struct {
+	// SilenceTimeout is how long nothing may arrive on a watch before it is given up. The timeouts of
+	// calls follow from it. NewDiscovery sets it to bramblelock.SilentAfter. It must not be changed
+	// after Run has been called.
+	SilenceTimeout time.Duration
+	// Dial connects to an address of discovery for a call, within the time of ctx, which is at most
+	// dialTimeout. NewDiscovery sets it to a dial over the network. It must not be changed after Run
+	// has been called.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+
 	addrsChanged    chan struct{} // signals that there are other addresses to watch
 	onDemand        bool          // a watch begins when Watch is called, as the Balancer decides; Run states the exceptions
 	watchRequested  chan struct{}
@@ -59,8 +68,7 @@
 	unansweredCalls int    // consecutive calls without an answer; owned by Run
 	client          http.Client
 	syncLists       func()        // returns once the lists that were passed on are in force
-	silenceTimeout  time.Duration // a watch on which nothing arrives for this long is given up
-	timeoutFactor   float64       // time that the next call may take, as a multiple of silenceTimeout; owned by Run
+	timeoutFactor   float64       // time that the next call may take, as a multiple of SilenceTimeout; owned by Run
 	answerTimeout   time.Duration // time that a call may go without an answer if there are several addresses
 	lastHeardAt     time.Time     // when discovery last sent anything; owned by Run
 	olderListSince  time.Time     // since when only lists older than the one in use were offered; zero if none was; owned by Run
@@ -113,7 +121,8 @@
 		version:        cfg.Known.Version,
 		haveList:       len(cfg.Known.Servers) > 0,
 		lastHeardAt:    time.Now(),
-		silenceTimeout: bramblelock.SilentAfter,
+		SilenceTimeout: bramblelock.SilentAfter,
+		Dial:           (&net.Dialer{}).DialContext,
 		timeoutFactor:  usualTimeoutFactor,
 		answerTimeout:  callTimeout,
 		maxRetryDelay:  cfg.Settings.MaxWatchGap,
@@ -125,7 +134,9 @@
 
 // dial connects to discovery for a call and makes the connection the current one.
 func (d *Discovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	c, err := (&net.Dialer{Timeout: watchDialTimeout}).DialContext(ctx, network, addr)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	c, err := d.Dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery_calls.go
@@ -46,13 +46,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n := len(d.addrs); n > 1 {
-		return min(d.silenceTimeout, d.answerTimeout, max(minCallTimeout, allCallsTimeout/time.Duration(n)))
+		return min(d.SilenceTimeout, d.answerTimeout, max(minCallTimeout, allCallsTimeout/time.Duration(n)))
 	}
 	factor := d.timeoutFactor
 	if d.unansweredCalls > 0 {
 		factor = max(factor, endedTimeoutFactor)
 	}
-	return time.Duration(factor * float64(d.silenceTimeout))
+	return time.Duration(factor * float64(d.SilenceTimeout))
 }
 
 // errEnded marks a watch whose call was answered and whose answer then ended without an error of the
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -143,7 +143,7 @@
 	cfg := &config.Config{Discovery: ln.Addr().String() + "," + strings.TrimPrefix(available.URL, "http://")}
 	cfg.Settings.WatchHosts = true
 	d := NewDiscovery(cfg)
-	d.answerTimeout, d.silenceTimeout = 50*time.Millisecond, time.Hour
+	d.answerTimeout, d.SilenceTimeout = 50*time.Millisecond, time.Hour
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -170,7 +170,7 @@
 	cfg := testConfig()
 	cfg.Settings.WatchHosts, cfg.Discovery = true, host.addr()
 	d := NewDiscovery(cfg)
-	d.silenceTimeout = 300 * time.Millisecond
+	d.SilenceTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	received, done := make(listRecorder, 8), make(chan struct{})
 	go func() {
--- a/internal/gateway/discovery_watch.go
+++ b/internal/gateway/discovery_watch.go
@@ -94,7 +94,7 @@
 		return false, fmt.Errorf("discovery answers %s", resp.Status)
 	}
 	w.answered = true
-	w.silenceTimer.Reset(d.silenceTimeout)
+	w.silenceTimer.Reset(d.SilenceTimeout)
 	w.upToDate = d.haveList && w.index == d.version && w.index > 0 // else a list is still to come
 	return w.readLists(resp.Body)
 }
@@ -124,7 +124,7 @@
 // noteData records that data has arrived. blank means that it is only white space. If that is the first
 // data, the list has not changed since the version of the call.
 func (w *watchCall) noteData(blank bool) {
-	w.silenceTimer.Reset(w.d.silenceTimeout)
+	w.silenceTimer.Reset(w.d.SilenceTimeout)
 	w.received = true
 	w.d.lastHeardAt = time.Now()
 	if blank && w.upToDate {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -145,7 +145,7 @@
 	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = onDemand, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	d := NewDiscovery(cfg)
-	d.silenceTimeout = 300 * time.Millisecond
+	d.SilenceTimeout = 300 * time.Millisecond
 	g := startGatewayWithWatch(t, cfg, d.Watch)
 	loop := g.loop
 	done := make(chan struct{})
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -108,7 +108,7 @@
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	g := startGateway(t, cfg)
 	d := NewDiscovery(cfg)
-	d.silenceTimeout = 50 * time.Millisecond
+	d.SilenceTimeout = 50 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.Run(ctx, g.loop)
@@ -137,7 +137,7 @@
 	disco := newWatchServer(t)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	d := NewDiscovery(cfg)
-	d.silenceTimeout = 300 * time.Millisecond
+	d.SilenceTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	received := make(listRecorder, 8)
