--- a/cmd/catalog/storm_test.go
+++ b/cmd/catalog/storm_test.go
@@ -10,8 +10,8 @@
 	"bramblelock"
 	"bramblelock/internal/catalogfleet"
 	"bramblelock/internal/faultnet"
-	"bramblelock/internal/gateway"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/discovery"
 	"bramblelock/internal/gateway/hostlist"
 )
 
@@ -59,7 +59,7 @@
 	recorders := make([]*versionRecorder, watchers)
 	for i := range recorders {
 		recorders[i] = &versionRecorder{}
-		d := gateway.NewDiscovery(&config.Config{Discovery: link.Addr})
+		d := discovery.New(&config.Config{Discovery: link.Addr})
 		go d.Run(ctx, recorders[i])
 	}
 	allHaveVersion := func(v uint64) bool {
--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -9,6 +9,7 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway"
+	"bramblelock/internal/gateway/discovery"
 	"bramblelock/internal/membership"
 )
 
@@ -17,7 +18,7 @@
 type fleetSynchronizer struct {
 	members *membership.Node
 	loop    *gateway.Loop
-	roster  *gateway.Roster
+	roster  *discovery.Roster
 	rank    atomic.Int64                   // configured rank of this gateway, updated by a reload
 	status  atomic.Pointer[reportedStatus] // nil until the first update
 }
--- a/cmd/gateway/process.go
+++ b/cmd/gateway/process.go
@@ -11,6 +11,7 @@
 	"bramblelock"
 	"bramblelock/internal/gateway"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/discovery"
 	"bramblelock/internal/membership"
 )
 
@@ -26,7 +27,7 @@
 type process struct {
 	cfg              *config.Config // in force; replaced by reload
 	pool             *gateway.Pool
-	discovery        *gateway.Discovery
+	discovery        *discovery.Client
 	loop             *gateway.Loop
 	server           *gateway.Server
 	listener         net.Listener       // for clients
@@ -40,19 +41,19 @@
 func newProcess(cfg *config.Config) (*process, error) {
 	pool := gateway.NewPool(cfg)
 	wrapListener := injectFaults(pool)
-	discovery := gateway.NewDiscovery(cfg)
-	loop, err := gateway.NewLoop(cfg, pool, discovery.Watch)
+	client := discovery.New(cfg)
+	loop, err := gateway.NewLoop(cfg, pool, client.Watch)
 	if err != nil {
 		return nil, err
 	}
-	pool.SetUpdateSource(discovery)
-	discovery.SetSync(loop.Sync)
+	pool.SetUpdateSource(client)
+	client.SetSync(loop.Sync)
 	ln, err := listen(cfg)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	return &process{
-		cfg: cfg, pool: pool, discovery: discovery, loop: loop, server: gateway.NewServer(cfg, loop),
+		cfg: cfg, pool: pool, discovery: client, loop: loop, server: gateway.NewServer(cfg, loop),
 		listener: wrapListener(ln), serveErrors: make(chan error, 2),
 	}, nil
 }
@@ -70,7 +71,7 @@
 		p.shareConnections()
 	}
 	p.loop.HandleList(bramblelock.ListSaved, p.cfg.Known)
-	roster := gateway.NewRoster(p.cfg.Known, p.loop)
+	roster := discovery.NewRoster(p.cfg.Known, p.loop)
 	if p.cfg.Membership.Bind != "" {
 		// Started after the configured list is applied: a list that a peer sends during the join takes
 		// precedence over the configured one.
@@ -120,7 +121,7 @@
 }
 
 // joinFleet starts membership and the exchange of load and lists with peers.
-func (p *process) joinFleet(ctx context.Context, roster *gateway.Roster) error {
+func (p *process) joinFleet(ctx context.Context, roster *discovery.Roster) error {
 	options := p.cfg.Membership
 	node, err := membership.Start(membership.Options{
 		Name: p.cfg.Name, Bind: options.Bind, Peers: options.Peers, Local: options.Local, Lists: roster,
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
 // newAttempt returns an attempt without a loop.
@@ -181,7 +182,7 @@
 		if tt.want == bramblelock.Canceled {
 			go func() {
 				for requests := 0; requests == 0; requests, _, _ = host.counts() {
-					time.Sleep(pollInterval)
+					time.Sleep(gatewaytest.PollInterval)
 				}
 				cancel()
 			}()
--- a/internal/gateway/bubble_gateway_test.go
+++ b/internal/gateway/bubble_gateway_test.go
@@ -9,6 +9,7 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/discovery"
 	"bramblelock/internal/gateway/hostlist"
 )
 
@@ -19,14 +20,14 @@
 type bubbleGateway struct {
 	cfg  *config.Config
 	loop *Loop
-	d    *Discovery
+	d    *discovery.Client
 }
 
 // startBubble starts a gateway of a fleet.
 func startBubble(t *testing.T, ctx context.Context, n *bubbleNet, cfg *config.Config) *bubbleGateway {
 	pool := NewPool(cfg)
 	pool.dial = n.dial
-	d := NewDiscovery(cfg)
+	d := discovery.New(cfg)
 	d.Dial = n.dial
 	loop, err := NewLoop(cfg, pool, d.Watch)
 	if err != nil {
--- a/internal/gateway/clock_step_test.go
+++ b/internal/gateway/clock_step_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/gatewaytest"
 	"bramblelock/internal/gateway/hostlist"
 )
 
@@ -17,7 +18,7 @@
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for _, all := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%v, on all machines %t", step, all), func(t *testing.T) {
-				runInBubble(t, func(t *testing.T) { testRestartAfterStep(t, step, all) })
+				gatewaytest.RunInBubble(t, func(t *testing.T) { testRestartAfterStep(t, step, all) })
 			})
 		}
 	}
--- a/internal/gateway/discovery_calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -1,4 +1,4 @@
-package gateway
+package discovery
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 // applyRetryAfter sets retryAt from the value of a Retry-After header in seconds. It ignores a value
 // that is not a number of seconds, and cuts one that is longer than retryDelay allows.
-func (d *Discovery) applyRetryAfter(retryAfter string) {
+func (c *Client) applyRetryAfter(retryAfter string) {
 	if retryAfter == "" {
 		return
 	}
@@ -32,27 +32,27 @@
 	if s < requested.Seconds() {
 		requested = time.Duration(s * float64(time.Second))
 	}
-	wait := d.retryDelay(requested, rand.Float64())
+	wait := c.retryDelay(requested, rand.Float64())
 	if wait < requested {
 		slog.Warn("discovery's Retry-After is longer than changes may go unheard, cut", "value", retryAfter[:min(len(retryAfter), 40)])
 	}
-	d.retryAt = time.Now().Add(wait)
+	c.retryAt = time.Now().Add(wait)
 }
 
 // nextCallTimeout returns how long the next call may go without an answer. If there is one address and
 // the last call got no answer, that call may have waited in the queue of a busy discovery, so the next
 // one gets more time.
-func (d *Discovery) nextCallTimeout() time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if n := len(d.addrs); n > 1 {
-		return min(d.SilenceTimeout, d.answerTimeout, max(minCallTimeout, allCallsTimeout/time.Duration(n)))
+func (c *Client) nextCallTimeout() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if n := len(c.addrs); n > 1 {
+		return min(c.SilenceTimeout, c.answerTimeout, max(minCallTimeout, allCallsTimeout/time.Duration(n)))
 	}
-	factor := d.timeoutFactor
-	if d.unansweredCalls > 0 {
+	factor := c.timeoutFactor
+	if c.unansweredCalls > 0 {
 		factor = max(factor, endedTimeoutFactor)
 	}
-	return time.Duration(factor * float64(d.SilenceTimeout))
+	return time.Duration(factor * float64(c.SilenceTimeout))
 }
 
 // errEnded marks a watch whose call was answered and whose answer then ended without an error of the
@@ -76,12 +76,12 @@
 // time that a list may go without a call, which is maxRetryDelay (listAgeLogInterval if that is not
 // set). With a list, it does not exceed bramblelock.MaxWatchBackoff either, which follows from the
 // deadline for notifications.
-func (d *Discovery) retryDelay(requested time.Duration, jitter float64) time.Duration {
-	maxDelay := d.maxRetryDelay
+func (c *Client) retryDelay(requested time.Duration, jitter float64) time.Duration {
+	maxDelay := c.maxRetryDelay
 	if maxDelay <= 0 {
 		maxDelay = listAgeLogInterval
 	}
-	if d.haveList {
+	if c.haveList {
 		maxDelay = min(maxDelay, bramblelock.MaxWatchBackoff)
 	}
 	requested = min(requested, maxDelay)
@@ -91,11 +91,11 @@
 // startSilenceTimer returns a timer that calls onSilence after the given time unless it is reset or
 // stopped before. If there is unread data when the timer fires, the process was stalled and discovery
 // was not silent, so the data is read first.
-func (d *Discovery) startSilenceTimer(after time.Duration, onSilence func()) (timer *time.Timer) {
+func (c *Client) startSilenceTimer(after time.Duration, onSilence func()) (timer *time.Timer) {
 	timerSet := make(chan struct{})
 	timer = time.AfterFunc(after, func() {
 		<-timerSet
-		if c := d.currentConn(); c != nil && c.hasRecentData() {
+		if conn := c.currentConn(); conn != nil && conn.hasRecentData() {
 			timer.Reset(stall.ReadTime)
 			return
 		}
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery/client.go
@@ -1,4 +1,6 @@
-package gateway
+// Package discovery receives the list of hosts: Client watches it at the discovery service, and Roster
+// shares it with the other gateways of the fleet. Both pass it on to a ListHandler.
+package discovery
 
 import (
 	"context"
@@ -48,16 +50,16 @@
 	listAgeLogInterval = 10 * time.Second
 )
 
-// Discovery watches the list of hosts by calls to the discovery service, and passes the list and its
+// Client watches the list of hosts by calls to the discovery service, and passes the list and its
 // changes on to a ListHandler. A watch is a call whose answer stays open and streams lists.
-type Discovery struct {
+type Client struct {
 	// SilenceTimeout is how long nothing may arrive on a watch before it is given up. The timeouts of
-	// calls follow from it. NewDiscovery sets it to bramblelock.SilentAfter. It must not be changed
-	// after Run has been called.
+	// calls follow from it. New sets it to bramblelock.SilentAfter. It must not be changed after Run
+	// has been called.
 	SilenceTimeout time.Duration
 	// Dial connects to an address of discovery for a call, within the time of ctx, which is at most
-	// dialTimeout. NewDiscovery sets it to a dial over the network. It must not be changed after Run
-	// has been called.
+	// dialTimeout. New sets it to a dial over the network. It must not be changed after Run has been
+	// called.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	addrsChanged    chan struct{} // signals that there are other addresses to watch
@@ -66,7 +68,7 @@
 	version         uint64 // version of the list that was passed on last; owned by Run
 	needFullList    bool   // the next call requests a full list, not the changes since version; owned by Run
 	unansweredCalls int    // consecutive calls without an answer; owned by Run
-	client          http.Client
+	httpClient      http.Client
 	syncLists       func()        // returns once the lists that were passed on are in force
 	timeoutFactor   float64       // time that the next call may take, as a multiple of SilenceTimeout; owned by Run
 	answerTimeout   time.Duration // time that a call may go without an answer if there are several addresses
@@ -84,9 +86,11 @@
 	callConn    *watchConn              // connection of the present or the last call
 }
 
-// ListHandler receives lists of hosts, changes of them and reports of a loss of discovery. Loop and
-// Roster implement it.
+// ListHandler receives lists of hosts, changes of them and reports of a loss of discovery. The event
+// loop of the gateway and Roster implement it.
 type ListHandler interface {
+	// HandleList handles a list of the given kind. If kind is a loss of discovery, list is empty. It
+	// must not block for long, as the next list is read after it has returned.
 	HandleList(kind bramblelock.ListKind, list hostlist.List)
 }
 
@@ -111,9 +115,10 @@
 	errOlderList    = errors.New("discovery offers a list older than ours")
 )
 
-// NewDiscovery returns a Discovery that starts from the known list.
-func NewDiscovery(cfg *config.Config) *Discovery {
-	d := &Discovery{
+// New returns a Client for the discovery service of cfg, which starts from the list in cfg.Known. It
+// calls nobody before Run.
+func New(cfg *config.Config) *Client {
+	c := &Client{
 		addrs:          splitAddrs(cfg.Discovery),
 		addrsChanged:   make(chan struct{}, 1),
 		onDemand:       cfg.Settings.WatchHosts,
@@ -128,68 +133,69 @@
 		maxRetryDelay:  cfg.Settings.MaxWatchGap,
 		syncLists:      func() {},
 	}
-	d.client = http.Client{Transport: &http.Transport{DialContext: d.dial, DisableKeepAlives: true}}
-	return d
+	c.httpClient = http.Client{Transport: &http.Transport{DialContext: c.dial, DisableKeepAlives: true}}
+	return c
 }
 
 // dial connects to discovery for a call and makes the connection the current one.
-func (d *Discovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	c, err := d.Dial(ctx, network, addr)
+	conn, err := c.Dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	watch := newWatchConn(c, d.syncLists)
-	d.mu.Lock()
-	d.callConn = watch
-	d.mu.Unlock()
+	watch := newWatchConn(conn, c.syncLists)
+	c.mu.Lock()
+	c.callConn = watch
+	c.mu.Unlock()
 	return watch, nil
 }
 
 // currentConn returns the connection of the present or the last call, or nil before the first.
-func (d *Discovery) currentConn() *watchConn {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.callConn
+func (c *Client) currentConn() *watchConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.callConn
 }
 
 // SetSync sets a function that returns once the lists that were passed on are in force. It must be
 // called before Run.
-func (d *Discovery) SetSync(sync func()) { d.syncLists = sync }
+func (c *Client) SetSync(sync func()) { c.syncLists = sync }
 
 // UpdateOverdue returns whether discovery has written data that should be in force by now and is not.
 // That happens after the process was stalled: a change counts as notified from when it was written.
-func (d *Discovery) UpdateOverdue() bool {
-	c := d.currentConn()
-	return c != nil && c.hasOverdueUpdate()
+func (c *Client) UpdateOverdue() bool {
+	conn := c.currentConn()
+	return conn != nil && conn.hasOverdueUpdate()
 }
 
 // Watch requests a watch. The request has an effect only if watches begin on demand.
-func (d *Discovery) Watch() {
+func (c *Client) Watch() {
 	select {
-	case d.watchRequested <- struct{}{}:
+	case c.watchRequested <- struct{}{}:
 	default: // requested already
 	}
 }
 
-// SetAddrs changes the addresses of discovery. It ends the present watch, as the old address may
+// SetAddrs changes the addresses of discovery to addr: one address, or several addresses of one service
+// that are separated by commas, each a host:port. It ends the present watch, as the old address may
 // stay connected and send nothing more.
-func (d *Discovery) SetAddrs(addr string) {
+func (c *Client) SetAddrs(addr string) {
 	addrs := splitAddrs(addr)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if strings.Join(addrs, ",") == strings.Join(d.addrs, ",") {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if strings.Join(addrs, ",") == strings.Join(c.addrs, ",") {
 		return
 	}
-	d.addrs = addrs
-	d.addrIndex = 0
-	d.addrsUnused = true
+	c.addrs = addrs
+	c.addrIndex = 0
+	c.addrsUnused = true
 	select {
-	case d.addrsChanged <- struct{}{}:
+	case c.addrsChanged <- struct{}{}:
 	default: // Run has not handled the last change yet
 	}
-	if d.cancelWatch != nil {
-		d.cancelWatch(errAddrsChanged)
+	if c.cancelWatch != nil {
+		c.cancelWatch(errAddrsChanged)
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -1,4 +1,4 @@
-package gateway
+package discovery
 
 import (
 	"bytes"
@@ -15,6 +15,7 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/gatewaytest"
 	"bramblelock/internal/gateway/hostlist"
 )
 
@@ -40,7 +41,7 @@
 		{"", true, 0, 0}, {"NaN", true, 0, 0}, {"2", true, 2 * second, 5 * second / 2}, {"4", true, 3 * second, 3 * second},
 		{"99999999999999999999", true, 3 * second, 3 * second}, {"Inf", true, 3 * second, 3 * second},
 	} {
-		d := &Discovery{maxRetryDelay: 10 * time.Second, haveList: c.haveList}
+		d := &Client{maxRetryDelay: 10 * time.Second, haveList: c.haveList}
 		before := time.Now()
 		d.applyRetryAfter(c.value)
 		if c.maxWait == 0 {
@@ -77,7 +78,7 @@
 	defer srv.Close()
 	cfg := &config.Config{Discovery: strings.TrimPrefix(srv.URL, "http://"), Known: hostlist.List{Version: 5, Servers: []hostlist.Member{{ID: "s-1"}}}}
 	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = true, time.Second
-	d := NewDiscovery(cfg)
+	d := New(cfg)
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -102,7 +103,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer busy.Close()
-	available := newWatchServer(t)
+	available := gatewaytest.NewWatchServer(t)
 	down := httptest.NewServer(http.NotFoundHandler())
 	down.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
@@ -113,13 +114,13 @@
 		calls.Store(0)
 		cfg := &config.Config{Discovery: addr(down) + "," + addr(busy) + "," + c.third}
 		cfg.Settings.WatchHosts = true
-		d := NewDiscovery(cfg)
+		d := New(cfg)
 		received := make(listRecorder, 8)
 		ctx, cancel := context.WithCancel(t.Context())
 		go d.Run(ctx, received)
 		d.Watch()
 		if c.want == bramblelock.ListFull {
-			available.lines <- `{"version":3,"full":true,"servers":[]}`
+			available.Lines <- `{"version":3,"full":true,"servers":[]}`
 		}
 		if kind := <-received; kind != c.want {
 			t.Errorf("the module received %v, want %v", kind, c.want)
@@ -139,10 +140,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close() // never accepts: the call waits in the backlog
-	available := newWatchServer(t)
+	available := gatewaytest.NewWatchServer(t)
 	cfg := &config.Config{Discovery: ln.Addr().String() + "," + strings.TrimPrefix(available.URL, "http://")}
 	cfg.Settings.WatchHosts = true
-	d := NewDiscovery(cfg)
+	d := New(cfg)
 	d.answerTimeout, d.SilenceTimeout = 50*time.Millisecond, time.Hour
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -150,7 +151,7 @@
 	go d.Run(ctx, received)
 	d.Watch()
 	select {
-	case available.lines <- `{"version":3,"full":true,"servers":[]}`:
+	case available.Lines <- `{"version":3,"full":true,"servers":[]}`:
 	case <-time.After(20 * time.Second):
 		t.Fatal("the second instance is not called")
 	}
@@ -163,13 +164,14 @@
 // module, which spaces the calls of the fleet.
 func TestUnansweredCallIsRepeatedOnce(t *testing.T) {
 	calls := make(chan struct{}, 100)
-	host := newHost(t, func(net.Conn, *http.Request, int) bool {
+	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		calls <- struct{}{}
-		return true
-	})
-	cfg := testConfig()
-	cfg.Settings.WatchHosts, cfg.Discovery = true, host.addr()
-	d := NewDiscovery(cfg)
+		<-r.Context().Done()
+	}))
+	t.Cleanup(silent.Close)
+	cfg := &config.Config{}
+	cfg.Settings.WatchHosts, cfg.Discovery = true, strings.TrimPrefix(silent.URL, "http://")
+	d := New(cfg)
 	d.SilenceTimeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	received, done := make(listRecorder, 8), make(chan struct{})
@@ -216,7 +218,7 @@
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go NewDiscovery(&config.Config{Discovery: strings.TrimPrefix(srv.URL, "http://")}).Run(ctx, received)
+	go New(&config.Config{Discovery: strings.TrimPrefix(srv.URL, "http://")}).Run(ctx, received)
 	for n := range 5 {
 		want := bramblelock.ListChanges
 		if n == 0 {
@@ -227,7 +229,7 @@
 			if kind != want {
 				t.Errorf("list %d has the kind %v, want %v", n, kind, want)
 			}
-		case <-time.After(waitTimeout):
+		case <-time.After(gatewaytest.WaitTimeout):
 			t.Fatalf("only %d lists were received", n)
 		}
 	}
@@ -244,10 +246,10 @@
 		}
 		<-r.Context().Done()
 	}))
-	cfg := testConfig()
+	cfg := &config.Config{}
 	cfg.Discovery, cfg.Settings.WatchHosts = strings.TrimPrefix(server.URL, "http://"), true
 	cfg.Known = hostlist.List{Version: 41, Full: true, Servers: []hostlist.Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}}
-	d := NewDiscovery(cfg)
+	d := New(cfg)
 	received := make(listRecorder, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/gateway/discovery_run.go
+++ b/internal/gateway/discovery/run.go
@@ -1,4 +1,4 @@
-package gateway
+package discovery
 
 import (
 	"context"
@@ -21,17 +21,17 @@
 // On demand, a call begins without a request in four cases: after a change of addresses, after a watch
 // that fell silent, once after a call without an answer, and after a failed call while there are
 // addresses that were not called in this round.
-func (d *Discovery) Run(ctx context.Context, handler ListHandler) {
+func (c *Client) Run(ctx context.Context, handler ListHandler) {
 	backoff := minWatchBackoff
 	callAgain := false         // the next watch begins without a request for it
 	retriedUnanswered := false // an unanswered call has already been repeated at once
 	failedAddrs := 0           // calls that failed in this round through the addresses
 	var loss lossLog
 	for ctx.Err() == nil {
-		if d.onDemand && !callAgain && !d.awaitWatchRequest(ctx) {
+		if c.onDemand && !callAgain && !c.awaitWatchRequest(ctx) {
 			return
 		}
-		received, err := d.watch(ctx, handler)
+		received, err := c.watch(ctx, handler)
 		if ctx.Err() != nil {
 			return
 		}
@@ -49,26 +49,26 @@
 		callAgain = errors.Is(err, errSilent) && (received || !retriedUnanswered)
 		retriedUnanswered = callAgain && !received
 		fellSilent := callAgain && received
-		d.timeoutFactor = timeoutFactorAfter(err, fellSilent)
+		c.timeoutFactor = timeoutFactorAfter(err, fellSilent)
 		if fellSilent {
 			handler.HandleList(bramblelock.ListSilent, hostlist.List{})
 		}
-		addrCount := d.nextAddr()
+		addrCount := c.nextAddr()
 		// Another address may be available: each one is called once before a loss is reported, unless
 		// discovery has asked not to be called yet.
 		failedAddrs++
-		if !received && failedAddrs < addrCount && time.Now().After(d.retryAt) {
+		if !received && failedAddrs < addrCount && time.Now().After(c.retryAt) {
 			callAgain = true
 		} else {
 			failedAddrs = 0
 		}
-		loss.noteLoss(err, d.lastHeardAt)
+		loss.noteLoss(err, c.lastHeardAt)
 		switch {
-		case d.onDemand && callAgain:
-		case d.onDemand:
+		case c.onDemand && callAgain:
+		case c.onDemand:
 			handler.HandleList(lossKind(err), hostlist.List{})
 		default:
-			d.waitToWatch(ctx, jitter(backoff))
+			c.waitToWatch(ctx, jitter(backoff))
 			backoff = min(2*backoff, maxWatchBackoff)
 		}
 	}
@@ -76,34 +76,34 @@
 
 // awaitWatchRequest waits until a watch is requested, and then until discovery may be called, or until
 // there are other addresses. It returns false if ctx has ended.
-func (d *Discovery) awaitWatchRequest(ctx context.Context) bool {
+func (c *Client) awaitWatchRequest(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-d.addrsChanged:
+	case <-c.addrsChanged:
 		return true
-	case <-d.watchRequested:
+	case <-c.watchRequested:
 	}
-	return d.waitToWatch(ctx, time.Until(d.retryAt))
+	return c.waitToWatch(ctx, time.Until(c.retryAt))
 }
 
 // waitToWatch waits for a time, or until there are other addresses. It returns false if ctx has ended.
-func (d *Discovery) waitToWatch(ctx context.Context, wait time.Duration) bool {
+func (c *Client) waitToWatch(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-d.addrsChanged:
+	case <-c.addrsChanged:
 	case <-time.After(wait):
 	}
 	return true
 }
 
 // nextAddr makes the next call go to the next address, and returns how many addresses there are.
-func (d *Discovery) nextAddr() (addrCount int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.addrIndex = (d.addrIndex + 1) % len(d.addrs)
-	return len(d.addrs)
+func (c *Client) nextAddr() (addrCount int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addrIndex = (c.addrIndex + 1) % len(c.addrs)
+	return len(c.addrs)
 }
 
 // timeoutFactorAfter returns the factor for the timeout of the call after a watch that was lost with
--- a/internal/gateway/discovery_watch.go
+++ b/internal/gateway/discovery/watch.go
@@ -1,4 +1,4 @@
-package gateway
+package discovery
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 // watchCall is one call for the list.
 type watchCall struct {
-	d            *Discovery
+	client       *Client
 	handler      ListHandler
 	silenceTimer *time.Timer
 	index        uint64 // version since which changes are requested; 0 requests the full list
@@ -32,17 +32,17 @@
 // watch makes one call and handles the lists of its answer until the watch ends. It returns the reason
 // for the end and whether data was received, which is false if a malformed or older list ended the
 // watch. If silence or a change of addresses ended it, received is true once the call was answered.
-func (d *Discovery) watch(ctx context.Context, handler ListHandler) (received bool, err error) {
+func (c *Client) watch(ctx context.Context, handler ListHandler) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if d.hasMoved() {
-		d.timeoutFactor = urgentTimeoutFactor
+	if c.hasMoved() {
+		c.timeoutFactor = urgentTimeoutFactor
 		handler.HandleList(bramblelock.ListMoved, hostlist.List{})
 	}
-	call := &watchCall{d: d, handler: handler}
-	call.silenceTimer = d.startSilenceTimer(d.nextCallTimeout(), func() { cancel(errSilent) })
+	call := &watchCall{client: c, handler: handler}
+	call.silenceTimer = c.startSilenceTimer(c.nextCallTimeout(), func() { cancel(errSilent) })
 	defer call.silenceTimer.Stop()
-	received, err = call.run(ctx, d.beginCall(cancel))
+	received, err = call.run(ctx, c.beginCall(cancel))
 	switch cause := context.Cause(ctx); {
 	case cause == errSilent || cause == errAddrsChanged:
 		return received || call.answered, cause
@@ -53,35 +53,35 @@
 }
 
 // hasMoved returns whether none of the addresses has been called yet since they changed.
-func (d *Discovery) hasMoved() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.addrsUnused
+func (c *Client) hasMoved() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.addrsUnused
 }
 
 // beginCall returns the address for the next call, which cancel ends. If the addresses have changed, it
 // forgets what applies to the old ones: another discovery service numbers its versions by itself, and a
 // Retry-After of the old one does not apply to it.
-func (d *Discovery) beginCall(cancel context.CancelCauseFunc) (addr string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.cancelWatch = cancel
-	if d.addrsUnused {
-		d.addrsUnused = false
-		d.version = 0
-		d.olderListSince = time.Time{}
-		d.retryAt = time.Time{}
-		d.unansweredCalls = 0
-	}
-	return d.addrs[d.addrIndex]
+func (c *Client) beginCall(cancel context.CancelCauseFunc) (addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelWatch = cancel
+	if c.addrsUnused {
+		c.addrsUnused = false
+		c.version = 0
+		c.olderListSince = time.Time{}
+		c.retryAt = time.Time{}
+		c.unansweredCalls = 0
+	}
+	return c.addrs[c.addrIndex]
 }
 
 // run makes the call at addr and handles the lists of its answer. It returns what watch returns, but
 // the reason for the end may be the error that followed from it.
 func (w *watchCall) run(ctx context.Context, addr string) (received bool, err error) {
-	d := w.d
-	w.index = d.version
-	if d.needFullList {
+	c := w.client
+	w.index = c.version
+	if c.needFullList {
 		w.index = 0
 	}
 	resp, err := w.send(ctx, addr)
@@ -90,33 +90,33 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		d.applyRetryAfter(resp.Header.Get("Retry-After"))
+		c.applyRetryAfter(resp.Header.Get("Retry-After"))
 		return false, fmt.Errorf("discovery answers %s", resp.Status)
 	}
 	w.answered = true
-	w.silenceTimer.Reset(d.SilenceTimeout)
-	w.upToDate = d.haveList && w.index == d.version && w.index > 0 // else a list is still to come
+	w.silenceTimer.Reset(c.SilenceTimeout)
+	w.upToDate = c.haveList && w.index == c.version && w.index > 0 // else a list is still to come
 	return w.readLists(resp.Body)
 }
 
 // send sends the call to addr and returns the head of its answer.
 func (w *watchCall) send(ctx context.Context, addr string) (*http.Response, error) {
-	d := w.d
+	c := w.client
 	url := "http://" + addr + pathMembers + "?stream=1&index=" + strconv.FormatUint(w.index, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	if d.haveList {
-		req.Header.Set("X-Catalog-Have", strconv.FormatUint(d.version, 10))
+	if c.haveList {
+		req.Header.Set("X-Catalog-Have", strconv.FormatUint(c.version, 10))
 	}
 	began := time.Now()
-	resp, err := d.client.Do(req)
+	resp, err := c.httpClient.Do(req)
 	logCall(ctx, w.index, time.Since(began), resp, err)
 	if context.Cause(ctx) == errSilent {
-		d.unansweredCalls++
+		c.unansweredCalls++
 	} else {
-		d.unansweredCalls = 0
+		c.unansweredCalls = 0
 	}
 	return resp, err
 }
@@ -124,9 +124,9 @@
 // noteData records that data has arrived. blank means that it is only white space. If that is the first
 // data, the list has not changed since the version of the call.
 func (w *watchCall) noteData(blank bool) {
-	w.silenceTimer.Reset(w.d.SilenceTimeout)
+	w.silenceTimer.Reset(w.client.SilenceTimeout)
 	w.received = true
-	w.d.lastHeardAt = time.Now()
+	w.client.lastHeardAt = time.Now()
 	if blank && w.upToDate {
 		w.handler.HandleList(bramblelock.ListChanges, hostlist.List{Version: w.index})
 	}
@@ -135,7 +135,7 @@
 
 // readLists passes the lists in body on until the watch ends. It returns what watch returns.
 func (w *watchCall) readLists(body io.Reader) (received bool, err error) {
-	d := w.d
+	c := w.client
 	reader := &listReader{body: body, onData: w.noteData}
 	lists := json.NewDecoder(reader) // does not split at line ends, as a list may be indented
 	for {
@@ -150,18 +150,18 @@
 		case err == io.EOF:
 			return w.received, io.ErrUnexpectedEOF // a watch is not meant to end; watch wraps it in errEnded
 		case isMalformedList(err):
-			d.needFullList = true // the changes in it are lost
+			c.needFullList = true // the changes in it are lost
 			return false, fmt.Errorf("discovery's list: %w", err)
 		case err != nil:
 			return w.received, err
 		}
-		if err := d.checkVersion(&list); err != nil {
+		if err := c.checkVersion(&list); err != nil {
 			return false, err
 		}
-		d.olderListSince = time.Time{}
-		d.needFullList = false
-		d.version = list.Version
-		d.haveList = true
+		c.olderListSince = time.Time{}
+		c.needFullList = false
+		c.version = list.Version
+		c.haveList = true
 		kind := bramblelock.ListChanges
 		if list.Full {
 			kind = bramblelock.ListFull
@@ -172,18 +172,18 @@
 
 // checkVersion returns an error if list is older than the one in use, unless discovery has started its
 // versions anew.
-func (d *Discovery) checkVersion(list *hostlist.List) error {
-	if list.Version >= d.version {
+func (c *Client) checkVersion(list *hostlist.List) error {
+	if list.Version >= c.version {
 		return nil
 	}
-	if d.olderListSince.IsZero() {
-		d.olderListSince = time.Now()
+	if c.olderListSince.IsZero() {
+		c.olderListSince = time.Now()
 	}
-	if time.Since(d.olderListSince) < versionResetAfter || !list.Full {
-		d.needFullList = true // discovery may have started its versions anew, and then has no changes since d.version
-		return fmt.Errorf("%w: %d, ours %d", errOlderList, list.Version, d.version)
+	if time.Since(c.olderListSince) < versionResetAfter || !list.Full {
+		c.needFullList = true // discovery may have started its versions anew, and then has no changes since c.version
+		return fmt.Errorf("%w: %d, ours %d", errOlderList, list.Version, c.version)
 	}
-	slog.Error("discovery counts anew: its whole list is taken", "version", list.Version, "ours", d.version)
+	slog.Error("discovery counts anew: its whole list is taken", "version", list.Version, "ours", c.version)
 	return nil
 }
 
--- a/internal/gateway/watchconn.go
+++ b/internal/gateway/discovery/watchconn.go
@@ -1,4 +1,4 @@
-package gateway
+package discovery
 
 import (
 	"errors"
--- a/internal/gateway/watchconn_test.go
+++ b/internal/gateway/discovery/watchconn_test.go
@@ -1,4 +1,4 @@
-package gateway
+package discovery
 
 import (
 	"io"
@@ -6,12 +6,16 @@
 	"testing"
 	"testing/synctest"
 
+	"bramblelock/internal/gateway/gatewaytest"
 	"bramblelock/internal/gateway/socket"
 )
 
 // Data that has waited unread for long counts as delayed even if more arrives behind it.
 func TestLaterDataDoesNotHideDelayedData(t *testing.T) {
-	ln := listen(t, "127.0.0.1:0", nil)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
 	defer ln.Close()
 	ours, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -25,9 +29,9 @@
 	defer theirs.Close()
 	c := newWatchConn(ours, func() {})
 	io.WriteString(theirs, "old")
-	until(t, "the data is delayed", c.hasOverdueUpdate)
+	gatewaytest.Until(t, "the data is delayed", c.hasOverdueUpdate)
 	io.WriteString(theirs, "new")
-	until(t, "more has arrived", func() (arrived bool) {
+	gatewaytest.Until(t, "more has arrived", func() (arrived bool) {
 		c.raw.Control(func(fd uintptr) {
 			n, _ := socket.UnreadBytes(int(fd))
 			arrived = n == len("oldnew")
@@ -42,7 +46,7 @@
 // Two waits for the loop may finish in either order. The one that began first covers fewer reads and
 // must not undo what the other has recorded.
 func TestAppliedReadsNeverDecrease(t *testing.T) {
-	runInBubble(t, func(t *testing.T) {
+	gatewaytest.RunInBubble(t, func(t *testing.T) {
 		releases := make(chan chan struct{})
 		c := &watchConn{syncLists: func() {
 			release := make(chan struct{})
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/discovery"
 )
 
 // fakeDiscovery is a discovery service with a list of its own: each call gets the whole list and
@@ -110,16 +111,16 @@
 // back, or together with a new configuration receive no new attempts once the gateway can know of
 // it. Each fault occurs twice, so that a recovery that works only once is not enough.
 func TestDrainIsAppliedDespiteDiscoveryFaults(t *testing.T) {
-	for name, fault := range map[string]func(r *fakeDiscovery, d *Discovery) *fakeDiscovery{
-		"silence": func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery { r.silenceWatches(); return r },
-		"reset":   func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery { r.resetWatches(); return r },
-		"outage": func(r *fakeDiscovery, _ *Discovery) *fakeDiscovery {
+	for name, fault := range map[string]func(r *fakeDiscovery, d *discovery.Client) *fakeDiscovery{
+		"silence": func(r *fakeDiscovery, _ *discovery.Client) *fakeDiscovery { r.silenceWatches(); return r },
+		"reset":   func(r *fakeDiscovery, _ *discovery.Client) *fakeDiscovery { r.resetWatches(); return r },
+		"outage": func(r *fakeDiscovery, _ *discovery.Client) *fakeDiscovery {
 			addr := r.ln.Addr().String()
 			r.stop()
 			r.start(addr)
 			return r
 		},
-		"a new configuration": func(r *fakeDiscovery, d *Discovery) *fakeDiscovery {
+		"a new configuration": func(r *fakeDiscovery, d *discovery.Client) *fakeDiscovery {
 			r.silenceWatches() // the old address sends nothing more
 			moved := &fakeDiscovery{t: r.t, version: 1, states: r.states, addrs: r.addrs, watches: map[net.Conn]bool{}}
 			moved.start("127.0.0.84:0")
@@ -137,14 +138,14 @@
 	}
 }
 
-func testDrainDespiteFault(t *testing.T, onDemand bool, fault func(r *fakeDiscovery, d *Discovery) *fakeDiscovery) {
+func testDrainDespiteFault(t *testing.T, onDemand bool, fault func(r *fakeDiscovery, d *discovery.Client) *fakeDiscovery) {
 	hosts := []*testHost{newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer)), newHost(t, answerWith(okAnswer))}
 	cfg := testConfig(hosts...)
 	r := newFakeDiscovery(t, hosts...)
 	cfg.Discovery = r.ln.Addr().String()
 	cfg.Settings.WatchHosts, cfg.Settings.MaxWatchGap = onDemand, time.Second
 	ctx, cancel := context.WithCancel(context.Background())
-	d := NewDiscovery(cfg)
+	d := discovery.New(cfg)
 	d.SilenceTimeout = 300 * time.Millisecond
 	g := startGatewayWithWatch(t, cfg, d.Watch)
 	loop := g.loop
--- a/internal/gateway/flood_test.go
+++ b/internal/gateway/flood_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
 // Peers that connect in great number and send nothing, or never finish a head or a body, get no more
@@ -91,7 +93,7 @@
 func TestPeerThatStopsWithinNextHeadIsEvicted(t *testing.T) {
 	for name, served := range map[string]time.Duration{"after an answer": 0, "before an answer": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			runInBubble(t, func(t *testing.T) {
+			gatewaytest.RunInBubble(t, func(t *testing.T) {
 				s := &Server{conns: map[net.Conn]connState{}, connBudget: 1}
 				ours, theirs := net.Pipe()
 				defer ours.Close()
--- a/internal/gateway/bubble_test.go
+++ b/internal/gateway/gatewaytest/bubble_test.go
@@ -1,25 +1,11 @@
-package gateway
+package gatewaytest
 
 import (
-	"runtime"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 )
 
-// runInBubble runs f in a synctest bubble, one goroutine at a time.
-//
-// All timers of a bubble share one context of the race detector (raceCtx in runtime/time.go). With
-// more than one processor, a goroutine that reads the channel of a timer that is due fires it
-// beside the goroutine that advances the bubble's clock. The two then use that context at once,
-// which ends the process with SIGSEGV or a failed check of ThreadSanitizer. One processor rules
-// that out; the race detector still orders all accesses and the scheduler still picks at random.
-func runInBubble(t *testing.T, f func(t *testing.T)) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	synctest.Test(t, f)
-}
-
 // Tickers due at one instant are fired by the goroutines that read them. Unless the bubble runs one
 // goroutine at a time, the race detector crashes within a few bubbles.
 func TestBubbleFiresTimersOneAtATime(t *testing.T) {
@@ -29,7 +15,7 @@
 		period  = time.Millisecond
 	)
 	for range bubbles {
-		runInBubble(t, func(t *testing.T) {
+		RunInBubble(t, func(t *testing.T) {
 			var running sync.WaitGroup
 			defer running.Wait()
 			for range readers {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -35,7 +35,7 @@
 	actions       []bramblelock.Action
 	timers        timerHeap
 	pool          *Pool
-	requestWatch  func() // requests a watch from Discovery; does not block
+	requestWatch  func() // requests a watch from discovery.Client; does not block
 	hosts         map[bramblelock.HostID]*host
 	openRequests  map[bramblelock.RequestID]*exchange // requests without an answer or with an attempt in flight
 	lastID        bramblelock.RequestID               // of the request submitted last
--- a/internal/gateway/notification_clock_test.go
+++ b/internal/gateway/notification_clock_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
 // These tests check how late changes of the list take effect. They run on a fake clock, over pipes,
@@ -25,7 +26,7 @@
 	} {
 		for _, onDemand := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, on demand %t", name, onDemand), func(t *testing.T) {
-				runInBubble(t, func(t *testing.T) { testSilentFleet(t, onDemand, next) })
+				gatewaytest.RunInBubble(t, func(t *testing.T) { testSilentFleet(t, onDemand, next) })
 			})
 		}
 	}
@@ -188,7 +189,7 @@
 		for _, pattern := range trafficPatterns {
 			for _, onDemand := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, %s, on demand %t", fault.name, pattern.name, onDemand), func(t *testing.T) {
-					runInBubble(t, func(t *testing.T) { testDrainDuringFault(t, fault, pattern, onDemand) })
+					gatewaytest.RunInBubble(t, func(t *testing.T) { testDrainDuringFault(t, fault, pattern, onDemand) })
 				})
 			}
 		}
@@ -248,7 +249,7 @@
 func TestReturnOfAgentIsNoticedWithinGrace(t *testing.T) {
 	refusedCalls, outageSeconds := 0, 0.0
 	for down := 500 * time.Millisecond; down < 15*time.Second; down += 490 * time.Millisecond {
-		runInBubble(t, func(t *testing.T) {
+		gatewaytest.RunInBubble(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, 2)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
@@ -279,7 +280,7 @@
 // time is divided among the instances.
 func TestSilentInstancesAreSkippedInTime(t *testing.T) {
 	for _, onDemand := range []bool{true, false} {
-		runInBubble(t, func(t *testing.T) {
+		gatewaytest.RunInBubble(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, 2)
 			disco := newBubbleDiscovery(n, "well:80", hosts)
@@ -306,7 +307,7 @@
 // A discovery that needs 4 s for a call is slow, not silent: after a call that was given up, the
 // next call gets more time.
 func TestSlowDiscoveryGetsTimeToAnswer(t *testing.T) {
-	runInBubble(t, func(t *testing.T) {
+	gatewaytest.RunInBubble(t, func(t *testing.T) {
 		n := newBubbleNet()
 		hosts := bubbleHosts(n, 2)
 		disco := newBubbleDiscovery(n, "discovery:80", hosts)
@@ -325,7 +326,7 @@
 
 // A Retry-After from the old address does not apply to the address that SIGHUP sets.
 func TestAddressChangeResetsRetryAfter(t *testing.T) {
-	runInBubble(t, func(t *testing.T) {
+	gatewaytest.RunInBubble(t, func(t *testing.T) {
 		n := newBubbleNet()
 		hosts := bubbleHosts(n, 2)
 		disco := newBubbleDiscovery(n, "discovery:80", hosts)
@@ -356,7 +357,7 @@
 func TestShortReturnOfDiscoveryIsUsed(t *testing.T) {
 	const fleet, returns = 6, 700 * time.Millisecond
 	for away := 4 * time.Second; away < 12*time.Second; away += 430 * time.Millisecond {
-		runInBubble(t, func(t *testing.T) {
+		gatewaytest.RunInBubble(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, 3)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
--- a/internal/gateway/notified_test.go
+++ b/internal/gateway/notified_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
 // fleetTraffic sends each gateway a request every 25 ms until stop is closed.
@@ -55,7 +56,7 @@
 		serviceTime time.Duration
 	}{{6, 450 * time.Millisecond}, {6, 560 * time.Millisecond}, {12, 500 * time.Millisecond}} {
 		t.Run(fmt.Sprintf("%d gateways, %v a call", c.gateways, c.serviceTime), func(t *testing.T) {
-			runInBubble(t, func(t *testing.T) { testFleetAfterWatchesEnd(t, c.gateways, c.serviceTime) })
+			gatewaytest.RunInBubble(t, func(t *testing.T) { testFleetAfterWatchesEnd(t, c.gateways, c.serviceTime) })
 		})
 	}
 }
@@ -88,7 +89,7 @@
 // A call that is given up keeps its place at a discovery that serves calls one after the other.
 // Repeating it while it waits costs work for nothing, and delays all calls behind it.
 func TestQueuedCallIsNotRepeated(t *testing.T) {
-	runInBubble(t, func(t *testing.T) {
+	gatewaytest.RunInBubble(t, func(t *testing.T) {
 		const gateways = 8
 		n := newBubbleNet()
 		disco := newBubbleDiscovery(n, "discovery:80", bubbleHosts(n, 4))
--- a/internal/gateway/overdue_update.go
+++ b/internal/gateway/overdue_update.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// UpdateSource receives changes of the list of hosts. It is implemented by Discovery.
+// UpdateSource receives changes of the list of hosts. It is implemented by discovery.Client.
 type UpdateSource interface {
 	// UpdateOverdue returns whether a change has been written to this process that should be in force
 	// by now, but is not.
--- a/internal/gateway/sizes_test.go
+++ b/internal/gateway/sizes_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bramblelock"
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
 // A gateway of a fleet of 1,024 with 1,024 hosts applies the whole list and each change, and uses
@@ -13,7 +14,7 @@
 func TestThousandHostsAndGateways(t *testing.T) {
 	const count = 1024
 	for _, onDemand := range []bool{true, false} {
-		runInBubble(t, func(t *testing.T) {
+		gatewaytest.RunInBubble(t, func(t *testing.T) {
 			n := newBubbleNet()
 			hosts := bubbleHosts(n, count)
 			disco := newBubbleDiscovery(n, "discovery:80", hosts)
--- a/internal/gateway/stopped_test.go
+++ b/internal/gateway/stopped_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
 // incompleteRequestLimit is the time within which a peer that sends no valid request gets an error
@@ -89,7 +91,7 @@
 	} {
 		for _, afterAnswer := range []bool{false, true} {
 			t.Run(name+map[bool]string{true: ", after an answer"}[afterAnswer], func(t *testing.T) {
-				runInBubble(t, func(t *testing.T) {
+				gatewaytest.RunInBubble(t, func(t *testing.T) {
 					l, end := bubbleClients(t, 2)
 					defer end()
 					c := l.dial()
--- a/internal/gateway/testhost_test.go
+++ b/internal/gateway/testhost_test.go
@@ -9,23 +9,13 @@
 	"sync"
 	"syscall"
 	"testing"
-	"time"
-)
 
-const (
-	waitTimeout  = 20 * time.Second // long, as the machine may be busy
-	pollInterval = 2 * time.Millisecond
+	"bramblelock/internal/gateway/gatewaytest"
 )
 
-// until waits for a condition.
-func until(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
-		if time.Now().After(end) {
-			t.Fatalf("gave up waiting: %s", what)
-		}
-	}
-}
+const waitTimeout = gatewaytest.WaitTimeout
+
+var until = gatewaytest.Until
 
 // testHost is a host on a loopback socket whose answers are written by a script.
 type testHost struct {
