--- a/internal/gateway/bubble_gateway_test.go
+++ b/internal/gateway/bubble_gateway_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"strconv"
 	"testing"
@@ -10,6 +9,7 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/discovery"
 	"bramblelock/internal/gateway/hostlist"
 )
 
@@ -20,20 +20,15 @@
 type bubbleGateway struct {
 	cfg  *config.Config
 	loop *Loop
-	d    *Discovery
+	d    *discovery.Client
 }
 
 // startBubble starts a gateway of a fleet.
 func startBubble(t *testing.T, ctx context.Context, n *bubbleNet, cfg *config.Config) *bubbleGateway {
 	pool := NewPool(cfg)
 	pool.dial = n.dial
-	d := NewDiscovery(cfg)
-	d.client.Transport = &http.Transport{DisableKeepAlives: true,
-		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, watchDialTimeout)
-			defer cancel()
-			return n.dial(ctx, network, addr)
-		}}
+	d := discovery.New(cfg)
+	d.Dial = n.dial
 	loop, err := NewLoop(cfg, pool, d.Watch)
 	if err != nil {
 		t.Fatal(err)
