--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -15,6 +15,11 @@
 // eventQueueLength is how many events may wait for the loop. A goroutine that posts one more waits.
 const eventQueueLength = 1024
 
+// maxFormerHosts is how many hosts that are no longer listed stay known to operators' calls. A fleet in
+// which each process has an id of its own would fill the memory otherwise. The number exceeds that of
+// the hosts of a large fleet, all of which a faulty list may remove.
+const maxFormerHosts = 20_000
+
 // Loop owns the Balancer, which is the decision module (package bramblelock). Other goroutines post
 // events to the Loop. It handles them one at a time and performs the actions that the Balancer
 // decides on. It never blocks: work that takes time runs in its own goroutine and posts its result
@@ -42,7 +47,7 @@
 	zones         map[string]int                      // indices of the zones by name; see nameIndex
 	kinds         map[string]int                      // indices of the kinds of hosts by name; see nameIndex
 	added         []addedHost                         // hosts that the list being applied has added
-	everListed    map[string]bool                     // ids of hosts that were ever listed
+	formerHosts   recentIDs                           // ids of hosts that were listed or in maintenance
 	inMaintenance map[string]bool                     // ids of hosts in maintenance
 	ctx           context.Context                     // context of all attempts
 	stall         *processStall                       // set while timers wait, after a stall of the process, until what has arrived has been read; else nil
@@ -70,7 +75,7 @@
 		openRequests:  map[bramblelock.RequestID]*exchange{},
 		zones:         cfg.Zones,
 		kinds:         cfg.Kinds,
-		everListed:    map[string]bool{},
+		formerHosts:   recentIDs{limit: maxFormerHosts},
 		inMaintenance: map[string]bool{},
 		firstList:     make(chan struct{}),
 	}
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -10,11 +10,14 @@
 	"bramblelock/internal/gateway/hostlist"
 )
 
-// hostKnown returns whether a host was ever listed, or is in maintenance. It returns false if Run has
-// returned.
+// hostKnown returns whether a host is listed or in maintenance, or was so before at most maxFormerHosts
+// others. It returns false if Run has returned.
 func (l *Loop) hostKnown(id string) (known bool) {
 	answer := make(chan bool, 1)
-	l.post(func(bramblelock.Time) { answer <- l.everListed[id] || l.inMaintenance[id] })
+	l.post(func(bramblelock.Time) {
+		h := l.hosts[hostID(id)]
+		answer <- h != nil && h.id == id || l.inMaintenance[id] || l.formerHosts.has(id)
+	})
 	select {
 	case known = <-answer:
 	case <-l.done:
@@ -32,6 +35,7 @@
 			l.inMaintenance[id] = true
 		} else {
 			delete(l.inMaintenance, id)
+			l.formerHosts.add(id) // the call may be repeated
 		}
 		h := l.hosts[hostID(id)]
 		if h != nil && h.id != id {
@@ -79,7 +83,10 @@
 		l.balancer.SetMaintenance(now, id, l.hosts[id].inMaintenance)
 	}
 	for _, id := range gone {
-		delete(l.hosts, id) // attempts in flight keep a reference to it
+		if h := l.hosts[id]; h != nil { // nil if the list removes it twice
+			l.formerHosts.add(h.id)
+			delete(l.hosts, id) // attempts in flight keep a reference to it
+		}
 	}
 	l.updateReady()
 	if kind == bramblelock.ListFull || kind == bramblelock.ListChanges {
@@ -117,7 +124,6 @@
 func (l *Loop) addHost(id bramblelock.HostID, m *hostlist.Member) *host {
 	h := &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
 	l.hosts[id] = h
-	l.everListed[m.ID] = true
 	l.added = append(l.added, addedHost{id, m.ID, m.Addr})
 	return h
 }
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -40,6 +40,27 @@
 	}
 }
 
+// Hosts that come and go under new ids do not fill the memory. A host that left not long ago, and one in
+// maintenance, stay known to operators' calls.
+func TestFormerHostsAreBounded(t *testing.T) {
+	const listed, lists = 10, 5
+	g := startGateway(t, testConfig())
+	g.loop.post(func(bramblelock.Time) { g.loop.formerHosts.limit = listed })
+	g.loop.setMaintenance("in maintenance", true)
+	for n := range lists {
+		list := largeList(listed)
+		for i := range list.Servers {
+			list.Servers[i].ID = fmt.Sprint(n, "-", i)
+		}
+		g.loop.HandleList(bramblelock.ListFull, list)
+	}
+	for id, want := range map[string]bool{"0-0": false, "3-0": true, "4-0": true, "in maintenance": true} {
+		if known := g.loop.hostKnown(id); known != want {
+			t.Errorf("host %s is known: %t, want %t", id, known, want)
+		}
+	}
+}
+
 // The longest hold of the loop is at the operators' address.
 func TestLongestHoldIsReported(t *testing.T) {
 	const hold = 30 * time.Millisecond
