--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -44,8 +44,8 @@
 	hosts         map[bramblelock.HostID]*host
 	openRequests  map[bramblelock.RequestID]*exchange // requests without an answer or with an attempt in flight
 	lastID        bramblelock.RequestID               // of the request submitted last
-	zones         map[string]int                      // indices of the zones by name; see nameIndex
-	kinds         map[string]int                      // indices of the kinds of hosts by name; see nameIndex
+	zones         *nameTable                          // names of zones
+	kinds         *nameTable                          // names of kinds of hosts
 	added         []addedHost                         // hosts that the list being applied has added
 	formerHosts   recentIDs                           // ids of hosts that were listed or in maintenance
 	inMaintenance map[string]bool                     // ids of hosts in maintenance
@@ -73,8 +73,8 @@
 		requestWatch:  requestWatch,
 		hosts:         map[bramblelock.HostID]*host{},
 		openRequests:  map[bramblelock.RequestID]*exchange{},
-		zones:         cfg.Zones,
-		kinds:         cfg.Kinds,
+		zones:         newNameTable(cfg.Zones),
+		kinds:         newNameTable(cfg.Kinds),
 		formerHosts:   recentIDs{limit: maxFormerHosts},
 		inMaintenance: map[string]bool{},
 		firstList:     make(chan struct{}),
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -88,6 +88,8 @@
 			delete(l.hosts, id) // attempts in flight keep a reference to it
 		}
 	}
+	l.zones.dropUnused(l.hosts, func(h *host) int { return h.zone })
+	l.kinds.dropUnused(l.hosts, func(h *host) int { return h.kind })
 	l.updateReady()
 	if kind == bramblelock.ListFull || kind == bramblelock.ListChanges {
 		l.firstListOnce.Do(func() { close(l.firstList) })
@@ -98,7 +100,7 @@
 // false if the entry does not count.
 func (l *Loop) applyMember(m *hostlist.Member) (entry bramblelock.Host, ok bool) {
 	entry = bramblelock.Host{
-		ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
+		ID: hostID(m.ID), Zone: l.zones.number(m.Zone), Cell: m.Cell, Kind: l.kinds.number(m.Kind),
 		State: m.HostState(),
 	}
 	h := l.hosts[entry.ID]
@@ -115,6 +117,7 @@
 	if h.startedMS != m.StartedMS { // most lists state the same start time again
 		h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
 	}
+	h.zone, h.kind = entry.Zone, entry.Kind
 	entry.Started = h.startedAt
 	l.pool.updateHost(h, m.Addr, m.StartedMS, entry.State == bramblelock.Ready)
 	return entry, true
@@ -184,14 +187,3 @@
 	h.Write([]byte(id))
 	return bramblelock.HostID(h.Sum64())
 }
-
-// nameIndex returns the index of the name of a zone or a kind. A name that is not in the settings is
-// added with the next free index, so that two unknown zones do not count as one.
-func nameIndex(index map[string]int, name string) int {
-	n, ok := index[name]
-	if !ok {
-		n = len(index)
-		index[name] = n
-	}
-	return n
-}
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -61,6 +61,37 @@
 	}
 }
 
+// Zones and kinds with ever new names do not fill the memory. A zone that has hosts, or is in the settings,
+// keeps its number, and no other zone ever gets it.
+func TestUnusedNamesAreBounded(t *testing.T) {
+	cfg := testConfig()
+	cfg.Zones["configured"] = 0
+	l, err := NewLoop(cfg, NewPool(cfg), func() {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := largeList(2)
+	list.Servers[0].Zone = "in use"
+	l.applyList(l.clock.now(), bramblelock.ListFull, list)
+	inUse := l.zones.number("in use")
+	given := map[int]bool{inUse: true, l.zones.number("configured"): true}
+	for n := range 3 * maxUnusedNames {
+		list.Servers[1].Zone, list.Servers[1].Kind = fmt.Sprint("zone ", n), fmt.Sprint("kind ", n)
+		l.applyList(l.clock.now(), bramblelock.ListFull, list)
+		if number := l.hosts[hostID(list.Servers[1].ID)].zone; given[number] {
+			t.Fatalf("zone %d has the number %d of another zone", n, number)
+		} else {
+			given[number] = true
+		}
+	}
+	if zones, kinds := len(l.zones.numbers), len(l.kinds.numbers); max(zones, kinds) > maxUnusedNames+len(cfg.Zones) {
+		t.Errorf("%d zones and %d kinds are kept", zones, kinds)
+	}
+	if l.zones.number("in use") != inUse || l.zones.number("configured") != 0 {
+		t.Error("a zone in use or in the settings has another number")
+	}
+}
+
 // The longest hold of the loop is at the operators' address.
 func TestLongestHoldIsReported(t *testing.T) {
 	const hold = 30 * time.Millisecond
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -52,9 +52,11 @@
 	started       int64     // start time that the list states, in Unix ms; a connection made before a restart is not used after it
 	lastAnswerAt  time.Time // when an answer was last received whole or began to be streamed
 
-	// Owned by the loop: the start time that the list states, in Unix ms and on the module's clock.
-	startedMS int64
-	startedAt bramblelock.Time
+	// Owned by the loop: the start time that the list states, in Unix ms and on the module's clock, and the
+	// numbers of its zone and kind.
+	startedMS  int64
+	startedAt  bramblelock.Time
+	zone, kind int
 }
 
 // conn is a connection to a host. It belongs to one attempt or, while idle, to the Pool.
