--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -131,6 +131,32 @@
 	p.State = state
 	p.Since = time.Now()
 	n.lastChange = p.Name + " " + state
+	if !p.isLive() {
+		n.dropOldestFormerPeer()
+	}
+}
+
+// maxFormerPeers is how many gateways that have left or are dead the view keeps. Where each process has a
+// name of its own, they would fill the memory otherwise.
+const maxFormerPeers = 1000
+
+// dropOldestFormerPeer drops, if more than maxFormerPeers gateways are not live, the one that has been so
+// for longest. The caller holds n.mu.
+func (n *Node) dropOldestFormerPeer() {
+	var oldest *Peer
+	former := 0
+	for _, p := range n.view {
+		if p.isLive() {
+			continue
+		}
+		former++
+		if oldest == nil || p.Since.Before(oldest.Since) {
+			oldest = p
+		}
+	}
+	if former > maxFormerPeers {
+		delete(n.view, oldest.Name)
+	}
 }
 
 // markLeaving marks a peer that announced that it leaves as left.
