--- a/internal/gateway/hostlist_test.go
+++ b/internal/gateway/hostlist_test.go
@@ -37,6 +37,9 @@
 	applyList("gone", bramblelock.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
 	applyList("absent from a full list", bramblelock.ListFull, first, member("s-0", first, "ready"))
 	applyList("moved", bramblelock.ListChanges, second, member("s-0", second, "ready"))
+	applyList("gone, then ready", bramblelock.ListChanges, second, member("s-0", second, "gone"), member("s-0", second, "ready"))
+	applyList("ready, then gone twice", bramblelock.ListFull, first, member("s-1", first, "ready"),
+		member("s-0", second, "ready"), member("s-0", second, "gone"), member("s-0", second, "gone"))
 }
 
 // An id must have the same number at every gateway and after a restart, and different ids different
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -3,6 +3,8 @@
 import (
 	"hash/fnv"
 	"log/slog"
+	"maps"
+	"slices"
 	"strconv"
 	"time"
 
@@ -83,10 +85,8 @@
 		l.balancer.SetMaintenance(now, id, l.hosts[id].inMaintenance)
 	}
 	for _, id := range gone {
-		if h := l.hosts[id]; h != nil { // nil if the list removes it twice
-			l.formerHosts.add(h.id)
-			delete(l.hosts, id) // attempts in flight keep a reference to it
-		}
+		l.formerHosts.add(l.hosts[id].id)
+		delete(l.hosts, id) // attempts in flight keep a reference to it
 	}
 	l.zones.dropUnused(l.hosts, func(h *host) int { return h.zone })
 	l.kinds.dropUnused(l.hosts, func(h *host) int { return h.kind })
@@ -146,14 +146,18 @@
 	}
 }
 
-// removedHosts returns the hosts that entries of a list remove.
+// removedHosts returns the hosts that entries of a list remove. Of several entries of one host, the last
+// one decides, as it does for the Balancer: a host that this returns gets no more attempts.
 func removedHosts(entries []bramblelock.Host) (ids []bramblelock.HostID) {
+	removed := map[bramblelock.HostID]bool{}
 	for i := range entries {
 		if entries[i].State == bramblelock.Removed {
-			ids = append(ids, entries[i].ID)
+			removed[entries[i].ID] = true
+		} else {
+			delete(removed, entries[i].ID)
 		}
 	}
-	return ids
+	return slices.Collect(maps.Keys(removed))
 }
 
 // takeOutUnlisted takes the hosts without an entry in a whole list out of use and returns them.
