--- a/cmd/gateway/process.go
+++ b/cmd/gateway/process.go
@@ -11,6 +11,7 @@
 	"bramblelock"
 	"bramblelock/internal/gateway"
 	"bramblelock/internal/gateway/config"
+	"bramblelock/internal/gateway/maintenance"
 	"bramblelock/internal/membership"
 )
 
@@ -88,12 +89,12 @@
 
 // newOperator restores the maintenance of hosts and listens for operators.
 func (p *process) newOperator(ctx context.Context) error {
-	maintenance, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
+	store, err := maintenance.NewStore(os.Getenv("TMPDIR"))
 	if err != nil {
 		return err
 	}
 	// Restored before the host list is applied, so that nothing is sent to a host in maintenance.
-	if err := maintenance.Refresh(p.loop); err != nil {
+	if err := store.Refresh(p.loop); err != nil {
 		return err
 	}
 	p.operatorListener, err = net.Listen("tcp", p.cfg.Operator)
@@ -102,9 +103,9 @@
 	}
 	sharesListener := p.cfg.AcceptFD != 0
 	if sharesListener {
-		go maintenance.Watch(p.loop, ctx.Done())
+		go store.Watch(p.loop, ctx.Done())
 	}
-	p.operator = gateway.NewOperator(p.loop, p.server, maintenance, sharesListener)
+	p.operator = gateway.NewOperator(p.loop, p.server, store, sharesListener)
 	return nil
 }
 
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -24,11 +24,7 @@
 	}
 	go loop.Run(ctx)
 	server := NewServer(cfg, loop)
-	maintenance, err := NewMaintenanceStore("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	operator := NewOperator(loop, server, maintenance, false)
+	operator := NewOperator(loop, server, newMaintenanceStore(t, ""), false)
 	clients := faultnet.FailingListener(listen(t, "127.0.0.1:0", nil))
 	operators := faultnet.FailingListener(listen(t, "127.0.0.1:0", nil))
 	ended := make(chan error, 2)
--- a/internal/gateway/hostlist_test.go
+++ b/internal/gateway/hostlist_test.go
@@ -82,3 +82,30 @@
 		t.Error("a list from discovery does not count")
 	}
 }
+
+// Two ids may have the same hash, which is the number that the module has for a host. The maintenance
+// of one must not take the other out of use, whichever becomes known first.
+func TestMaintenanceOfCollidingID(t *testing.T) {
+	const listed, other = "8yn0iYCKYHlIj4-BwPqk", "GReLUrM4wMqfg9yzV3KQ"
+	if hostID(listed) != hostID(other) {
+		t.Fatal("the ids have different hashes")
+	}
+	known := testConfig(newHost(t, answerWith(okAnswer))).Known
+	known.Servers[0].ID = listed
+	for _, listFirst := range []bool{true, false} {
+		g := startGateway(t, testConfig())
+		if listFirst {
+			g.loop.HandleList(bramblelock.ListFull, known)
+		}
+		g.loop.SetMaintenance(other, true)
+		g.loop.HandleList(bramblelock.ListFull, known)
+		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
+			t.Errorf("list first %t: status %d while the other host is in maintenance", listFirst, resp.StatusCode)
+		}
+		g.loop.SetMaintenance(listed, true)
+		g.loop.SetMaintenance(other, false)
+		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode == 200 {
+			t.Errorf("list first %t: the host is in use after the end of the other's maintenance", listFirst)
+		}
+	}
+}
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -27,11 +27,11 @@
 	return known
 }
 
-// setMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
+// SetMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
 // so the change is not in force on return, but once a later Sync has returned. Attempts that wait for a
 // connection to a host in maintenance are not sent: Pool.permit stops them before their first byte. The
 // id is stored even if the host is not listed, as it may be listed later.
-func (l *Loop) setMaintenance(id string, on bool) {
+func (l *Loop) SetMaintenance(id string, on bool) {
 	l.post(func(now bramblelock.Time) {
 		if on {
 			l.inMaintenance[id] = true
@@ -51,9 +51,9 @@
 	})
 }
 
-// maintenanceEnded reports to the Balancer that the maintenance of a host ended at the given time, by
+// MaintenanceEnded reports to the Balancer that the maintenance of a host ended at the given time, by
 // an operator's call to another process of this instance.
-func (l *Loop) maintenanceEnded(id string, at time.Time) {
+func (l *Loop) MaintenanceEnded(id string, at time.Time) {
 	l.post(func(now bramblelock.Time) { l.balancer.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
 }
 
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -46,7 +46,7 @@
 	const listed, lists = 10, 5
 	g := startGateway(t, testConfig())
 	g.loop.post(func(bramblelock.Time) { g.loop.formerHosts.limit = listed })
-	g.loop.setMaintenance("in maintenance", true)
+	g.loop.SetMaintenance("in maintenance", true)
 	for n := range lists {
 		list := largeList(listed)
 		for i := range list.Servers {
--- a/internal/gateway/endmark.go
+++ b/internal/gateway/maintenance/endmark.go
@@ -1,4 +1,4 @@
-package gateway
+package maintenance
 
 import (
 	"io/fs"
@@ -59,11 +59,10 @@
 	return strings.TrimSpace(string(id))
 }
 
-// maintenanceEndedAt returns when the end mark at path was written. If the mark cannot be read, or is
-// later than the present time since boot, the modification time of the file is used. So it is for a
-// mark of an earlier boot, as times since two boots cannot be compared; but it was not written after
-// this boot.
-func maintenanceEndedAt(path string, file fs.FileInfo) time.Time {
+// endedAt returns when the end mark at path was written. If the mark cannot be read, or is later than the
+// present time since boot, the modification time of the file is used. So it is for a mark of an earlier
+// boot, as times since two boots cannot be compared; but it was not written after this boot.
+func endedAt(path string, file fs.FileInfo) time.Time {
 	now, uptime := time.Now(), sinceBoot()
 	fileAge := max(0, now.Sub(file.ModTime()))
 	mark, err := readEndMark(path)
--- a/internal/gateway/endmark_test.go
+++ b/internal/gateway/maintenance/endmark_test.go
@@ -1,4 +1,4 @@
-package gateway
+package maintenance
 
 import (
 	"os"
@@ -7,12 +7,14 @@
 	"time"
 )
 
+const maxDelay = 20 * time.Second // between writing and reading an end mark; long, as the machine may be busy
+
 // writeEndMark begins and ends a maintenance and returns the path of its end mark.
 func writeEndMark(t *testing.T) (path string) {
 	t.Helper()
-	g, store := startGateway(t, testConfig()), newMaintenanceStore(t, t.TempDir())
+	store := newStore(t, t.TempDir())
 	for _, on := range []bool{true, false} {
-		if err := store.Set(g.loop, "s-1", on); err != nil {
+		if err := store.Set(discardHosts{}, "s-1", on); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -31,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return time.Since(maintenanceEndedAt(mark, info))
+	return time.Since(endedAt(mark, info))
 }
 
 // A process that starts after the wall clock was stepped must treat a host as cold whose
@@ -39,7 +41,7 @@
 func TestEndOfMaintenanceIsKnownAfterClockStep(t *testing.T) {
 	mark := writeEndMark(t)
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
-		if age := sinceEnd(t, mark, step); age < 0 || age > waitTimeout { // the file was written by the clock as it was before the step
+		if age := sinceEnd(t, mark, step); age < 0 || age > maxDelay { // the file was written by the clock as it was before the step
 			t.Errorf("clock stepped by %v: the maintenance ended %v ago", step, age)
 		}
 	}
@@ -63,7 +65,7 @@
 	}
 	fileAge := sinceBoot() + time.Hour
 	for _, tt := range []struct{ age, want time.Duration }{{fileAge, fileAge}, {0, sinceBoot()}, {-time.Hour, sinceBoot()}} {
-		if age := sinceEnd(t, mark, tt.age); age < tt.want || age > tt.want+waitTimeout {
+		if age := sinceEnd(t, mark, tt.age); age < tt.want || age > tt.want+maxDelay {
 			t.Errorf("file %v old: the maintenance ended %v ago, want %v", tt.age, age, tt.want)
 		}
 	}
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"bramblelock/internal/gateway/maintenance"
 	"bramblelock/internal/listener"
 )
 
@@ -40,7 +41,7 @@
 type Operator struct {
 	loop        *Loop
 	server      *Server
-	maintenance *MaintenanceStore
+	maintenance *maintenance.Store
 	// Members returns the membership view for GET /members. It is nil while membership is off.
 	Members          func() any
 	propagationDelay time.Duration // wait before a change of maintenance is confirmed, so that the other process of an upgrade has applied it; 0 without one
@@ -54,10 +55,10 @@
 
 // NewOperator returns an Operator. shared means that another process may serve beside this one, which
 // must apply changes of maintenance too.
-func NewOperator(loop *Loop, server *Server, maintenance *MaintenanceStore, shared bool) *Operator {
-	o := &Operator{loop: loop, server: server, maintenance: maintenance}
+func NewOperator(loop *Loop, server *Server, store *maintenance.Store, shared bool) *Operator {
+	o := &Operator{loop: loop, server: server, maintenance: store}
 	if shared {
-		o.propagationDelay = maintenancePropagationTime
+		o.propagationDelay = maintenance.PropagationTime
 	}
 	o.http = http.Server{
 		Handler:        http.HandlerFunc(o.serve), // no ServeMux, which would redirect
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -14,15 +14,26 @@
 
 	"bramblelock"
 	"bramblelock/internal/gateway/hostlist"
+	"bramblelock/internal/gateway/maintenance"
 )
 
+// newMaintenanceStore returns a store in a directory, as a process that starts now has it.
+func newMaintenanceStore(t *testing.T, tmp string) *maintenance.Store {
+	t.Helper()
+	store, err := maintenance.NewStore(tmp)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return store
+}
+
 // startOperator serves an operators' address beside a gateway and returns the address.
 func (g *testGateway) startOperator(dir string, shared bool) string {
 	g.Helper()
 	return g.startOperatorWith(newMaintenanceStore(g.T, dir), shared)
 }
 
-func (g *testGateway) startOperatorWith(store *MaintenanceStore, shared bool) string {
+func (g *testGateway) startOperatorWith(store *maintenance.Store, shared bool) string {
 	g.Helper()
 	o := NewOperator(g.loop, g.server, store, shared)
 	ln := listen(g.T, "127.0.0.1:0", nil)
@@ -195,7 +206,7 @@
 	}
 	until(t, "the old process follows", old.loop.Ready)
 	// A process that starts now knows that the host is cold.
-	entries, err := os.ReadDir(filepath.Join(dir, maintenanceDir))
+	entries, err := os.ReadDir(filepath.Join(dir, "maintenance"))
 	if err != nil || len(entries) != 1 || entries[0].Name() != "back-..%2Fs%2F0%25" {
 		t.Errorf("the folder holds %v, %v", entries, err)
 	}
@@ -219,10 +230,10 @@
 	g.loop.HandleList(bramblelock.ListFull, hostlist.List{Servers: []hostlist.Member{{ID: "s-0", Addr: "127.0.0.1:1", State: "ready"}}})
 	g.loop.Sync()
 	want(200, "a host is known")
-	g.loop.setMaintenance("s-0", true)
+	g.loop.SetMaintenance("s-0", true)
 	g.loop.Sync()
 	want(503, "the only host is out")
-	g.loop.setMaintenance("s-0", false)
+	g.loop.SetMaintenance("s-0", false)
 	g.loop.Sync()
 	g.server.accepting.Store(false)
 	want(503, "it does not accept")
