--- a/internal/gateway/hostlist_test.go
+++ b/internal/gateway/hostlist_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"net"
+	"net/http"
 	"strings"
 	"testing"
 
@@ -42,6 +44,38 @@
 		member("s-0", second, "ready"), member("s-0", second, "gone"), member("s-0", second, "gone"))
 }
 
+// An entry that removes a host may state nothing else. A request that may have run there is still repeated
+// only in the zone or cell in which the host was listed.
+func TestRemovalKeepsScopeOfRepeats(t *testing.T) {
+	for _, tt := range []struct {
+		scope bramblelock.DedupScope
+		other hostlist.Member
+		want  int
+	}{
+		{bramblelock.DedupZone, hostlist.Member{Zone: "a"}, 1},
+		{bramblelock.DedupZone, hostlist.Member{Cell: 1}, 0},
+		{bramblelock.DedupCell, hostlist.Member{Cell: 1}, 1},
+		{bramblelock.DedupCell, hostlist.Member{Zone: "a"}, 0},
+	} {
+		var g *testGateway
+		other := newHost(t, answerWith(okAnswer))
+		tt.other.ID, tt.other.Addr, tt.other.State = "s-1", other.addr(), "ready"
+		first := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
+			g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Servers: []hostlist.Member{{ID: "s-0", State: "gone"}, tt.other}})
+			g.loop.Sync()
+			return resetConn(c, r, n)
+		})
+		cfg := testConfig(first)
+		cfg.Known.Servers[0].Zone, cfg.Known.Servers[0].Cell = "a", 1
+		cfg.Settings.Classes[2].DedupScope = tt.scope
+		g = startGateway(t, cfg)
+		resp, _ := g.request("report", "/api/1", "body", "Idempotency-Key", "k")
+		if requests, _, _ := other.counts(); requests != tt.want || (resp.StatusCode == 200) != (tt.want > 0) {
+			t.Errorf("%+v: status %d, the other host got %d requests", tt, resp.StatusCode, requests)
+		}
+	}
+}
+
 // An id must have the same number at every gateway and after a restart, and different ids different
 // numbers.
 func TestHostIDs(t *testing.T) {
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -99,10 +99,7 @@
 // applyMember updates one host from its entry in a list and returns the entry for the Balancer. ok is
 // false if the entry does not count.
 func (l *Loop) applyMember(m *hostlist.Member) (entry bramblelock.Host, ok bool) {
-	entry = bramblelock.Host{
-		ID: hostID(m.ID), Zone: l.zones.number(m.Zone), Cell: m.Cell, Kind: l.kinds.number(m.Kind),
-		State: m.HostState(),
-	}
+	entry = bramblelock.Host{ID: hostID(m.ID), State: m.HostState()}
 	h := l.hosts[entry.ID]
 	switch {
 	case h == nil && entry.State == bramblelock.Removed:
@@ -117,7 +114,12 @@
 	if h.startedMS != m.StartedMS { // most lists state the same start time again
 		h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
 	}
-	h.zone, h.kind = entry.Zone, entry.Kind
+	if entry.State != bramblelock.Removed {
+		// An entry that removes a host may state nothing else. The zone and the cell still say where a
+		// request that may have run on the host may be repeated.
+		h.zone, h.cell, h.kind = l.zones.number(m.Zone), m.Cell, l.kinds.number(m.Kind)
+	}
+	entry.Zone, entry.Cell, entry.Kind = h.zone, h.cell, h.kind
 	entry.Started = h.startedAt
 	l.pool.updateHost(h, m.Addr, m.StartedMS, entry.State == bramblelock.Ready)
 	return entry, true
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -52,11 +52,11 @@
 	started       int64     // start time that the list states, in Unix ms; a connection made before a restart is not used after it
 	lastAnswerAt  time.Time // when an answer was last received whole or began to be streamed
 
-	// Owned by the loop: the start time that the list states, in Unix ms and on the module's clock, and the
-	// numbers of its zone and kind.
-	startedMS  int64
-	startedAt  bramblelock.Time
-	zone, kind int
+	// Owned by the loop, as the list states them: the start time, in Unix ms and on the module's clock, the
+	// numbers of the zone and the kind, and the cell.
+	startedMS        int64
+	startedAt        bramblelock.Time
+	zone, kind, cell int
 }
 
 // conn is a connection to a host. It belongs to one attempt or, while idle, to the Pool.
