--- a/cmd/gateway/process.go
+++ b/cmd/gateway/process.go
@@ -12,6 +12,7 @@
 	"bramblelock/internal/gateway"
 	"bramblelock/internal/gateway/config"
 	"bramblelock/internal/gateway/discovery"
+	"bramblelock/internal/gateway/maintenance"
 	"bramblelock/internal/membership"
 )
 
@@ -89,12 +90,12 @@
 
 // newOperator restores the maintenance of hosts and listens for operators.
 func (p *process) newOperator(ctx context.Context) error {
-	maintenance, err := gateway.NewMaintenanceStore(os.Getenv("TMPDIR"))
+	store, err := maintenance.NewStore(os.Getenv("TMPDIR"))
 	if err != nil {
 		return err
 	}
 	// Restored before the host list is applied, so that nothing is sent to a host in maintenance.
-	if err := maintenance.Refresh(p.loop); err != nil {
+	if err := store.Refresh(p.loop); err != nil {
 		return err
 	}
 	p.operatorListener, err = net.Listen("tcp", p.cfg.Operator)
@@ -103,9 +104,9 @@
 	}
 	sharesListener := p.cfg.AcceptFD != 0
 	if sharesListener {
-		go maintenance.Watch(p.loop, ctx.Done())
+		go store.Watch(p.loop, ctx.Done())
 	}
-	p.operator = gateway.NewOperator(p.loop, p.server, maintenance, sharesListener)
+	p.operator = gateway.NewOperator(p.loop, p.server, store, sharesListener)
 	return nil
 }
 
--- a/internal/gateway/hostlist_test.go
+++ b/internal/gateway/hostlist_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"net"
+	"net/http"
 	"strings"
 	"testing"
 
@@ -37,6 +39,41 @@
 	applyList("gone", bramblelock.ListChanges, second, member("s-0", first, "gone"), member("s-1", second, "ready"))
 	applyList("absent from a full list", bramblelock.ListFull, first, member("s-0", first, "ready"))
 	applyList("moved", bramblelock.ListChanges, second, member("s-0", second, "ready"))
+	applyList("gone, then ready", bramblelock.ListChanges, second, member("s-0", second, "gone"), member("s-0", second, "ready"))
+	applyList("ready, then gone twice", bramblelock.ListFull, first, member("s-1", first, "ready"),
+		member("s-0", second, "ready"), member("s-0", second, "gone"), member("s-0", second, "gone"))
+}
+
+// An entry that removes a host may state nothing else. A request that may have run there is still repeated
+// only in the zone or cell in which the host was listed.
+func TestRemovalKeepsScopeOfRepeats(t *testing.T) {
+	for _, tt := range []struct {
+		scope bramblelock.DedupScope
+		other hostlist.Member
+		want  int
+	}{
+		{bramblelock.DedupZone, hostlist.Member{Zone: "a"}, 1},
+		{bramblelock.DedupZone, hostlist.Member{Cell: 1}, 0},
+		{bramblelock.DedupCell, hostlist.Member{Cell: 1}, 1},
+		{bramblelock.DedupCell, hostlist.Member{Zone: "a"}, 0},
+	} {
+		var g *testGateway
+		other := newHost(t, answerWith(okAnswer))
+		tt.other.ID, tt.other.Addr, tt.other.State = "s-1", other.addr(), "ready"
+		first := newHost(t, func(c net.Conn, r *http.Request, n int) bool {
+			g.loop.HandleList(bramblelock.ListChanges, hostlist.List{Servers: []hostlist.Member{{ID: "s-0", State: "gone"}, tt.other}})
+			g.loop.Sync()
+			return resetConn(c, r, n)
+		})
+		cfg := testConfig(first)
+		cfg.Known.Servers[0].Zone, cfg.Known.Servers[0].Cell = "a", 1
+		cfg.Settings.Classes[2].DedupScope = tt.scope
+		g = startGateway(t, cfg)
+		resp, _ := g.request("report", "/api/1", "body", "Idempotency-Key", "k")
+		if requests, _, _ := other.counts(); requests != tt.want || (resp.StatusCode == 200) != (tt.want > 0) {
+			t.Errorf("%+v: status %d, the other host got %d requests", tt, resp.StatusCode, requests)
+		}
+	}
 }
 
 // An id must have the same number at every gateway and after a restart, and different ids different
@@ -79,3 +116,30 @@
 		t.Error("a list from discovery does not count")
 	}
 }
+
+// Two ids may have the same hash, which is the number that the module has for a host. The maintenance
+// of one must not take the other out of use, whichever becomes known first.
+func TestMaintenanceOfCollidingID(t *testing.T) {
+	const listed, other = "8yn0iYCKYHlIj4-BwPqk", "GReLUrM4wMqfg9yzV3KQ"
+	if hostID(listed) != hostID(other) {
+		t.Fatal("the ids have different hashes")
+	}
+	known := testConfig(newHost(t, answerWith(okAnswer))).Known
+	known.Servers[0].ID = listed
+	for _, listFirst := range []bool{true, false} {
+		g := startGateway(t, testConfig())
+		if listFirst {
+			g.loop.HandleList(bramblelock.ListFull, known)
+		}
+		g.loop.SetMaintenance(other, true)
+		g.loop.HandleList(bramblelock.ListFull, known)
+		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode != 200 {
+			t.Errorf("list first %t: status %d while the other host is in maintenance", listFirst, resp.StatusCode)
+		}
+		g.loop.SetMaintenance(listed, true)
+		g.loop.SetMaintenance(other, false)
+		if resp, _ := g.request("look", "/api/1", ""); resp.StatusCode == 200 {
+			t.Errorf("list first %t: the host is in use after the end of the other's maintenance", listFirst)
+		}
+	}
+}
--- a/internal/gateway/loop_hosts.go
+++ b/internal/gateway/loop_hosts.go
@@ -3,6 +3,8 @@
 import (
 	"hash/fnv"
 	"log/slog"
+	"maps"
+	"slices"
 	"strconv"
 	"time"
 
@@ -10,11 +12,14 @@
 	"bramblelock/internal/gateway/hostlist"
 )
 
-// hostKnown returns whether a host was ever listed, or is in maintenance. It returns false if Run has
-// returned.
+// hostKnown returns whether a host is listed or in maintenance, or was so before at most maxFormerHosts
+// others. It returns false if Run has returned.
 func (l *Loop) hostKnown(id string) (known bool) {
 	answer := make(chan bool, 1)
-	l.post(func(bramblelock.Time) { answer <- l.everListed[id] || l.inMaintenance[id] })
+	l.post(func(bramblelock.Time) {
+		h := l.hosts[hostID(id)]
+		answer <- h != nil && h.id == id || l.inMaintenance[id] || l.formerHosts.has(id)
+	})
 	select {
 	case known = <-answer:
 	case <-l.done:
@@ -22,16 +27,17 @@
 	return known
 }
 
-// setMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
+// SetMaintenance puts a host into maintenance or ends its maintenance. It posts an event to the loop,
 // so the change is not in force on return, but once a later Sync has returned. Attempts that wait for a
 // connection to a host in maintenance are not sent: Pool.permit stops them before their first byte. The
 // id is stored even if the host is not listed, as it may be listed later.
-func (l *Loop) setMaintenance(id string, on bool) {
+func (l *Loop) SetMaintenance(id string, on bool) {
 	l.post(func(now bramblelock.Time) {
 		if on {
 			l.inMaintenance[id] = true
 		} else {
 			delete(l.inMaintenance, id)
+			l.formerHosts.add(id) // the call may be repeated
 		}
 		h := l.hosts[hostID(id)]
 		if h != nil && h.id != id {
@@ -45,9 +51,9 @@
 	})
 }
 
-// maintenanceEnded reports to the Balancer that the maintenance of a host ended at the given time, by
+// MaintenanceEnded reports to the Balancer that the maintenance of a host ended at the given time, by
 // an operator's call to another process of this instance.
-func (l *Loop) maintenanceEnded(id string, at time.Time) {
+func (l *Loop) MaintenanceEnded(id string, at time.Time) {
 	l.post(func(now bramblelock.Time) { l.balancer.MaintenanceEnded(now, hostID(id), l.clock.at(at)) })
 }
 
@@ -79,8 +85,11 @@
 		l.balancer.SetMaintenance(now, id, l.hosts[id].inMaintenance)
 	}
 	for _, id := range gone {
+		l.formerHosts.add(l.hosts[id].id)
 		delete(l.hosts, id) // attempts in flight keep a reference to it
 	}
+	l.zones.dropUnused(l.hosts, func(h *host) int { return h.zone })
+	l.kinds.dropUnused(l.hosts, func(h *host) int { return h.kind })
 	l.updateReady()
 	if kind == bramblelock.ListFull || kind == bramblelock.ListChanges {
 		l.firstListOnce.Do(func() { close(l.firstList) })
@@ -90,10 +99,7 @@
 // applyMember updates one host from its entry in a list and returns the entry for the Balancer. ok is
 // false if the entry does not count.
 func (l *Loop) applyMember(m *hostlist.Member) (entry bramblelock.Host, ok bool) {
-	entry = bramblelock.Host{
-		ID: hostID(m.ID), Zone: nameIndex(l.zones, m.Zone), Cell: m.Cell, Kind: nameIndex(l.kinds, m.Kind),
-		State: m.HostState(),
-	}
+	entry = bramblelock.Host{ID: hostID(m.ID), State: m.HostState()}
 	h := l.hosts[entry.ID]
 	switch {
 	case h == nil && entry.State == bramblelock.Removed:
@@ -108,6 +114,12 @@
 	if h.startedMS != m.StartedMS { // most lists state the same start time again
 		h.startedMS, h.startedAt = m.StartedMS, l.clock.startTime(m.StartedMS, l.wallClock())
 	}
+	if entry.State != bramblelock.Removed {
+		// An entry that removes a host may state nothing else. The zone and the cell still say where a
+		// request that may have run on the host may be repeated.
+		h.zone, h.cell, h.kind = l.zones.number(m.Zone), m.Cell, l.kinds.number(m.Kind)
+	}
+	entry.Zone, entry.Cell, entry.Kind = h.zone, h.cell, h.kind
 	entry.Started = h.startedAt
 	l.pool.updateHost(h, m.Addr, m.StartedMS, entry.State == bramblelock.Ready)
 	return entry, true
@@ -117,7 +129,6 @@
 func (l *Loop) addHost(id bramblelock.HostID, m *hostlist.Member) *host {
 	h := &host{id: m.ID, inMaintenance: l.inMaintenance[m.ID]}
 	l.hosts[id] = h
-	l.everListed[m.ID] = true
 	l.added = append(l.added, addedHost{id, m.ID, m.Addr})
 	return h
 }
@@ -137,14 +148,18 @@
 	}
 }
 
-// removedHosts returns the hosts that entries of a list remove.
+// removedHosts returns the hosts that entries of a list remove. Of several entries of one host, the last
+// one decides, as it does for the Balancer: a host that this returns gets no more attempts.
 func removedHosts(entries []bramblelock.Host) (ids []bramblelock.HostID) {
+	removed := map[bramblelock.HostID]bool{}
 	for i := range entries {
 		if entries[i].State == bramblelock.Removed {
-			ids = append(ids, entries[i].ID)
+			removed[entries[i].ID] = true
+		} else {
+			delete(removed, entries[i].ID)
 		}
 	}
-	return ids
+	return slices.Collect(maps.Keys(removed))
 }
 
 // takeOutUnlisted takes the hosts without an entry in a whole list out of use and returns them.
@@ -178,14 +193,3 @@
 	h.Write([]byte(id))
 	return bramblelock.HostID(h.Sum64())
 }
-
-// nameIndex returns the index of the name of a zone or a kind. A name that is not in the settings is
-// added with the next free index, so that two unknown zones do not count as one.
-func nameIndex(index map[string]int, name string) int {
-	n, ok := index[name]
-	if !ok {
-		n = len(index)
-		index[name] = n
-	}
-	return n
-}
