--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -77,8 +77,7 @@
 	}
 	if r.ContentLength > maxBufferedBytes || !s.loop.pool.memory.acquire(size) {
 		x.upload = &upload{clientBody: body, length: r.ContentLength, sent: make(chan struct{})}
-		if c, ok := r.Context().Value(framedConnKey{}).(*framedConn); ok && s.loop.pool.memory.acquire(readAheadBytes) {
-			c.setReadBuffer(readAheadBytes)
+		if s.limitReadAhead(r) {
 			x.releaseBody = func() { s.loop.pool.memory.release(readAheadBytes) }
 		}
 		return nil
@@ -93,10 +92,26 @@
 	x.body = text
 	if len(text) > maxBufferedBytes {
 		x.upload = &upload{clientBody: body, length: -1, sent: make(chan struct{})}
+		if s.limitReadAhead(r) {
+			x.releaseBody = func() { s.loop.pool.memory.release(size + readAheadBytes) }
+		}
 	}
 	return nil
 }
 
+// limitReadAhead has the kernel receive only readAheadBytes of a long body ahead, if the memory budget
+// allows as much, and returns whether it does. Otherwise the kernel may take the whole of a body that its
+// host reads slowly, and since anything may then be waiting, the request's time would have to be counted
+// from when little of the body was read (see arrivalTracker).
+func (s *Server) limitReadAhead(r *http.Request) bool {
+	c, ok := r.Context().Value(framedConnKey{}).(*framedConn)
+	if !ok || !s.loop.pool.memory.acquire(readAheadBytes) {
+		return false
+	}
+	c.setReadBuffer(readAheadBytes)
+	return true
+}
+
 // resolve looks up the class and the tenant of the request in rules and stores both and the
 // rules in x. An error means that the request is invalid under these rules.
 func (x *exchange) resolve(rules *config.Rules) error {
